--- a/goldcrestramp-assignment/src/edit.rs
+++ b/goldcrestramp-assignment/src/edit.rs
@@ -2,7 +2,9 @@
 
 use goldcrestramp_types::{SliceIndex, SliceRange};
 
-use crate::table::{AssignedRun, AssignmentTable, LifeKey, ServerLife};
+use crate::table::{
+    AssignedRange, AssignmentTable, InstanceKey, ServerInstance,
+};
 
 impl AssignmentTable {
     /// A token above every one that was written for the service.
@@ -13,10 +15,13 @@
 
     /// The place of a server, made if it has none; nothing if all places
     /// are taken.
-    pub(crate) fn place_of(&mut self, life: &ServerLife) -> Option<LifeKey> {
+    pub(crate) fn place_of(
+        &mut self,
+        life: &ServerInstance,
+    ) -> Option<InstanceKey> {
         let known = self.lives.iter().position(|other| other == life);
         let place = known.unwrap_or(self.lives.len());
-        let key = u16::try_from(place).ok().map(LifeKey)?;
+        let key = u16::try_from(place).ok().map(InstanceKey)?;
         if known.is_none() {
             self.lives.push(life.clone());
         }
@@ -26,10 +31,10 @@
     /// Cuts runs so that one run is exactly `range`; the pieces keep what
     /// they had. Nothing is cut if no single run covers `range`.
     pub(crate) fn carve(&mut self, range: SliceRange) -> Option<usize> {
-        let covers = |run: &AssignedRun| run.range.covers(range);
+        let covers = |run: &AssignedRange| run.range.covers(range);
         let position = self.runs.iter().position(covers)?;
         let whole = self.runs[position].clone();
-        let part = |first: SliceIndex, last: SliceIndex| AssignedRun {
+        let part = |first: SliceIndex, last: SliceIndex| AssignedRange {
             range: SliceRange { first, last },
             ..whole.clone()
         };
@@ -61,7 +66,7 @@
                 kept.push(self.lives[old].clone());
                 kept.len() - 1
             });
-            run.life = LifeKey(u16::try_from(new).unwrap_or(u16::MAX));
+            run.life = InstanceKey(u16::try_from(new).unwrap_or(u16::MAX));
         }
         self.lives = kept;
     }
--- a/goldcrestramp-assignment/src/former.rs
+++ b/goldcrestramp-assignment/src/former.rs
@@ -4,7 +4,7 @@
 
 /// What is known of the planner before a new one.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum FormerPlanner {
+pub enum PreviousPlanner {
     /// It may be renewing grants.
     MayRenew,
     /// It has stopped. It was known to plan at this moment.
@@ -24,24 +24,24 @@
 /// # Example
 ///
 /// ```
-/// use goldcrestramp_assignment::{FormerPlanner, last_grant_sent};
+/// use goldcrestramp_assignment::{PreviousPlanner, last_grant_sent};
 /// use goldcrestramp_types::{LocalTime, TimeSpan};
 ///
 /// let at = |s: u64| LocalTime::from_micros(s * 1_000_000);
 /// let life = TimeSpan::from_millis(12_000);
-/// let stopped = FormerPlanner::Stopped { planned_by: at(5) };
+/// let stopped = PreviousPlanner::Stopped { planned_by: at(5) };
 /// assert_eq!(last_grant_sent(at(8), stopped, life), at(17));
 /// assert_eq!(last_grant_sent(at(90), stopped, life), at(90));
 /// ```
 #[must_use]
 pub fn last_grant_sent(
     now: LocalTime,
-    former: FormerPlanner,
+    former: PreviousPlanner,
     proof_life: TimeSpan,
 ) -> LocalTime {
     match former {
-        FormerPlanner::MayRenew => now + proof_life,
-        FormerPlanner::Stopped { planned_by } => {
+        PreviousPlanner::MayRenew => now + proof_life,
+        PreviousPlanner::Stopped { planned_by } => {
             now.max(planned_by + proof_life)
         }
     }
--- a/goldcrestramp-assignment/src/holds.rs
+++ b/goldcrestramp-assignment/src/holds.rs
@@ -2,7 +2,7 @@
 
 use goldcrestramp_types::{FastMap, LocalTime, TimeSpan};
 
-use crate::{order::OrderOutcome, table::ServerLife};
+use crate::{order::OrderOutcome, table::ServerInstance};
 
 /// A server's clock may run 2% slow; one percent more covers the rounding
 /// of spans to whole milliseconds on the wire.
@@ -10,12 +10,12 @@
 
 /// A grant whose connection has ended may still be on its way: one way
 /// between regions, with room for a long queue.
-const TRANSIT_MOST: TimeSpan = TimeSpan::from_millis(300);
+const MAX_TRANSIT: TimeSpan = TimeSpan::from_millis(300);
 
 /// A grant without an answer may be taken so much later than it was given
 /// up: a server that is overrun by new connections took them up to 1.3 s
 /// later, and its hold counts from then.
-const TAKEN_MOST: TimeSpan = TimeSpan::from_millis(2_500);
+const MAX_ACCEPT_DELAY: TimeSpan = TimeSpan::from_millis(2_500);
 
 /// What is known of one server's hold.
 #[derive(Clone, Copy, Debug, Default)]
@@ -31,14 +31,14 @@
 /// The end of every grant that it may have got, by the slowest clock, is
 /// enough: a server runs no request on keys whose hold is over.
 #[derive(Clone, Debug)]
-pub struct HoldBounds {
+pub struct GrantExpiries {
     hold: TimeSpan,
     /// For servers of which this planner has sent nothing.
     inherited: LocalTime,
-    lives: FastMap<ServerLife, HoldBound>,
+    lives: FastMap<ServerInstance, HoldBound>,
 }
 
-impl HoldBounds {
+impl GrantExpiries {
     /// Bounds of a new planner: a former one may have sent grants of
     /// `hold` until `sent_until`.
     #[must_use]
@@ -48,19 +48,19 @@
             inherited: LocalTime::default(),
             lives: FastMap::default(),
         };
-        bounds.inherited = bounds.end_of(sent_until + TAKEN_MOST);
+        bounds.inherited = bounds.end_of(sent_until + MAX_ACCEPT_DELAY);
         bounds
     }
 
     /// Takes the knowledge that the former planner sent its last grant
     /// before `sent_until`.
     pub fn inherit(&mut self, sent_until: LocalTime) {
-        let end = self.end_of(sent_until + TAKEN_MOST);
+        let end = self.end_of(sent_until + MAX_ACCEPT_DELAY);
         self.inherited = self.inherited.min(end);
     }
 
     /// Notes that a grant is on its way to a server.
-    pub fn sending(&mut self, life: &ServerLife) {
+    pub fn sending(&mut self, life: &ServerInstance) {
         self.lives.entry(life.clone()).or_default().in_flight += 1;
     }
 
@@ -68,12 +68,12 @@
     pub fn ended(
         &mut self,
         now: LocalTime,
-        life: &ServerLife,
+        life: &ServerInstance,
         outcome: &OrderOutcome,
     ) {
         let until = match outcome {
             OrderOutcome::NotSent => LocalTime::default(),
-            OrderOutcome::Silent => self.end_of(now + TAKEN_MOST),
+            OrderOutcome::TimedOut => self.end_of(now + MAX_ACCEPT_DELAY),
             _ => self.end_of(now),
         };
         let bound = self.lives.entry(life.clone()).or_default();
@@ -83,17 +83,17 @@
 
     /// Whether the server can hold nothing any more.
     #[must_use]
-    pub fn are_over(&self, now: LocalTime, life: &ServerLife) -> bool {
+    pub fn are_over(&self, now: LocalTime, life: &ServerInstance) -> bool {
         let bound = self.lives.get(life).copied().unwrap_or_default();
         bound.in_flight == 0 && now > bound.until.max(self.inherited)
     }
 
     /// Leaves out servers that are no longer asked about.
-    pub fn retain(&mut self, keep: impl Fn(&ServerLife) -> bool) {
+    pub fn retain(&mut self, keep: impl Fn(&ServerInstance) -> bool) {
         self.lives.retain(|life, bound| bound.in_flight > 0 || keep(life));
     }
 
     fn end_of(&self, sent: LocalTime) -> LocalTime {
-        sent + TRANSIT_MOST + self.hold.percent(SLOW_CLOCK_PERCENT)
+        sent + MAX_TRANSIT + self.hold.percent(SLOW_CLOCK_PERCENT)
     }
 }
--- a/goldcrestramp-assignment/src/lib.rs
+++ b/goldcrestramp-assignment/src/lib.rs
@@ -16,10 +16,10 @@
 # Example
 
 ```
-use goldcrestramp_assignment::{AssignmentTable, ServerLife};
+use goldcrestramp_assignment::{AssignmentTable, ServerInstance};
 use goldcrestramp_types::SliceIndex;
 
-let life = ServerLife {
+let life = ServerInstance {
     id: "stock-1".into(),
     started_ms: 1,
     address: "127.0.0.1:9000".parse().expect("an address"),
@@ -41,15 +41,15 @@
 mod table;
 
 pub use crate::{
-    former::{FormerPlanner, last_grant_sent},
-    holds::HoldBounds,
+    former::{PreviousPlanner, last_grant_sent},
+    holds::GrantExpiries,
     order::{OrderKind, OrderOutcome, ServerOrder},
     patch::TablePatch,
     planner::{
-        HolderFate, MoveWish, PlannerTiming, ServerSight, TablePlanner,
+        HolderStatus, MoveRequest, PlannerTiming, ServerStatus, TablePlanner,
     },
     table::{
-        AssignedRun, AssignmentTable, LifeKey, RunPhase, ServerLife,
-        TableError,
+        AssignedRange, AssignmentPhase, AssignmentTable, InstanceKey,
+        ServerInstance, TableError,
     },
 };
--- a/goldcrestramp-assignment/src/memo.rs
+++ b/goldcrestramp-assignment/src/memo.rs
@@ -4,7 +4,7 @@
 
 use goldcrestramp_types::{FastMap, LocalTime, SliceIndex};
 
-use crate::table::AssignedRun;
+use crate::table::AssignedRange;
 
 /// What the server has said to the order of a run.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
@@ -48,16 +48,16 @@
 pub(crate) struct MemoBook(FastMap<(SliceIndex, u64), RunMemo>);
 
 impl MemoBook {
-    pub(crate) fn get(&self, run: &AssignedRun) -> Option<&RunMemo> {
+    pub(crate) fn get(&self, run: &AssignedRange) -> Option<&RunMemo> {
         self.0.get(&(run.range.first, run.token))
     }
 
-    pub(crate) fn entry(&mut self, run: &AssignedRun) -> &mut RunMemo {
+    pub(crate) fn entry(&mut self, run: &AssignedRange) -> &mut RunMemo {
         self.0.entry((run.range.first, run.token)).or_default()
     }
 
     /// Leaves out what belongs to no run of the table.
-    pub(crate) fn retain(&mut self, runs: &[AssignedRun]) {
+    pub(crate) fn retain(&mut self, runs: &[AssignedRange]) {
         let kept = runs.iter().filter_map(|run| {
             let key = (run.range.first, run.token);
             Some((key, self.0.remove(&key)?))
--- a/goldcrestramp-assignment/src/moves.rs
+++ b/goldcrestramp-assignment/src/moves.rs
@@ -3,30 +3,30 @@
 use goldcrestramp_types::{FastMap, SliceRange};
 
 use crate::{
-    planner::{HolderFate, MoveWish},
-    table::{AssignmentTable, LifeKey, RunPhase, ServerLife},
+    planner::{HolderStatus, MoveRequest},
+    table::{AssignmentPhase, AssignmentTable, InstanceKey, ServerInstance},
 };
 
 /// Begins a wished move, if its keys still have one serving holder.
 pub(crate) fn begin_move(
     next: &mut AssignmentTable,
-    wish: &MoveWish,
-    fate: impl Fn(&ServerLife) -> HolderFate,
-    targets: &mut FastMap<SliceRange, ServerLife>,
+    wish: &MoveRequest,
+    fate: impl Fn(&ServerInstance) -> HolderStatus,
+    targets: &mut FastMap<SliceRange, ServerInstance>,
 ) -> bool {
     let run = next.find(wish.range.first);
     let holder = next.life(run.life);
-    let movable = run.phase == RunPhase::Granted
+    let movable = run.phase == AssignmentPhase::Granted
         && run.range.covers(wish.range)
         && *holder != wish.target
-        && fate(holder) == HolderFate::Serving;
+        && fate(holder) == HolderStatus::Serving;
     if !movable {
         return false;
     }
     let Some(position) = next.carve(wish.range) else { return false };
     let token = next.next_token();
     let run = &mut next.runs[position];
-    run.phase = RunPhase::Releasing;
+    run.phase = AssignmentPhase::Releasing;
     run.token = token;
     targets.insert(wish.range, wish.target.clone());
     true
@@ -35,26 +35,25 @@
 /// Begins to take back what is held by servers that leave or are gone.
 pub(crate) fn begin_releases(
     next: &mut AssignmentTable,
-    fate: impl Fn(&ServerLife) -> HolderFate,
+    fate: impl Fn(&ServerInstance) -> HolderStatus,
 ) -> bool {
-    let lives: Vec<LifeKey> = next
+    let lives: Vec<InstanceKey> = next
         .lives()
-        .filter(|(_, life)| fate(life) != HolderFate::Serving)
+        .filter(|(_, life)| fate(life) != HolderStatus::Serving)
         .map(|(key, _)| key)
         .collect();
     let mut changed = false;
     for key in lives {
-        let held = next
-            .runs
-            .iter()
-            .any(|run| run.life == key && run.phase == RunPhase::Granted);
+        let held = next.runs.iter().any(|run| {
+            run.life == key && run.phase == AssignmentPhase::Granted
+        });
         if !held {
             continue;
         }
         let token = next.next_token();
         let runs = next.runs.iter_mut().filter(|run| run.life == key);
-        for run in runs.filter(|run| run.phase == RunPhase::Granted) {
-            run.phase = RunPhase::Releasing;
+        for run in runs.filter(|run| run.phase == AssignmentPhase::Granted) {
+            run.phase = AssignmentPhase::Releasing;
             run.token = token;
         }
         changed = true;
--- a/goldcrestramp-assignment/src/order.rs
+++ b/goldcrestramp-assignment/src/order.rs
@@ -4,7 +4,7 @@
 
 use goldcrestramp_types::{SliceRange, TimeSpan};
 
-use crate::table::ServerLife;
+use crate::table::ServerInstance;
 
 /// What a server is told to do.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ServerOrder {
     /// The server.
-    pub life: ServerLife,
+    pub life: ServerInstance,
     /// The keys.
     pub range: SliceRange,
     /// The fencing token.
@@ -51,7 +51,7 @@
     /// The connection ended; it may have been carried out.
     Unknown,
     /// No answer came in time; it may be carried out later.
-    Silent,
+    TimedOut,
 }
 
 impl OrderOutcome {
@@ -64,7 +64,7 @@
             Self::Ended => "ended",
             Self::NotSent => "not-sent",
             Self::Unknown => "unknown",
-            Self::Silent => "silent",
+            Self::TimedOut => "silent",
         }
     }
 }
--- a/goldcrestramp-assignment/src/patch.rs
+++ b/goldcrestramp-assignment/src/patch.rs
@@ -6,13 +6,15 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::table::{AssignedRun, AssignmentTable, ServerLife, TableError};
+use crate::table::{
+    AssignedRange, AssignmentTable, ServerInstance, TableError,
+};
 
 /// A run that is not the same in the older table, with its holder.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
-struct PatchRun {
-    run: AssignedRun,
-    life: ServerLife,
+struct PatchRange {
+    run: AssignedRange,
+    life: ServerInstance,
 }
 
 /// What makes a newer table of an older one.
@@ -20,19 +22,19 @@
 pub struct TablePatch {
     highest_token: u64,
     /// In the order of their keys.
-    runs: Vec<PatchRun>,
+    runs: Vec<PatchRange>,
 }
 
 impl AssignmentTable {
     /// What makes this table of an older one.
     #[must_use]
     pub fn patch_from(&self, older: &Self) -> TablePatch {
-        let changed = |run: &&AssignedRun| {
+        let changed = |run: &&AssignedRange| {
             let known = older.find(run.range.first);
-            let same = AssignedRun { life: run.life, ..known.clone() };
+            let same = AssignedRange { life: run.life, ..known.clone() };
             same != **run || older.life(known.life) != self.life(run.life)
         };
-        let runs = self.runs.iter().filter(changed).map(|run| PatchRun {
+        let runs = self.runs.iter().filter(changed).map(|run| PatchRange {
             run: run.clone(),
             life: self.life(run.life).clone(),
         });
@@ -48,7 +50,7 @@
     ///
     /// [`TableError`] if the patch was made from another table.
     pub fn patched(&self, patch: &TablePatch) -> Result<Self, TableError> {
-        let replaced = |run: &AssignedRun| {
+        let replaced = |run: &AssignedRange| {
             let next = patch
                 .runs
                 .partition_point(|p| p.run.range.last < run.range.first);
@@ -58,9 +60,9 @@
         let mut table = self.clone();
         table.runs.retain(|run| !replaced(run));
         table.highest_token = patch.highest_token;
-        for PatchRun { run, life } in &patch.runs {
+        for PatchRange { run, life } in &patch.runs {
             let life = table.place_of(life).ok_or(TableError)?;
-            table.runs.push(AssignedRun { life, ..run.clone() });
+            table.runs.push(AssignedRange { life, ..run.clone() });
         }
         table.runs.sort_by_key(|run| run.range.first);
         table.forget_unused();
--- a/goldcrestramp-assignment/src/planner.rs
+++ b/goldcrestramp-assignment/src/planner.rs
@@ -3,11 +3,14 @@
 use goldcrestramp_types::{FastMap, FastSet, LocalTime, SliceRange, TimeSpan};
 
 use crate::{
-    holds::HoldBounds,
+    holds::GrantExpiries,
     memo::{MemoBook, RunAnswer},
     moves::{begin_move, begin_releases},
     order::{OrderKind, OrderOutcome, ServerOrder},
-    table::{AssignedRun, AssignmentTable, LifeKey, RunPhase, ServerLife},
+    table::{
+        AssignedRange, AssignmentPhase, AssignmentTable, InstanceKey,
+        ServerInstance,
+    },
 };
 
 /// How often holds are renewed, and how long they are.
@@ -23,7 +26,7 @@
 
 /// What is known of the holder of a run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum HolderFate {
+pub enum HolderStatus {
     /// It serves.
     Serving,
     /// It is there, and its keys are to go elsewhere: it drains, or it has
@@ -38,20 +41,20 @@
 
 /// A server that may be given keys.
 #[derive(Clone, Debug)]
-pub struct ServerSight {
+pub struct ServerStatus {
     /// The server.
-    pub life: ServerLife,
+    pub life: ServerInstance,
     /// Whether it may be given more keys.
     pub open: bool,
 }
 
 /// A run of keys that would be served better elsewhere.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct MoveWish {
+pub struct MoveRequest {
     /// The keys; they have one holder now.
     pub range: SliceRange,
     /// The server that is to have them.
-    pub target: ServerLife,
+    pub target: ServerInstance,
 }
 
 /// Plans one service's table while this VM is the planning one.
@@ -59,12 +62,12 @@
 pub struct TablePlanner {
     timing: PlannerTiming,
     table: AssignmentTable,
-    holds: HoldBounds,
+    holds: GrantExpiries,
     memos: MemoBook,
     /// Where runs that are being released are to go.
-    wishes: FastMap<SliceRange, ServerLife>,
+    wishes: FastMap<SliceRange, ServerInstance>,
     /// Lives that are known to have ended, by an answer of another.
-    ended: FastSet<ServerLife>,
+    ended: FastSet<ServerInstance>,
 }
 
 impl TablePlanner {
@@ -79,7 +82,7 @@
         Self {
             timing,
             table,
-            holds: HoldBounds::open(timing.hold, sent_until),
+            holds: GrantExpiries::open(timing.hold, sent_until),
             memos: MemoBook::default(),
             wishes: FastMap::default(),
             ended: FastSet::default(),
@@ -106,11 +109,12 @@
             .table
             .runs
             .iter()
-            .filter(|run| run.phase == RunPhase::Releasing)
+            .filter(|run| run.phase == AssignmentPhase::Releasing)
             .map(|run| run.range)
             .collect();
         self.wishes.retain(|range, _target| releasing.contains(range));
-        let lives: FastSet<&ServerLife> = self.table.lives.iter().collect();
+        let lives: FastSet<&ServerInstance> =
+            self.table.lives.iter().collect();
         self.holds.retain(|life| lives.contains(life));
         self.ended.retain(|life| self.table.lives.contains(life));
     }
@@ -122,13 +126,13 @@
     pub fn plan(
         &mut self,
         now: LocalTime,
-        fate: impl Fn(&ServerLife) -> HolderFate,
-        wishes: &[MoveWish],
-        mut place: impl FnMut(SliceRange) -> Option<ServerLife>,
+        fate: impl Fn(&ServerInstance) -> HolderStatus,
+        wishes: &[MoveRequest],
+        mut place: impl FnMut(SliceRange) -> Option<ServerInstance>,
     ) -> Option<AssignmentTable> {
-        let fate = |life: &ServerLife| {
+        let fate = |life: &ServerInstance| {
             if self.ended.contains(life) {
-                HolderFate::Ended
+                HolderStatus::Ended
             } else {
                 fate(life)
             }
@@ -151,7 +155,8 @@
         for position in freed {
             let range = next.runs[position].range;
             let chosen = self.wishes.get(&range).cloned();
-            let usable = |life: &ServerLife| fate(life) == HolderFate::Serving;
+            let usable =
+                |life: &ServerInstance| fate(life) == HolderStatus::Serving;
             let Some(target) = chosen.filter(usable).or_else(|| place(range))
             else {
                 continue;
@@ -176,7 +181,7 @@
             let life = self.table.life(run.life);
             // One order empties a server: asked run by run, it would take
             // the time of the longest work on each.
-            let whole = run.phase == RunPhase::Releasing
+            let whole = run.phase == AssignmentPhase::Releasing
                 && emptied.get(&run.life) == Some(&run.token);
             let memo = self.memos.entry(run);
             if !memo.waits() || now < memo.due {
@@ -187,14 +192,14 @@
             }
             memo.in_flight = true;
             let kind = match run.phase {
-                RunPhase::Granted => {
+                AssignmentPhase::Granted => {
                     self.holds.sending(life);
                     OrderKind::Grant {
                         hold: self.timing.hold,
                         handover: run.handover.clone(),
                     }
                 }
-                RunPhase::Releasing => OrderKind::Release,
+                AssignmentPhase::Releasing => OrderKind::Release,
             };
             let range = if whole { SliceRange::ALL } else { run.range };
             let order = ServerOrder {
@@ -250,7 +255,7 @@
                 | OrderOutcome::Ended
                 | OrderOutcome::NotSent
                 | OrderOutcome::Unknown
-                | OrderOutcome::Silent => {}
+                | OrderOutcome::TimedOut => {}
             }
         }
     }
@@ -259,23 +264,23 @@
     fn is_free(
         &self,
         now: LocalTime,
-        run: &AssignedRun,
-        fate: impl Fn(&ServerLife) -> HolderFate,
+        run: &AssignedRange,
+        fate: impl Fn(&ServerInstance) -> HolderStatus,
     ) -> bool {
         let Some(life) = self.table.lives.get(usize::from(run.life.0)) else {
             return false;
         };
         // Only what was committed as releasing has had its grants stopped.
         let committed = self.table.runs.iter().any(|known| {
-            known.phase == RunPhase::Releasing
+            known.phase == AssignmentPhase::Releasing
                 && known.range == run.range
                 && known.token == run.token
         });
-        if run.phase != RunPhase::Releasing {
+        if run.phase != AssignmentPhase::Releasing {
             return false;
         }
         let fate = fate(life);
-        if fate == HolderFate::Ended {
+        if fate == HolderStatus::Ended {
             return true;
         }
         let memo = self.memos.get(run);
@@ -283,7 +288,7 @@
             .is_some_and(|memo| matches!(memo.answer, RunAnswer::Released(_)));
         // One that is there will answer; only of one that is gone the end
         // of its holds is waited for.
-        let gone = fate == HolderFate::Missing;
+        let gone = fate == HolderStatus::Missing;
         committed && (released || gone && self.holds.are_over(now, life))
     }
 
@@ -292,7 +297,7 @@
         &self,
         next: &mut AssignmentTable,
         position: usize,
-        target: &ServerLife,
+        target: &ServerInstance,
     ) -> bool {
         let Some(place) = next.place_of(target) else { return false };
         let token = next.next_token();
@@ -304,7 +309,7 @@
         let run = &mut next.runs[position];
         run.life = place;
         run.token = token;
-        run.phase = RunPhase::Granted;
+        run.phase = AssignmentPhase::Granted;
         run.handover = handover;
         true
     }
@@ -331,7 +336,7 @@
             .enumerate()
             .filter(|(_, run)| {
                 let memo = self.memos.get(run);
-                run.phase == RunPhase::Granted
+                run.phase == AssignmentPhase::Granted
                     && memo
                         .is_some_and(|memo| memo.answer == RunAnswer::Outdated)
             })
@@ -348,7 +353,7 @@
     ///
     /// Orders go by the id, so a server that restarted under it counts as
     /// the same: emptied, it would lose what it has been given since.
-    fn emptied_lives(&self) -> FastMap<LifeKey, u64> {
+    fn emptied_lives(&self) -> FastMap<InstanceKey, u64> {
         let mut tokens = FastMap::default();
         let mut mixed = FastSet::default();
         let mut ids = FastMap::default();
@@ -359,7 +364,7 @@
         }
         for run in &self.table.runs {
             let first = *tokens.entry(run.life).or_insert(run.token);
-            if run.phase == RunPhase::Granted || first != run.token {
+            if run.phase == AssignmentPhase::Granted || first != run.token {
                 mixed.insert(run.life);
             }
         }
--- a/goldcrestramp-assignment/src/table.rs
+++ b/goldcrestramp-assignment/src/table.rs
@@ -13,7 +13,7 @@
 /// A server that starts again under its id holds nothing of before, so the
 /// start is part of its identity.
 #[derive(Clone, Debug, Eq, Hash, PartialEq, Serialize, Deserialize)]
-pub struct ServerLife {
+pub struct ServerInstance {
     /// The server's id.
     pub id: Arc<str>,
     /// The Unix millisecond of its start.
@@ -25,7 +25,7 @@
     pub address: SocketAddr,
 }
 
-/// The place of a [`ServerLife`] in its table.
+/// The place of a [`ServerInstance`] in its table.
 #[derive(
     Clone,
     Copy,
@@ -38,11 +38,11 @@
     Serialize,
     Deserialize,
 )]
-pub struct LifeKey(pub(crate) u16);
+pub struct InstanceKey(pub(crate) u16);
 
 /// Where a run of keys stands.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
-pub enum RunPhase {
+pub enum AssignmentPhase {
     /// The holder may hold the keys.
     Granted,
     /// The keys are being taken back from the holder.
@@ -51,15 +51,15 @@
 
 /// A run of adjacent keys with its holder.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
-pub struct AssignedRun {
+pub struct AssignedRange {
     /// The keys.
     pub range: SliceRange,
     /// The server that holds them, or held them last.
-    pub life: LifeKey,
+    pub life: InstanceKey,
     /// The fencing token of the grant, or of the release.
     pub token: u64,
     /// Where the run stands.
-    pub phase: RunPhase,
+    pub phase: AssignmentPhase,
     /// What the former holder left for this one.
     pub handover: Option<Arc<str>>,
 }
@@ -83,8 +83,8 @@
 pub struct AssignmentTable {
     /// The highest token that was ever written for the service.
     pub(crate) highest_token: u64,
-    pub(crate) lives: Vec<ServerLife>,
-    pub(crate) runs: Vec<AssignedRun>,
+    pub(crate) lives: Vec<ServerInstance>,
+    pub(crate) runs: Vec<AssignedRange>,
 }
 
 impl AssignmentTable {
@@ -94,7 +94,7 @@
     /// neighbours of a busy key fall to other servers from the start.
     /// Nothing if there is no server.
     #[must_use]
-    pub fn striped(lives: &[ServerLife], stripes: u32) -> Option<Self> {
+    pub fn striped(lives: &[ServerInstance], stripes: u32) -> Option<Self> {
         let servers = u32::try_from(lives.len()).ok()?;
         let runs = servers.checked_mul(stripes).filter(|runs| *runs > 0)?;
         let total = u32::from(u16::MAX) + 1;
@@ -103,11 +103,11 @@
         let runs = (0..runs).filter_map(|run| {
             let first = u16::try_from(bound(run)).ok()?;
             let last = u16::try_from(bound(run + 1).checked_sub(1)?).ok()?;
-            Some(AssignedRun {
+            Some(AssignedRange {
                 range: SliceRange { first: first.into(), last: last.into() },
-                life: LifeKey(u16::try_from(run % servers).ok()?),
+                life: InstanceKey(u16::try_from(run % servers).ok()?),
                 token: 1,
-                phase: RunPhase::Granted,
+                phase: AssignmentPhase::Granted,
                 handover: None,
             })
         });
@@ -140,26 +140,28 @@
 
     /// The run in which a key lies.
     #[must_use]
-    pub fn find(&self, slice: SliceIndex) -> &AssignedRun {
+    pub fn find(&self, slice: SliceIndex) -> &AssignedRange {
         let next = self.runs.partition_point(|run| run.range.first <= slice);
         &self.runs[next.saturating_sub(1)]
     }
 
     /// Every run, in the order of its keys.
     #[must_use]
-    pub fn runs(&self) -> &[AssignedRun] {
+    pub fn runs(&self) -> &[AssignedRange] {
         &self.runs
     }
 
     /// Every server that holds a run, with its place.
-    pub fn lives(&self) -> impl Iterator<Item = (LifeKey, &ServerLife)> {
+    pub fn lives(
+        &self,
+    ) -> impl Iterator<Item = (InstanceKey, &ServerInstance)> {
         let keys = 0..=u16::MAX;
-        keys.map(LifeKey).zip(&self.lives)
+        keys.map(InstanceKey).zip(&self.lives)
     }
 
     /// The server at a place.
     #[must_use]
-    pub fn life(&self, key: LifeKey) -> &ServerLife {
+    pub fn life(&self, key: InstanceKey) -> &ServerInstance {
         &self.lives[usize::from(key.0)]
     }
 
--- a/goldcrestramp-assignment/tests/ownership/world.rs
+++ b/goldcrestramp-assignment/tests/ownership/world.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 
 use goldcrestramp_assignment::{
-    AssignmentTable, FormerPlanner, HolderFate, MoveWish, OrderKind,
-    OrderOutcome, PlannerTiming, ServerLife, ServerOrder, TablePlanner,
+    AssignmentTable, HolderStatus, MoveRequest, OrderKind, OrderOutcome,
+    PlannerTiming, PreviousPlanner, ServerInstance, ServerOrder, TablePlanner,
     last_grant_sent,
 };
 use goldcrestramp_types::{LocalTime, SliceIndex, SliceRange, TimeSpan};
@@ -16,7 +16,7 @@
 const LEASE: TimeSpan = TimeSpan::from_millis(2_500);
 
 /// How late a server takes an order that has come.
-const TAKEN_MOST: TimeSpan = TimeSpan::from_millis(2_000);
+const MAX_ACCEPT_DELAY: TimeSpan = TimeSpan::from_millis(2_000);
 
 const HOLD: TimeSpan = TimeSpan::from_millis(5_000);
 
@@ -141,12 +141,12 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-fn life(server: usize, started_ms: u64) -> ServerLife {
+fn life(server: usize, started_ms: u64) -> ServerInstance {
     let id = format!("server-{server}").into();
-    ServerLife { id, started_ms, address: address(server) }
+    ServerInstance { id, started_ms, address: address(server) }
 }
 
-fn number_of(life: &ServerLife) -> usize {
+fn number_of(life: &ServerInstance) -> usize {
     usize::from(life.address.port() - 9_000)
 }
 
@@ -216,9 +216,9 @@
             }
         }
         let known = if former_stops {
-            FormerPlanner::Stopped { planned_by }
+            PreviousPlanner::Stopped { planned_by }
         } else {
-            FormerPlanner::MayRenew
+            PreviousPlanner::MayRenew
         };
         let sent_until = if self.guards.waits_for_predecessor {
             last_grant_sent(now, known, PROOF_LIFE)
@@ -254,9 +254,9 @@
         let run = plan.table().find(slice).range;
         let last = u16::min(wish.saturating_add(99), run.last.get());
         let range = SliceRange { first: slice, last: last.into() };
-        let wishes: Vec<MoveWish> = listed
+        let wishes: Vec<MoveRequest> = listed
             .get(usize::from(wish) % listed.len().max(1))
-            .map(|target| MoveWish { range, target: target.clone() })
+            .map(|target| MoveRequest { range, target: target.clone() })
             .into_iter()
             .collect();
         let mut turn = usize::from(wish);
@@ -264,7 +264,7 @@
             turn += 1;
             listed.get(turn % listed.len().max(1)).cloned()
         };
-        let fate_of = |life: &ServerLife| fates(life);
+        let fate_of = |life: &ServerInstance| fates(life);
         let Some(next) = plan.plan(now, fate_of, &wishes, place) else {
             return;
         };
@@ -370,9 +370,9 @@
                 OrderOutcome::Unknown
             }
             OrderFate::TakenLate => {
-                let until = self.now + TAKEN_MOST;
+                let until = self.now + MAX_ACCEPT_DELAY;
                 server.waiting.push((order.clone(), until));
-                OrderOutcome::Silent
+                OrderOutcome::TimedOut
             }
             OrderFate::NotSent => OrderOutcome::NotSent,
         }
@@ -460,7 +460,7 @@
         self.servers[number].leaving = true;
     }
 
-    fn listed(&self) -> Vec<ServerLife> {
+    fn listed(&self) -> Vec<ServerInstance> {
         let servers = self.servers.iter().enumerate();
         servers
             .filter(|(_, server)| server.listed && !server.leaving)
@@ -468,18 +468,18 @@
             .collect()
     }
 
-    fn fates(&self) -> impl Fn(&ServerLife) -> HolderFate + use<> {
+    fn fates(&self) -> impl Fn(&ServerInstance) -> HolderStatus + use<> {
         let servers = self.servers.clone();
         let guards = self.guards;
-        move |life: &ServerLife| {
+        move |life: &ServerInstance| {
             let server = &servers[number_of(life)];
             match server.listed {
-                false => HolderFate::Missing,
+                false => HolderStatus::Missing,
                 true if server.started_ms != life.started_ms => {
                     self_restarted(guards)
                 }
-                true if server.leaving => HolderFate::Leaving,
-                true => HolderFate::Serving,
+                true if server.leaving => HolderStatus::Leaving,
+                true => HolderStatus::Serving,
             }
         }
     }
@@ -514,11 +514,11 @@
 }
 
 /// An order names a server by its id, which a restarted one bears again.
-fn self_restarted(guards: WorldGuards) -> HolderFate {
+fn self_restarted(guards: WorldGuards) -> HolderStatus {
     if guards.releases_restarted {
-        HolderFate::Leaving
+        HolderStatus::Leaving
     } else {
-        HolderFate::Ended
+        HolderStatus::Ended
     }
 }
 
--- a/goldcrestramp-assignment/tests/patch.rs
+++ b/goldcrestramp-assignment/tests/patch.rs
@@ -4,14 +4,14 @@
 use std::sync::Arc;
 
 use goldcrestramp_assignment::{
-    AssignmentTable, HolderFate, MoveWish, PlannerTiming, RunPhase,
-    ServerLife, TablePlanner,
+    AssignmentPhase, AssignmentTable, HolderStatus, MoveRequest,
+    PlannerTiming, ServerInstance, TablePlanner,
 };
 use goldcrestramp_types::{LocalTime, SliceIndex, SliceRange, TimeSpan};
 use proptest::prelude::*;
 
-fn life(number: u16) -> ServerLife {
-    ServerLife {
+fn life(number: u16) -> ServerInstance {
+    ServerInstance {
         id: format!("server-{number}").into(),
         started_ms: 1,
         address: ([127, 0, 0, 1], 9_000 + number).into(),
@@ -19,7 +19,7 @@
 }
 
 fn table(servers: u16) -> AssignmentTable {
-    let lives: Vec<ServerLife> = (0..servers).map(life).collect();
+    let lives: Vec<ServerInstance> = (0..servers).map(life).collect();
     AssignmentTable::striped(&lives, 2).expect("servers")
 }
 
@@ -30,28 +30,28 @@
     TablePlanner::open(timing, table, LocalTime::default())
 }
 
-fn wish(first: u16, keys: u16, target: u16) -> MoveWish {
+fn wish(first: u16, keys: u16, target: u16) -> MoveRequest {
     let last = first.saturating_add(keys);
     let (first, last) = (SliceIndex::from(first), SliceIndex::from(last));
-    MoveWish { range: SliceRange { first, last }, target: life(target) }
+    MoveRequest { range: SliceRange { first, last }, target: life(target) }
 }
 
 /// The table after a round of moves; nothing if none of them could begin.
 fn after(
     planner: &mut TablePlanner,
-    wishes: &[MoveWish],
+    wishes: &[MoveRequest],
     ended: Option<u16>,
 ) -> Option<AssignmentTable> {
-    let fate = |holder: &ServerLife| {
+    let fate = |holder: &ServerInstance| {
         let gone = ended.is_some_and(|number| *holder == life(number));
-        if gone { HolderFate::Ended } else { HolderFate::Serving }
+        if gone { HolderStatus::Ended } else { HolderStatus::Serving }
     };
     let now = LocalTime::default() + TimeSpan::from_millis(60_000);
     planner.plan(now, fate, wishes, |_range| Some(life(0)))
 }
 
 /// A run with its owner, token, phase and handover.
-type OwnedRun = (SliceRange, Arc<str>, u64, RunPhase, Option<Arc<str>>);
+type OwnedRun = (SliceRange, Arc<str>, u64, AssignmentPhase, Option<Arc<str>>);
 
 /// The owner of every run, whatever the numbering of lives.
 fn owners(table: &AssignmentTable) -> Vec<OwnedRun> {
@@ -81,7 +81,7 @@
         let mut planner = planner(table(6));
         let mut told = planner.table().clone();
         for (wishes, ended) in rounds {
-            let wishes: Vec<MoveWish> = wishes
+            let wishes: Vec<MoveRequest> = wishes
                 .into_iter()
                 .map(|(first, keys, target)| wish(first, keys, target))
                 .collect();
--- a/goldcrestramp-decisions/src/admission.rs
+++ b/goldcrestramp-decisions/src/admission.rs
@@ -16,7 +16,7 @@
 
 /// The place of a request in any queue it comes to wait in.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub struct QueuePlace {
+pub struct QueuePosition {
     /// The rank, 0 first.
     pub priority: u8,
     /// The order of arrival; no two requests have the same.
@@ -28,16 +28,16 @@
 /// # Example
 ///
 /// ```
-/// use goldcrestramp_decisions::{QueuePlace, AdmissionQueue};
+/// use goldcrestramp_decisions::{QueuePosition, AdmissionQueue};
 ///
 /// let mut queue = AdmissionQueue::default();
-/// queue.join(QueuePlace { priority: 2, turn: 1 }, "lookup");
-/// queue.join(QueuePlace { priority: 1, turn: 2 }, "order");
+/// queue.join(QueuePosition { priority: 2, turn: 1 }, "lookup");
+/// queue.join(QueuePosition { priority: 1, turn: 2 }, "order");
 /// assert_eq!(queue.wake(), Some("order"));
 /// ```
 #[derive(Debug)]
 pub struct AdmissionQueue<Waker> {
-    waiting: BTreeMap<QueuePlace, Waker>,
+    waiting: BTreeMap<QueuePosition, Waker>,
     /// Since when somebody has had to wait.
     since: Option<LocalTime>,
 }
@@ -50,7 +50,7 @@
 
 impl<Waker> AdmissionQueue<Waker> {
     /// Waits at a place.
-    pub fn join(&mut self, place: QueuePlace, waker: Waker) {
+    pub fn join(&mut self, place: QueuePosition, waker: Waker) {
         self.waiting.insert(place, waker);
     }
 
@@ -69,7 +69,7 @@
     }
 
     /// Leaves the queue.
-    pub fn leave(&mut self, place: QueuePlace) {
+    pub fn leave(&mut self, place: QueuePosition) {
         self.waiting.remove(&place);
     }
 
@@ -85,7 +85,7 @@
 
     /// How many wait before this place.
     #[must_use]
-    pub fn ahead_of(&self, place: QueuePlace) -> usize {
+    pub fn ahead_of(&self, place: QueuePosition) -> usize {
         self.waiting.range(..place).count()
     }
 
--- a/goldcrestramp-decisions/src/attempt/mod.rs
+++ b/goldcrestramp-decisions/src/attempt/mod.rs
@@ -38,7 +38,7 @@
 
 /// The longest answer that is kept whole: an order's is a few hundred
 /// bytes. A longer one is known to be done, without its body.
-pub const ANSWER_LIMIT: usize = 4_096;
+pub const MAX_ANSWER_BYTES: usize = 4_096;
 
 /// The bytes of a record without its body: three names and an address.
 const RECORD_BYTES: usize = 256;
@@ -284,7 +284,7 @@
         }
         let room = self.settings.answer_bytes.saturating_sub(self.kept_bytes);
         if let Some(entry) = self.entries.get_mut(id) {
-            let outcome = outcome.within(ANSWER_LIMIT.min(room));
+            let outcome = outcome.within(MAX_ANSWER_BYTES.min(room));
             self.kept_bytes += outcome.body_bytes();
             entry.outcome = Some(outcome);
             let forget_at = entry.deadline + self.settings.longest;
--- a/goldcrestramp-decisions/src/attempt_timeout.rs
+++ b/goldcrestramp-decisions/src/attempt_timeout.rs
@@ -17,7 +17,7 @@
 
 /// What the wait for an answer depends on.
 #[derive(Clone, Copy, Debug)]
-pub struct TimeoutSight {
+pub struct TimeoutInputs {
     /// The usual time of this server's answers, once it has given some.
     pub usual: Option<TimeSpan>,
     /// The time within which the route's answers are worth most.
@@ -41,21 +41,21 @@
 /// # Example
 ///
 /// ```
-/// use goldcrestramp_decisions::{TimeoutSight, attempt_timeout};
+/// use goldcrestramp_decisions::{TimeoutInputs, attempt_timeout};
 /// use goldcrestramp_types::TimeSpan;
 ///
-/// let sight = TimeoutSight {
+/// let sight = TimeoutInputs {
 ///     usual: Some(TimeSpan::from_millis(100)),
 ///     target: TimeSpan::from_millis(400),
 ///     left: TimeSpan::from_millis(900),
 ///     replaceable: true,
 /// };
 /// assert_eq!(attempt_timeout(sight), TimeSpan::from_millis(350));
-/// let alone = TimeoutSight { replaceable: false, ..sight };
+/// let alone = TimeoutInputs { replaceable: false, ..sight };
 /// assert_eq!(attempt_timeout(alone), TimeSpan::from_millis(900));
 /// ```
 #[must_use]
-pub fn attempt_timeout(sight: TimeoutSight) -> TimeSpan {
+pub fn attempt_timeout(sight: TimeoutInputs) -> TimeSpan {
     if !sight.replaceable {
         return sight.left;
     }
--- a/goldcrestramp-decisions/src/deadline.rs
+++ b/goldcrestramp-decisions/src/deadline.rs
@@ -35,7 +35,7 @@
 }
 
 /// Round trips before the way is known: one alone may have met a pause.
-const TRIPS_LEAST: u32 = 3;
+const MIN_ROUND_TRIPS: u32 = 3;
 
 /// The way is forgotten when no answer came for so long.
 ///
@@ -92,7 +92,7 @@
     /// The time of one way; zero while it is not known.
     #[must_use]
     pub fn one_way(&self, now: LocalTime) -> TimeSpan {
-        let known = self.trips >= TRIPS_LEAST;
+        let known = self.trips >= MIN_ROUND_TRIPS;
         if known && now.since(self.seen) <= TRIP_KEPT {
             return self.trip.percent(50);
         }
--- a/goldcrestramp-decisions/src/denial.rs
+++ b/goldcrestramp-decisions/src/denial.rs
@@ -22,9 +22,9 @@
 
 /// What a request does about its key's owner.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum OwnerStep {
+pub enum DenialAction {
     /// It is sent to the owner.
-    Ask,
+    Retry,
     /// It waits for another assignment.
     AwaitChange {
         /// For how long the key has been known to be without an owner.
@@ -41,14 +41,14 @@
 /// # Example
 ///
 /// ```
-/// use goldcrestramp_decisions::{OwnerDenial, OwnerStep, owner_step};
+/// use goldcrestramp_decisions::{OwnerDenial, DenialAction, owner_step};
 /// use goldcrestramp_types::LocalTime;
 ///
 /// let at = |millis: u64| LocalTime::from_micros(millis * 1_000);
 /// let denial = OwnerDenial { token: 7, denied_at: at(5_000) };
 /// let step = |token| owner_step(Some(denial), token, at(0), at(5_000));
-/// assert!(matches!(step(7), OwnerStep::AwaitChange { .. }));
-/// assert_eq!(step(8), OwnerStep::Ask);
+/// assert!(matches!(step(7), DenialAction::AwaitChange { .. }));
+/// assert_eq!(step(8), DenialAction::Retry);
 /// ```
 #[must_use]
 pub fn owner_step(
@@ -56,13 +56,13 @@
     token: u64,
     known_since: LocalTime,
     now: LocalTime,
-) -> OwnerStep {
+) -> DenialAction {
     let denial = denial.filter(|denial| denial.token == token);
     let Some(OwnerDenial { denied_at, .. }) = denial else {
-        return OwnerStep::Ask;
+        return DenialAction::Retry;
     };
     if denied_at.since(known_since) < GRANT_SETTLES {
-        return OwnerStep::Ask;
+        return DenialAction::Retry;
     }
-    OwnerStep::AwaitChange { denied_for: now.since(denied_at) }
+    DenialAction::AwaitChange { denied_for: now.since(denied_at) }
 }
--- a/goldcrestramp-decisions/src/lib.rs
+++ b/goldcrestramp-decisions/src/lib.rs
@@ -18,17 +18,17 @@
 - [`is_reader_lost`]: how long a stalled reader may hold a slot.
 - [`span_to_send`]: a deadline that crosses to another process.
 - [`choose_server`]: which server of a service that any may serve.
-- [`AnswerTimes`]: how long a server's answers usually take.
+- [`ResponseTimes`]: how long a server's answers usually take.
 - [`AdmissionQueue`]: who is next when a slot becomes free.
 - [`attempt_timeout()`]: how long an answer is waited for.
 - [`PipelineGate`]: which pipelined requests are served at once.
 - [`RateLedger`], [`RateAllowance`]: who sends to a server that names the
   rate it takes from all.
-- [`SendBudget`]: how many sends beyond the first a VM may make.
+- [`AttemptBudget`]: how many sends beyond the first a VM may make.
 - [`server_share`]: what one VM may have under way at a server.
 - [`WorkEstimate`]: how long a server works on a request.
 - [`owner_step`]: whether an owner that denied a key is asked again.
-- [`WeightedRobin`]: the parts of a divided route.
+- [`WeightedRoundRobin`]: the parts of a divided route.
 - [`rebalancing_moves`]: which runs of keys move between servers, and when.
 - [`baseline`]: two simple ways, kept to be measured against.
 */
@@ -59,45 +59,45 @@
 mod work;
 
 pub use crate::{
-    admission::{AdmissionQueue, QueuePlace},
+    admission::{AdmissionQueue, QueuePosition},
     attempt::{
-        ANSWER_LIMIT, AttemptArrival, AttemptId, AttemptMemory,
-        AttemptOutcome, AttemptRecord, AttemptSent, AttemptVerdict,
+        AttemptArrival, AttemptId, AttemptMemory, AttemptOutcome,
+        AttemptRecord, AttemptSent, AttemptVerdict, MAX_ANSWER_BYTES,
         MemorySettings, StoredAnswer,
     },
-    attempt_timeout::{TimeoutSight, attempt_timeout},
+    attempt_timeout::{TimeoutInputs, attempt_timeout},
     deadline::{TransitEstimate, span_to_send},
-    denial::{OwnerDenial, OwnerStep, owner_step},
+    denial::{DenialAction, OwnerDenial, owner_step},
     gateway::GatewayLimit,
-    limit::{LimitVerdict, OwnerAdvice, ServerLimit, ServerSign},
+    limit::{LimitVerdict, OwnerAdvice, ServerLimit, ServerSignal},
     link::{LINK_CHUNK, LinkFlow, LinkSettings, LinkShare, LinkVolume},
     load::{LoadReading, REPORTED_SLICES, ServerLoad},
     pipeline::{PipelineEffect, PipelineGate, PipelineStart},
     placement::{
-        LoadEstimate, PlaceReport, PlaceView, PlacementPlanner,
-        PlacementSettings, PlannedMove, assign_orphans, greedy_moves,
+        LoadEstimate, PlacementPlanner, PlacementSettings, PlannedMove,
+        TargetReport, TargetView, assign_orphans, greedy_moves,
         hash_placement, waiting_requests,
     },
-    pool::{PoolCandidate, PoolChoice, ServerWay, choose_server},
+    pool::{PoolCandidate, PoolChoice, ServerProximity, choose_server},
     queue::{
         CancelOutcome, CompletionOutcome, OfferOutcome, QueueEvent,
         QueueRefusal, QueueSettings, QueuedRequest, RequestKey, ServerQueue,
     },
     rate::{
-        FleetPlace, PermitGrant, PermitRequest, RateAllowance, RateLedger,
+        FleetPosition, PermitGrant, PermitRequest, RateAllowance, RateLedger,
     },
     reader::is_reader_lost,
     rebalancing::{
-        PlaceLoad, PlacedRun, RangeLoad, RangeMove, RebalanceSettings,
+        PlacedRange, RangeLoad, RangeMove, RebalanceSettings, TargetLoad,
         lightest_place, place_uses, rebalancing_moves,
     },
     retry::{
         AttemptStart, FailedAttempt, REDIRECT_LIMIT, RefusalProof, RefusedBy,
         RetryDecision, RetryPolicy,
     },
-    round_robin::WeightedRobin,
-    send_budget::{BudgetSettings, SendBudget},
+    round_robin::WeightedRoundRobin,
+    send_budget::{AttemptBudget, BudgetSettings},
     share::server_share,
-    times::AnswerTimes,
+    times::ResponseTimes,
     work::WorkEstimate,
 };
--- a/goldcrestramp-decisions/src/limit/mod.rs
+++ b/goldcrestramp-decisions/src/limit/mod.rs
@@ -43,8 +43,8 @@
 
 /// The first hold, and the longest: a restart takes seconds, and a key is
 /// to be served again within 2 s of a loss.
-const HOLD_FIRST: TimeSpan = TimeSpan::from_millis(100);
-const HOLD_MOST: TimeSpan = TimeSpan::from_millis(2_000);
+const INITIAL_SUSPENSION: TimeSpan = TimeSpan::from_millis(100);
+const MAX_SUSPENSION: TimeSpan = TimeSpan::from_millis(2_000);
 
 /// Answers for each present slot before one is added.
 const ANSWERS_PER_STEP: usize = 2;
@@ -58,7 +58,7 @@
 
 /// What the keeper saw of a server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum ServerSign {
+pub enum ServerSignal {
     /// It answered a request of this class in this time.
     Answered(RequestClass, TimeSpan),
     /// It refused to start a request.
@@ -75,9 +75,9 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LimitVerdict {
     /// So many requests at once.
-    Open(usize),
+    Allowed(usize),
     /// Nothing before this moment.
-    Held(LocalTime),
+    Suspended(LocalTime),
 }
 
 /// Where a server's keys are served best.
@@ -93,9 +93,9 @@
 #[derive(Clone, Copy, Debug)]
 enum LimitStage {
     /// It takes `limit` requests; `answers` count towards the next step.
-    Open { limit: usize, answers: usize },
+    Active { limit: usize, answers: usize },
     /// It gets nothing; `tries` probes have failed.
-    Held { until: LocalTime, tries: u32 },
+    Suspended { until: LocalTime, tries: u32 },
     /// One request is to show whether it is back.
     Probing { tries: u32 },
 }
@@ -105,18 +105,18 @@
 /// # Example
 ///
 /// ```
-/// use goldcrestramp_decisions::{LimitVerdict, ServerLimit, ServerSign};
+/// use goldcrestramp_decisions::{LimitVerdict, ServerLimit, ServerSignal};
 /// use goldcrestramp_types::LocalTime;
 ///
 /// let now = LocalTime::from_micros(0);
 /// let mut limit = ServerLimit::open(now, 4);
-/// assert_eq!(limit.verdict(now), LimitVerdict::Open(1));
+/// assert_eq!(limit.verdict(now), LimitVerdict::Allowed(1));
 /// for _ in 0..3 {
 ///     limit.started(now, goldcrestramp_types::RequestClass::Lookup);
 ///     limit.replied(now);
-///     limit.finished(now, ServerSign::Broken, 0);
+///     limit.finished(now, ServerSignal::Broken, 0);
 /// }
-/// assert!(matches!(limit.verdict(now), LimitVerdict::Held(_)));
+/// assert!(matches!(limit.verdict(now), LimitVerdict::Suspended(_)));
 /// ```
 #[derive(Clone, Debug)]
 pub struct ServerLimit {
@@ -135,7 +135,7 @@
     pub fn open(now: LocalTime, slots: usize) -> Self {
         Self {
             slots: slots.max(1),
-            stage: LimitStage::Open { limit: 1, answers: 0 },
+            stage: LimitStage::Active { limit: 1, answers: 0 },
             pace: ServerPace::new(now),
             failures: 0,
             refusals: 0,
@@ -153,7 +153,7 @@
     #[must_use]
     pub fn warm(now: LocalTime, slots: usize) -> Self {
         let limit = slots.max(1);
-        let stage = LimitStage::Open { limit, answers: 0 };
+        let stage = LimitStage::Active { limit, answers: 0 };
         Self { stage, ..Self::open(now, slots) }
     }
 
@@ -161,12 +161,12 @@
     #[must_use]
     pub fn verdict(&self, now: LocalTime) -> LimitVerdict {
         match self.stage {
-            LimitStage::Open { limit, .. } => LimitVerdict::Open(limit),
-            LimitStage::Held { until, .. } if now < until => {
-                LimitVerdict::Held(until)
+            LimitStage::Active { limit, .. } => LimitVerdict::Allowed(limit),
+            LimitStage::Suspended { until, .. } if now < until => {
+                LimitVerdict::Suspended(until)
             }
-            LimitStage::Held { .. } | LimitStage::Probing { .. } => {
-                LimitVerdict::Open(1)
+            LimitStage::Suspended { .. } | LimitStage::Probing { .. } => {
+                LimitVerdict::Allowed(1)
             }
         }
     }
@@ -186,7 +186,7 @@
 
     /// Notes that a request was sent.
     pub fn started(&mut self, now: LocalTime, class: RequestClass) {
-        if let LimitStage::Held { tries, .. } = self.stage {
+        if let LimitStage::Suspended { tries, .. } = self.stage {
             self.stage = LimitStage::Probing { tries };
         }
         self.pace.started(now, class);
@@ -210,17 +210,22 @@
     }
 
     /// Notes how a request ended; `random` spreads the next probe.
-    pub fn finished(&mut self, now: LocalTime, sign: ServerSign, random: u64) {
+    pub fn finished(
+        &mut self,
+        now: LocalTime,
+        sign: ServerSignal,
+        random: u64,
+    ) {
         match sign {
-            ServerSign::Answered(class, span) => {
+            ServerSignal::Answered(class, span) => {
                 self.pace.record(now, class, span);
                 self.answered();
             }
-            ServerSign::Refused => self.refused(now, random),
-            ServerSign::Broken | ServerSign::Unreachable => {
+            ServerSignal::Refused => self.refused(now, random),
+            ServerSignal::Broken | ServerSignal::Unreachable => {
                 self.failed(now, random);
             }
-            ServerSign::Cancelled => {}
+            ServerSignal::Cancelled => {}
         }
     }
 
@@ -247,8 +252,10 @@
     #[must_use]
     pub fn wake_at(&self, now: LocalTime) -> Option<LocalTime> {
         let held = match self.stage {
-            LimitStage::Held { until, .. } => Some(until).filter(|t| *t > now),
-            LimitStage::Open { .. } | LimitStage::Probing { .. } => None,
+            LimitStage::Suspended { until, .. } => {
+                Some(until).filter(|t| *t > now)
+            }
+            LimitStage::Active { .. } | LimitStage::Probing { .. } => None,
         };
         held.into_iter().chain(self.pace.silent_at()).min()
     }
@@ -258,22 +265,22 @@
         self.failures = 0;
         self.refusals = 0;
         self.held_since = None;
-        let LimitStage::Open { limit, answers } = self.stage else {
-            self.stage = LimitStage::Open { limit: 1, answers: 1 };
+        let LimitStage::Active { limit, answers } = self.stage else {
+            self.stage = LimitStage::Active { limit: 1, answers: 1 };
             return;
         };
         let answers = answers + 1;
         let grown = answers >= limit * ANSWERS_PER_STEP;
         self.stage = if grown && limit < self.slots {
-            LimitStage::Open { limit: limit + 1, answers: 0 }
+            LimitStage::Active { limit: limit + 1, answers: 0 }
         } else {
-            LimitStage::Open { limit, answers }
+            LimitStage::Active { limit, answers }
         };
     }
 
     /// A refusal is a sign of life, yet of too much load.
     fn refused(&mut self, now: LocalTime, random: u64) {
-        if let LimitStage::Open { limit, .. } = self.stage
+        if let LimitStage::Active { limit, .. } = self.stage
             && limit > 1
         {
             let due = now.since(self.halved_at) >= HALVE_PAUSE;
@@ -281,7 +288,7 @@
             if due {
                 self.halved_at = now;
             }
-            self.stage = LimitStage::Open { limit, answers: 0 };
+            self.stage = LimitStage::Active { limit, answers: 0 };
             return;
         }
         self.refusals += 1;
@@ -304,15 +311,17 @@
     /// Stops sending, for a time that doubles with each failed probe.
     fn hold(&mut self, now: LocalTime, random: u64) {
         let tries = match self.stage {
-            LimitStage::Open { .. } => 0,
+            LimitStage::Active { .. } => 0,
             LimitStage::Probing { tries } => tries + 1,
             // More requests of before the hold fail: no new knowledge.
-            LimitStage::Held { .. } => return,
+            LimitStage::Suspended { .. } => return,
         };
-        let doubled = HOLD_FIRST.percent(100 << tries.min(8)).min(HOLD_MOST);
+        let doubled = INITIAL_SUSPENSION
+            .percent(100 << tries.min(8))
+            .min(MAX_SUSPENSION);
         let jitter = random % (doubled.as_micros() / 4 + 1);
         let until = now + doubled + TimeSpan::from_micros(jitter);
-        self.stage = LimitStage::Held { until, tries };
+        self.stage = LimitStage::Suspended { until, tries };
         self.held_since = self.held_since.or(Some(now));
     }
 }
--- a/goldcrestramp-decisions/src/limit/pace.rs
+++ b/goldcrestramp-decisions/src/limit/pace.rs
@@ -22,8 +22,8 @@
 /// Silence of this many slot times means that a server is frozen, within
 /// these bounds.
 const SILENT_FACTOR: u64 = 10;
-const SILENT_LEAST: TimeSpan = TimeSpan::from_millis(300);
-const SILENT_MOST: TimeSpan = TimeSpan::from_millis(10_000);
+const MIN_SILENCE: TimeSpan = TimeSpan::from_millis(300);
+const MAX_SILENCE: TimeSpan = TimeSpan::from_millis(10_000);
 
 /// The pace of one class.
 #[derive(Clone, Copy, Debug, Default)]
@@ -116,9 +116,9 @@
         let [lookup, order, _] = self.classes.map(|pace| pace.recent);
         let short = lookup.max(order).saturating_mul(SILENT_FACTOR);
         let span = if self.long_runs {
-            SILENT_MOST
+            MAX_SILENCE
         } else {
-            TimeSpan::from_micros(short).clamp(SILENT_LEAST, SILENT_MOST)
+            TimeSpan::from_micros(short).clamp(MIN_SILENCE, MAX_SILENCE)
         };
         Some(self.alive_at + span)
     }
--- a/goldcrestramp-decisions/src/pipeline.rs
+++ b/goldcrestramp-decisions/src/pipeline.rs
@@ -14,7 +14,7 @@
 
 /// Requests of one connection that are served at once. Slots of servers are
 /// shared by all callers, and one connection is not to hold many of them.
-const CONCURRENT_MOST: u64 = 8;
+const MAX_CONCURRENT: u64 = 8;
 
 /// When a request of a connection is served.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -72,7 +72,7 @@
         }
         let ahead = number.saturating_sub(self.answered);
         let alone = ahead == 0 || self.answered < self.barrier;
-        if alone || ahead >= CONCURRENT_MOST {
+        if alone || ahead >= MAX_CONCURRENT {
             PipelineStart::InTurn
         } else {
             PipelineStart::Now
--- a/goldcrestramp-decisions/src/placement/assign.rs
+++ b/goldcrestramp-decisions/src/placement/assign.rs
@@ -4,7 +4,7 @@
 
 use super::{
     load::LoadEstimate,
-    view::{PlaceView, PlannedMove},
+    view::{PlannedMove, TargetView},
 };
 
 /// Spreads the slices of a place that is lost or drains over the open
@@ -16,7 +16,7 @@
 pub fn assign_orphans(
     source: usize,
     orphans: &SliceSet,
-    places: &[PlaceView],
+    places: &[TargetView],
     loads: &LoadEstimate,
 ) -> Vec<PlannedMove> {
     let mut shares: Vec<PlaceShare> = places
@@ -59,7 +59,7 @@
 }
 
 impl PlaceShare {
-    fn of(place: usize, view: &PlaceView, loads: &LoadEstimate) -> Self {
+    fn of(place: usize, view: &TargetView, loads: &LoadEstimate) -> Self {
         let slots = f64::from(view.slots.max(1));
         let used = loads.of_place(view);
         let held = u32::try_from(view.held.len()).unwrap_or(u32::MAX);
--- a/goldcrestramp-decisions/src/placement/balance.rs
+++ b/goldcrestramp-decisions/src/placement/balance.rs
@@ -6,7 +6,7 @@
     budget::MoveBudget,
     load::LoadEstimate,
     settings::PlacementSettings,
-    view::{PlaceView, PlannedMove},
+    view::{PlannedMove, TargetView},
     waiting::waiting_requests,
 };
 
@@ -40,7 +40,7 @@
     pub fn decide(
         &mut self,
         now: LocalTime,
-        places: &[PlaceView],
+        places: &[TargetView],
         loads: &LoadEstimate,
     ) -> Vec<PlannedMove> {
         self.budget.refill(now);
@@ -78,7 +78,7 @@
 /// The places' loads while moves are chosen.
 #[derive(Debug)]
 struct BalanceRound<'a> {
-    places: &'a [PlaceView],
+    places: &'a [TargetView],
     settings: &'a PlacementSettings,
     used: Vec<f64>,
     candidates: Vec<Vec<MoveCandidate>>,
@@ -87,7 +87,7 @@
 
 impl<'a> BalanceRound<'a> {
     fn new(
-        places: &'a [PlaceView],
+        places: &'a [TargetView],
         loads: &LoadEstimate,
         settings: &'a PlacementSettings,
     ) -> Self {
@@ -206,7 +206,7 @@
 /// met on one server would stay together. Slices with long work in
 /// progress stay, because the move would wait for it.
 fn candidates(
-    place: &PlaceView,
+    place: &TargetView,
     used: f64,
     loads: &LoadEstimate,
     settings: &PlacementSettings,
--- a/goldcrestramp-decisions/src/placement/baseline.rs
+++ b/goldcrestramp-decisions/src/placement/baseline.rs
@@ -4,7 +4,7 @@
 
 use super::{
     load::LoadEstimate,
-    view::{PlaceView, PlannedMove},
+    view::{PlannedMove, TargetView},
 };
 
 /// Places a slice by its number alone: rendezvous hashing, each place's
@@ -14,7 +14,7 @@
 #[must_use]
 pub fn hash_placement(
     count: SliceCount,
-    places: &[PlaceView],
+    places: &[TargetView],
 ) -> Vec<SliceSet> {
     let mut held = vec![SliceSet::new(); places.len()];
     for slice in count.indices() {
@@ -36,7 +36,7 @@
 /// Every round, with no regard to cost, rest or budget.
 #[must_use]
 pub fn greedy_moves(
-    places: &[PlaceView],
+    places: &[TargetView],
     loads: &LoadEstimate,
     limit: usize,
 ) -> Vec<PlannedMove> {
@@ -60,7 +60,7 @@
 }
 
 fn greedy_move(
-    places: &[PlaceView],
+    places: &[TargetView],
     loads: &LoadEstimate,
     used: &[f64],
     held: &[SliceSet],
--- a/goldcrestramp-decisions/src/placement/load.rs
+++ b/goldcrestramp-decisions/src/placement/load.rs
@@ -2,7 +2,7 @@
 
 use goldcrestramp_types::{LocalTime, SliceCount, SliceIndex, TimeSpan};
 
-use super::view::{PlaceReport, PlaceView};
+use super::view::{TargetReport, TargetView};
 
 /// The slots that each slice of a service has in use.
 #[derive(Clone, Debug)]
@@ -28,7 +28,7 @@
 
     /// The slots that all slices of a place have in use.
     #[must_use]
-    pub fn of_place(&self, place: &PlaceView) -> f64 {
+    pub fn of_place(&self, place: &TargetView) -> f64 {
         place.held.iter().map(|slice| self.of(slice)).sum()
     }
 
@@ -39,7 +39,7 @@
     pub fn observe<'a>(
         &mut self,
         now: LocalTime,
-        reports: impl IntoIterator<Item = (&'a PlaceView, &'a PlaceReport)>,
+        reports: impl IntoIterator<Item = (&'a TargetView, &'a TargetReport)>,
     ) {
         let weight = self.weight(now);
         for (place, report) in reports {
@@ -57,7 +57,12 @@
         1.0 - 0.5_f64.powf(passed / micros(self.half_life).max(1.0))
     }
 
-    fn take(&mut self, place: &PlaceView, report: &PlaceReport, weight: f64) {
+    fn take(
+        &mut self,
+        place: &TargetView,
+        report: &TargetReport,
+        weight: f64,
+    ) {
         let heavy: f64 = report.heavy.iter().map(|(_, load)| load).sum();
         let others = place.held.len().saturating_sub(report.heavy.len());
         let rest = (report.busy - heavy).max(0.0) / count(others).max(1.0);
--- a/goldcrestramp-decisions/src/placement/mod.rs
+++ b/goldcrestramp-decisions/src/placement/mod.rs
@@ -34,6 +34,6 @@
     baseline::{greedy_moves, hash_placement},
     load::LoadEstimate,
     settings::PlacementSettings,
-    view::{PlaceReport, PlaceView, PlannedMove},
+    view::{PlannedMove, TargetReport, TargetView},
     waiting::waiting_requests,
 };
--- a/goldcrestramp-decisions/src/placement/view.rs
+++ b/goldcrestramp-decisions/src/placement/view.rs
@@ -4,7 +4,7 @@
 
 /// A server, or a failure domain, that can hold slices of a service.
 #[derive(Clone, Debug, Default)]
-pub struct PlaceView {
+pub struct TargetView {
     /// How many requests it runs at once.
     pub slots: u32,
     /// Whether it may be given slices: the rules let it, it is reachable
@@ -20,7 +20,7 @@
 
 /// What a place reports of its load.
 #[derive(Clone, Debug, Default)]
-pub struct PlaceReport {
+pub struct TargetReport {
     /// The slots in use, averaged over the report's interval.
     pub busy: f64,
     /// The slots in use by its heaviest slices; the rest is spread evenly
--- a/goldcrestramp-decisions/src/pool.rs
+++ b/goldcrestramp-decisions/src/pool.rs
@@ -14,23 +14,23 @@
 
 /// How far away a server is.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub enum ServerWay {
+pub enum ServerProximity {
     /// In the same failure domain.
-    Domain,
+    SameDomain,
     /// In another failure domain of the region.
-    Region,
+    SameRegion,
     /// In another region.
-    Far,
+    Remote,
 }
 
-impl ServerWay {
+impl ServerProximity {
     /// What a request loses by the way alone: the round trip, and for the
     /// neighbour a little, so that a tie is served near.
     const fn base(self) -> TimeSpan {
         match self {
-            Self::Domain => TimeSpan::ZERO,
-            Self::Region => TimeSpan::from_millis(4),
-            Self::Far => TimeSpan::from_millis(30),
+            Self::SameDomain => TimeSpan::ZERO,
+            Self::SameRegion => TimeSpan::from_millis(4),
+            Self::Remote => TimeSpan::from_millis(30),
         }
     }
 
@@ -41,9 +41,9 @@
     /// can answer.
     const fn volume(self, bytes: u64) -> TimeSpan {
         let micros_per_kilobyte = match self {
-            Self::Domain => 0,
-            Self::Region => 2_500,
-            Self::Far => 8_000,
+            Self::SameDomain => 0,
+            Self::SameRegion => 2_500,
+            Self::Remote => 8_000,
         };
         TimeSpan::from_micros(bytes * micros_per_kilobyte / 1_000)
     }
@@ -59,7 +59,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct PoolCandidate {
     /// How far away it is.
-    pub way: ServerWay,
+    pub way: ServerProximity,
     /// What may be under way there at once, by this VM.
     pub limit: usize,
     /// What is under way there, by this VM; more than the limit if
@@ -87,17 +87,17 @@
 ///
 /// ```
 /// use goldcrestramp_decisions::{
-///     PoolCandidate, PoolChoice, ServerWay, choose_server,
+///     PoolCandidate, PoolChoice, ServerProximity, choose_server,
 /// };
 /// use goldcrestramp_types::TimeSpan;
 ///
 /// let near = PoolCandidate {
-///     way: ServerWay::Domain,
+///     way: ServerProximity::SameDomain,
 ///     limit: 4,
 ///     in_flight: 3,
 ///     latency: TimeSpan::from_millis(100),
 /// };
-/// let next = PoolCandidate { way: ServerWay::Region, in_flight: 0, ..near };
+/// let next = PoolCandidate { way: ServerProximity::SameRegion, in_flight: 0, ..near };
 /// let left = TimeSpan::from_millis(1_000);
 /// let choice = choose_server(&[near, next], left, 1_500);
 /// assert_eq!(choice, PoolChoice::Send(1));
--- a/goldcrestramp-decisions/src/queue/admission.rs
+++ b/goldcrestramp-decisions/src/queue/admission.rs
@@ -41,8 +41,8 @@
 pub(crate) const CALLER_MINIMUM: usize = 2;
 
 /// A refused caller is told at least and at most this.
-const RETRY_LEAST: TimeSpan = TimeSpan::from_millis(10);
-const RETRY_MOST: TimeSpan = TimeSpan::from_millis(30_000);
+const MIN_RETRY_AFTER: TimeSpan = TimeSpan::from_millis(10);
+const MAX_RETRY_AFTER: TimeSpan = TimeSpan::from_millis(30_000);
 
 /// What is known of a request's place when it arrives.
 #[derive(Clone, Copy, Debug)]
@@ -106,8 +106,8 @@
         reason: NotRunReason,
         random: u64,
     ) -> QueueRefusal {
-        let least = self.wait.max(self.service).max(RETRY_LEAST);
-        let least = least.min(RETRY_MOST).as_micros();
+        let least = self.wait.max(self.service).max(MIN_RETRY_AFTER);
+        let least = least.min(MAX_RETRY_AFTER).as_micros();
         let jitter = random % (least + 1);
         let retry_after = TimeSpan::from_micros(least + jitter);
         QueueRefusal { reason, retry_after }
--- a/goldcrestramp-decisions/src/queue/slots.rs
+++ b/goldcrestramp-decisions/src/queue/slots.rs
@@ -46,11 +46,11 @@
     /// Takes what may be sent to the server; what runs goes on.
     pub(crate) const fn set_limit(&mut self, verdict: LimitVerdict) {
         match verdict {
-            LimitVerdict::Open(slots) => {
+            LimitVerdict::Allowed(slots) => {
                 self.slots = slots;
                 self.held_until = None;
             }
-            LimitVerdict::Held(until) => self.held_until = Some(until),
+            LimitVerdict::Suspended(until) => self.held_until = Some(until),
         }
     }
 
--- a/goldcrestramp-decisions/src/queueing.rs
+++ b/goldcrestramp-decisions/src/queueing.rs
@@ -9,7 +9,7 @@
 /// Above this use requests are nearly late, and a little more load is what
 /// is lost. There every server counts alike: what one more request costs
 /// grows by this many seconds for each use of all slots.
-const USED_MOST: f32 = 0.8;
+const HIGH_UTILIZATION: f32 = 0.8;
 const OVERLOAD_GROWTH: f32 = 10.0;
 
 /// A mild preference for the server that is used less, so that idle servers
@@ -69,28 +69,28 @@
     /// moment, at a use that may be above 1.
     pub(crate) fn cost(self, used: f32) -> f32 {
         let slots = slot_count(self.slots);
-        let inner = used.min(USED_MOST);
+        let inner = used.min(HIGH_UTILIZATION);
         let over = used - inner;
         let shared = SHARING * slots * inner * inner / 2.0;
         let rate = slots / self.work_s;
         slots * inner
             + shared
             + waiting_at(inner, slots)
-            + rate * over * self.inner_marginal(USED_MOST)
+            + rate * over * self.inner_marginal(HIGH_UTILIZATION)
             + rate * OVERLOAD_GROWTH * over * over / 2.0
     }
 
     /// What one more request costs all callers, in seconds.
     pub(crate) fn marginal(self, used: f32) -> f32 {
-        let inner = used.min(USED_MOST);
+        let inner = used.min(HIGH_UTILIZATION);
         self.inner_marginal(inner) + OVERLOAD_GROWTH * (used - inner)
     }
 
     /// The use at which one more request costs so many seconds.
     pub(crate) fn use_at(self, marginal: f32) -> f32 {
         /// Far above what anybody is given on purpose.
-        const USE_MOST: f32 = 4.0;
-        bisect(USE_MOST, |used| self.marginal(used) < marginal)
+        const MAX_UTILIZATION: f32 = 4.0;
+        bisect(MAX_UTILIZATION, |used| self.marginal(used) < marginal)
     }
 
     fn inner_marginal(self, used: f32) -> f32 {
--- a/goldcrestramp-decisions/src/rate.rs
+++ b/goldcrestramp-decisions/src/rate.rs
@@ -35,19 +35,19 @@
 /// While nothing is heard of the issuer, each VM may save one request up and
 /// send it when the others do. So only this many VMs send, and as many more as
 /// the server takes requests in this time.
-const SENDERS_LEAST: f64 = 4.0;
+const MIN_SENDERS: f64 = 4.0;
 const SENDERS_S: f64 = 2.0;
 
 /// A VM among those that send to a server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct FleetPlace {
+pub struct FleetPosition {
     /// The VMs that are known.
     pub vms: usize,
     /// How many of them come before it in an order that all agree on.
     pub rank: usize,
 }
 
-impl FleetPlace {
+impl FleetPosition {
     /// The requests a second that it sends without an issuer.
     fn own_rate(self, per_s: f64) -> f64 {
         #[expect(
@@ -55,7 +55,7 @@
             clippy::cast_sign_loss,
             reason = "bounded by the fleet"
         )]
-        let senders = (SENDERS_LEAST + SENDERS_S * per_s) as usize;
+        let senders = (MIN_SENDERS + SENDERS_S * per_s) as usize;
         let senders = senders.min(self.vms.max(1));
         if self.rank >= senders {
             return 0.0;
@@ -203,11 +203,11 @@
 /// # Example
 ///
 /// ```
-/// use goldcrestramp_decisions::{FleetPlace, PermitGrant, RateAllowance};
+/// use goldcrestramp_decisions::{FleetPosition, PermitGrant, RateAllowance};
 /// use goldcrestramp_types::LocalTime;
 ///
 /// let now = LocalTime::from_micros(0);
-/// let place = FleetPlace { vms: 10, rank: 3 };
+/// let place = FleetPosition { vms: 10, rank: 3 };
 /// let mut allowance = RateAllowance::default();
 /// assert!(allowance.has_permit(now, place));
 /// allowance.stated(now, Some(3.0));
@@ -286,7 +286,11 @@
     }
 
     /// Whether a request may be sent now.
-    pub fn has_permit(&mut self, now: LocalTime, place: FleetPlace) -> bool {
+    pub fn has_permit(
+        &mut self,
+        now: LocalTime,
+        place: FleetPosition,
+    ) -> bool {
         let Some(per_s) = self.per_s else { return true };
         while self.permits.front().is_some_and(|lapses| *lapses <= now) {
             self.permits.pop_front();
@@ -303,7 +307,7 @@
     }
 
     /// Uses a permit for a send, if there is one.
-    pub fn take(&mut self, now: LocalTime, place: FleetPlace) -> bool {
+    pub fn take(&mut self, now: LocalTime, place: FleetPosition) -> bool {
         if !self.has_permit(now, place) {
             return false;
         }
--- a/goldcrestramp-decisions/src/rebalancing/mod.rs
+++ b/goldcrestramp-decisions/src/rebalancing/mod.rs
@@ -21,16 +21,16 @@
 
 pub use self::{
     load::RangeLoad,
-    place::{PlaceLoad, PlacedRun, lightest_place, place_uses},
+    place::{PlacedRange, TargetLoad, lightest_place, place_uses},
 };
 
 /// A dense part is moved if it has this part of what is to move; a run
 /// that has more is moved whole before.
-const DENSE_LEAST: f32 = 0.5;
+const MIN_DENSE_FRACTION: f32 = 0.5;
 
 /// Of a whole run the dense part alone is moved if it has this part of the
 /// run's load: the cold rest stays.
-const TRIMMED_LEAST: f32 = 0.8;
+const MIN_TRIMMED_FRACTION: f32 = 0.8;
 
 /// A move has to carry this part of what should move, or callers of these
 /// keys wait for nothing.
@@ -52,15 +52,15 @@
 
 /// What a move has to save at the least, in requests that wait at any
 /// moment: less is within the noise of what a second counts.
-const GAIN_LEAST: f32 = 0.7;
+const MIN_GAIN: f32 = 0.7;
 
 /// One move a round for so many servers, but no fewer than the second
 /// figure.
 const SERVERS_A_MOVE: usize = 16;
-const MOVES_LEAST: usize = 12;
+const MIN_MOVES: usize = 12;
 
 /// Runs of a service: each is a grant that is renewed on its own.
-const RUNS_MOST: usize = 600;
+const MAX_RANGES: usize = 600;
 
 /// The figures that decide when keys move.
 #[derive(Clone, Copy, Debug)]
@@ -84,8 +84,8 @@
     #[must_use]
     pub const fn for_servers(servers: usize) -> Self {
         let part = servers / SERVERS_A_MOVE;
-        let moves = if part > MOVES_LEAST { part } else { MOVES_LEAST };
-        Self { gain_least: GAIN_LEAST, moves, runs_most: RUNS_MOST }
+        let moves = if part > MIN_MOVES { part } else { MIN_MOVES };
+        Self { gain_least: MIN_GAIN, moves, runs_most: MAX_RANGES }
     }
 }
 
@@ -101,8 +101,8 @@
 /// The moves to begin now, most useful first.
 #[must_use]
 pub fn rebalancing_moves(
-    runs: &[PlacedRun],
-    places: &[PlaceLoad],
+    runs: &[PlacedRange],
+    places: &[TargetLoad],
     load: &RangeLoad,
     settings: &RebalanceSettings,
 ) -> Vec<RangeMove> {
@@ -117,8 +117,8 @@
 
 /// The loads while moves are chosen.
 struct RebalanceRound<'a> {
-    runs: Vec<PlacedRun>,
-    places: &'a [PlaceLoad],
+    runs: Vec<PlacedRange>,
+    places: &'a [TargetLoad],
     load: &'a RangeLoad,
     settings: &'a RebalanceSettings,
     uses: Vec<f32>,
@@ -134,8 +134,8 @@
 
 impl<'a> RebalanceRound<'a> {
     fn new(
-        runs: &[PlacedRun],
-        places: &'a [PlaceLoad],
+        runs: &[PlacedRange],
+        places: &'a [TargetLoad],
         load: &'a RangeLoad,
         settings: &'a RebalanceSettings,
     ) -> Self {
@@ -295,8 +295,9 @@
         let mut parts = Vec::new();
         if room {
             let dense = self.load.part(range, wanted);
-            let enough =
-                |part: &SliceRange| self.load.of(*part) > wanted * DENSE_LEAST;
+            let enough = |part: &SliceRange| {
+                self.load.of(*part) > wanted * MIN_DENSE_FRACTION
+            };
             parts.extend(dense.filter(enough).map(|part| (busiest, part)));
             parts.extend(
                 self.load.hot_key(range, wanted).map(|part| (busiest, part)),
@@ -317,10 +318,9 @@
     /// load.
     fn trimmed(&self, position: usize, rate: f32, room: bool) -> SliceRange {
         let range = self.runs[position].range;
-        let dense = self
-            .load
-            .part(range, rate * 2.0)
-            .filter(|part| room && self.load.of(*part) > rate * TRIMMED_LEAST);
+        let dense = self.load.part(range, rate * 2.0).filter(|part| {
+            room && self.load.of(*part) > rate * MIN_TRIMMED_FRACTION
+        });
         dense.unwrap_or(range)
     }
 
@@ -328,18 +328,18 @@
     fn cut(&mut self, position: usize, range: SliceRange, target: usize) {
         let whole = self.runs[position];
         self.runs[position] =
-            PlacedRun { range, place: target, movable: false };
+            PlacedRange { range, place: target, movable: false };
         if whole.range.first < range.first {
             let last = SliceIndex::from(range.first.get() - 1);
             let first = whole.range.first;
             let range = SliceRange { first, last };
-            self.runs.push(PlacedRun { range, ..whole });
+            self.runs.push(PlacedRange { range, ..whole });
         }
         if range.last < whole.range.last {
             let first = SliceIndex::from(range.last.get() + 1);
             let last = whole.range.last;
             let range = SliceRange { first, last };
-            self.runs.push(PlacedRun { range, ..whole });
+            self.runs.push(PlacedRange { range, ..whole });
         }
     }
 }
--- a/goldcrestramp-decisions/src/rebalancing/place.rs
+++ b/goldcrestramp-decisions/src/rebalancing/place.rs
@@ -9,7 +9,7 @@
 
 /// A server that may hold keys.
 #[derive(Clone, Copy, Debug)]
-pub struct PlaceLoad {
+pub struct TargetLoad {
     /// The requests that it runs at once.
     pub slots: u32,
     /// Its work on a request, in seconds.
@@ -20,7 +20,7 @@
 
 /// A run of keys with the position of its holder.
 #[derive(Clone, Copy, Debug)]
-pub struct PlacedRun {
+pub struct PlacedRange {
     /// The keys.
     pub range: SliceRange,
     /// The holder's position among the places.
@@ -32,8 +32,8 @@
 /// The use of each place: slots busy for each slot it has.
 #[must_use]
 pub fn place_uses(
-    runs: &[PlacedRun],
-    places: &[PlaceLoad],
+    runs: &[PlacedRange],
+    places: &[TargetLoad],
     load: &RangeLoad,
 ) -> Vec<f32> {
     let mut uses = vec![0.0; places.len()];
@@ -43,7 +43,7 @@
     uses
 }
 
-impl PlaceLoad {
+impl TargetLoad {
     /// The use that so many requests a second make.
     pub(super) fn use_by(&self, rate: f32) -> f32 {
         rate * self.work_s / slot_count(self.slots)
@@ -66,8 +66,8 @@
 /// `given` counts what was placed in this round already.
 #[must_use]
 pub fn lightest_place(
-    runs: &[PlacedRun],
-    places: &[PlaceLoad],
+    runs: &[PlacedRange],
+    places: &[TargetLoad],
     load: &RangeLoad,
     given: &mut Vec<(usize, f32)>,
     range: SliceRange,
@@ -90,14 +90,14 @@
 
 /// What one more request costs at each place if all of them are used so
 /// that it costs the same everywhere, in seconds.
-pub(super) fn common_level(places: &[PlaceLoad], uses: &[f32]) -> f32 {
+pub(super) fn common_level(places: &[TargetLoad], uses: &[f32]) -> f32 {
     /// More than a request costs at a server that is asked for thrice what
     /// it can do.
-    const LEVEL_MOST: f32 = 32.0;
+    const MAX_LEVEL: f32 = 32.0;
     let rates = places.iter().zip(uses);
     let asked: f32 = rates.map(|(place, used)| place.rate_by(*used)).sum();
     let open = || places.iter().filter(|place| place.open);
-    bisect(LEVEL_MOST, |level| {
+    bisect(MAX_LEVEL, |level| {
         let served =
             open().map(|place| place.rate_by(place.delay().use_at(level)));
         served.sum::<f32>() < asked
--- a/goldcrestramp-decisions/src/round_robin.rs
+++ b/goldcrestramp-decisions/src/round_robin.rs
@@ -10,9 +10,9 @@
 /// # Example
 ///
 /// ```
-/// use goldcrestramp_decisions::WeightedRobin;
+/// use goldcrestramp_decisions::WeightedRoundRobin;
 ///
-/// let mut robin = WeightedRobin::default();
+/// let mut robin = WeightedRoundRobin::default();
 /// let mut first = 0;
 /// for _ in 0..100 {
 ///     first += u32::from(robin.next(&[90, 10]) == Some(0));
@@ -20,11 +20,11 @@
 /// assert_eq!(first, 90);
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct WeightedRobin {
+pub struct WeightedRoundRobin {
     credits: Vec<i64>,
 }
 
-impl WeightedRobin {
+impl WeightedRoundRobin {
     /// The target of the next request; nothing if no weight is above 0.
     pub fn next(&mut self, weights: &[u32]) -> Option<usize> {
         let total: i64 = weights.iter().copied().map(i64::from).sum();
--- a/goldcrestramp-decisions/src/send_budget.rs
+++ b/goldcrestramp-decisions/src/send_budget.rs
@@ -50,25 +50,25 @@
 /// # Example
 ///
 /// ```
-/// use goldcrestramp_decisions::{SendBudget, BudgetSettings};
+/// use goldcrestramp_decisions::{AttemptBudget, BudgetSettings};
 /// use goldcrestramp_types::{LocalTime, TimeSpan};
 ///
 /// let span = TimeSpan::from_millis(10_000);
 /// let settings = BudgetSettings { span, per_mille: 200, extra: 60 };
-/// let mut budget = SendBudget::new(settings);
+/// let mut budget = AttemptBudget::new(settings);
 /// let now = LocalTime::from_micros(0);
 /// let granted = (0..100).filter(|_| budget.take(now, 10)).count();
 /// assert_eq!(granted, 4);
 /// ```
 #[derive(Clone, Debug)]
-pub struct SendBudget {
+pub struct AttemptBudget {
     settings: BudgetSettings,
     steps: VecDeque<WindowStep>,
     /// When a whole part of the constant may first be taken.
     share_from: LocalTime,
 }
 
-impl SendBudget {
+impl AttemptBudget {
     /// A budget of which nothing was used.
     #[must_use]
     pub fn new(settings: BudgetSettings) -> Self {
--- a/goldcrestramp-decisions/src/times.rs
+++ b/goldcrestramp-decisions/src/times.rs
@@ -23,24 +23,24 @@
 /// ```
 /// use std::sync::Arc;
 ///
-/// use goldcrestramp_decisions::AnswerTimes;
+/// use goldcrestramp_decisions::ResponseTimes;
 /// use goldcrestramp_types::TimeSpan;
 ///
-/// let mut times = AnswerTimes::default();
+/// let mut times = ResponseTimes::default();
 /// let (list, check) = (Arc::from("list"), Arc::from("check"));
 /// times.note(&list, TimeSpan::from_millis(50));
 /// times.note(&check, TimeSpan::from_millis(300));
 /// assert_eq!(times.of(&check), Some(TimeSpan::from_millis(300)));
-/// let other = AnswerTimes::default();
+/// let other = ResponseTimes::default();
 /// assert_eq!(other.expected("check", &times), TimeSpan::from_millis(300));
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct AnswerTimes {
+pub struct ResponseTimes {
     any: Option<TimeSpan>,
     routes: FastMap<Arc<str>, TimeSpan>,
 }
 
-impl AnswerTimes {
+impl ResponseTimes {
     /// Takes the time of an answer on a route.
     pub fn note(&mut self, route: &Arc<str>, span: TimeSpan) {
         self.any = Some(blend(self.mean(), span));
--- a/goldcrestramp-decisions/src/work.rs
+++ b/goldcrestramp-decisions/src/work.rs
@@ -22,7 +22,7 @@
 
 /// Answers before the work is told: the time of single requests differs by
 /// half and more.
-const ANSWERS_LEAST: f32 = 6.0;
+const MIN_RESPONSES: f32 = 6.0;
 
 /// What was seen of one server's answers.
 ///
@@ -90,7 +90,7 @@
     /// The seconds of work of a request, if enough were answered.
     #[must_use]
     pub fn seconds(&self, slots: u32) -> Option<f32> {
-        if self.answers < ANSWERS_LEAST || self.span <= 0.0 {
+        if self.answers < MIN_RESPONSES || self.span <= 0.0 {
             return None;
         }
         let rate = self.answers / self.span;
--- a/goldcrestramp-decisions/tests/attempt.rs
+++ b/goldcrestramp-decisions/tests/attempt.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use goldcrestramp_decisions::{
-    ANSWER_LIMIT, AttemptArrival, AttemptId, AttemptMemory, AttemptOutcome,
-    AttemptVerdict, MemorySettings, StoredAnswer,
+    AttemptArrival, AttemptId, AttemptMemory, AttemptOutcome, AttemptVerdict,
+    MAX_ANSWER_BYTES, MemorySettings, StoredAnswer,
 };
 use goldcrestramp_types::{
     CallerName, LocalTime, NotRunReason, RequestName, SliceIndex, TimeSpan,
@@ -30,7 +30,7 @@
 fn memory_since(millis: u64) -> AttemptMemory {
     let settings = MemorySettings {
         id_limit: 10,
-        answer_bytes: 2 * ANSWER_LIMIT,
+        answer_bytes: 2 * MAX_ANSWER_BYTES,
         longest: LONGEST,
     };
     let mut memory = AttemptMemory::open(settings);
@@ -260,7 +260,7 @@
     let mut memory = memory();
     for (name, now) in [("a", 0), ("b", 0), ("c", 0), ("d", 40_000)] {
         begin(&mut memory, now, name, now + 100, false);
-        memory.finish(&id(name), done(ANSWER_LIMIT));
+        memory.finish(&id(name), done(MAX_ANSWER_BYTES));
         let known = begin(&mut memory, now, name, now + 100, true);
         let AttemptVerdict::Known(AttemptOutcome::Done(answer)) = known else {
             panic!("{known:?}");
@@ -273,7 +273,7 @@
 fn a_long_answer_is_known_without_its_body() {
     let mut memory = memory();
     begin(&mut memory, 0, "a", 10_000, false);
-    memory.finish(&id("a"), done(ANSWER_LIMIT + 1));
+    memory.finish(&id("a"), done(MAX_ANSWER_BYTES + 1));
     let content_type = Arc::from("text/plain");
     let answer = StoredAnswer { status: 201, content_type, body: None };
     let expected = AttemptVerdict::Known(AttemptOutcome::Done(answer));
--- a/goldcrestramp-decisions/tests/direct.rs
+++ b/goldcrestramp-decisions/tests/direct.rs
@@ -3,10 +3,10 @@
 use std::sync::Arc;
 
 use goldcrestramp_decisions::{
-    AdmissionQueue, AnswerTimes, BudgetSettings, PlaceLoad, PlacedRun,
-    PoolCandidate, PoolChoice, QueuePlace, RangeLoad, RebalanceSettings,
-    SendBudget, ServerWay, TimeoutSight, WeightedRobin, attempt_timeout,
-    choose_server, place_uses, rebalancing_moves,
+    AdmissionQueue, AttemptBudget, BudgetSettings, PlacedRange, PoolCandidate,
+    PoolChoice, QueuePosition, RangeLoad, RebalanceSettings, ResponseTimes,
+    ServerProximity, TargetLoad, TimeoutInputs, WeightedRoundRobin,
+    attempt_timeout, choose_server, place_uses, rebalancing_moves,
 };
 use goldcrestramp_types::{LocalTime, SliceIndex, SliceRange, TimeSpan};
 
@@ -16,15 +16,20 @@
     LocalTime::from_micros(0) + TimeSpan::from_millis(millis)
 }
 
-fn candidate(way: ServerWay, in_flight: usize, millis: u64) -> PoolCandidate {
+fn candidate(
+    way: ServerProximity,
+    in_flight: usize,
+    millis: u64,
+) -> PoolCandidate {
     let latency = TimeSpan::from_millis(millis);
     PoolCandidate { way, limit: 4, in_flight, latency }
 }
 
 #[test]
 fn a_faster_server_is_preferred_until_it_is_busier() {
-    let slow = candidate(ServerWay::Domain, 0, 160);
-    let fast = |in_flight| candidate(ServerWay::Domain, in_flight, 80);
+    let slow = candidate(ServerProximity::SameDomain, 0, 160);
+    let fast =
+        |in_flight| candidate(ServerProximity::SameDomain, in_flight, 80);
     let choose = |a, b| choose_server(&[a, b], SECOND, 1_000);
 
     assert_eq!(choose(slow, fast(0)), PoolChoice::Send(1));
@@ -38,8 +43,8 @@
 /// by the kilobyte. An order of 3 kB goes next door.
 #[test]
 fn large_answers_stay_near_and_small_ones_go_next_door() {
-    let near = candidate(ServerWay::Domain, 3, 100);
-    let next = candidate(ServerWay::Region, 0, 100);
+    let near = candidate(ServerProximity::SameDomain, 3, 100);
+    let next = candidate(ServerProximity::SameRegion, 0, 100);
     let choose = |bytes| choose_server(&[near, next], SECOND, bytes);
 
     assert_eq!(choose(90_000), PoolChoice::Send(0));
@@ -49,9 +54,11 @@
 /// Nobody near takes requests at all: the far server is better than none.
 #[test]
 fn a_far_server_serves_when_no_other_can() {
-    let held =
-        PoolCandidate { limit: 0, ..candidate(ServerWay::Domain, 0, 100) };
-    let far = candidate(ServerWay::Far, 0, 100);
+    let held = PoolCandidate {
+        limit: 0,
+        ..candidate(ServerProximity::SameDomain, 0, 100)
+    };
+    let far = candidate(ServerProximity::Remote, 0, 100);
 
     let choice = choose_server(&[held, far], SECOND, 90_000);
 
@@ -60,7 +67,7 @@
 
 #[test]
 fn what_no_server_can_answer_in_time_is_known_at_once() {
-    let slow = candidate(ServerWay::Domain, 0, 400);
+    let slow = candidate(ServerProximity::SameDomain, 0, 400);
     let left = TimeSpan::from_millis(300);
 
     assert_eq!(choose_server(&[slow], left, 1), PoolChoice::TooLate);
@@ -74,7 +81,7 @@
     const VMS: usize = 10;
     let span = TimeSpan::from_millis(10_000);
     let settings = BudgetSettings { span, per_mille: 200, extra: 60 };
-    let mut windows = vec![SendBudget::new(settings); VMS];
+    let mut windows = vec![AttemptBudget::new(settings); VMS];
     let mut sent = Vec::new();
     let mut asked = Vec::new();
     for millis in (0..60_000).step_by(10) {
@@ -105,7 +112,7 @@
     const END_MS: u64 = 40_000;
     let span = TimeSpan::from_millis(WINDOW_MS);
     let settings = BudgetSettings { span, per_mille: 200, extra: 222 };
-    let fresh = SendBudget::new(settings).started(at(0));
+    let fresh = AttemptBudget::new(settings).started(at(0));
     let mut windows = vec![fresh; VMS];
     let mut sent = Vec::new();
     let mut asked = Vec::new();
@@ -151,8 +158,8 @@
     assert!(sent <= allowed, "{sent} repeats, {allowed} allowed");
 }
 
-fn timeout_sight() -> TimeoutSight {
-    TimeoutSight {
+fn timeout_sight() -> TimeoutInputs {
+    TimeoutInputs {
         usual: Some(TimeSpan::from_millis(250)),
         target: TimeSpan::from_millis(1_200),
         left: TimeSpan::from_millis(3_000),
@@ -165,7 +172,7 @@
 /// budget, answered as a failure while its server is at work.
 #[test]
 fn a_server_that_has_not_answered_yet_gets_the_time_of_its_route() {
-    let sight = TimeoutSight { usual: None, ..timeout_sight() };
+    let sight = TimeoutInputs { usual: None, ..timeout_sight() };
 
     assert_eq!(attempt_timeout(sight), TimeSpan::from_millis(1_200));
 }
@@ -174,7 +181,7 @@
 /// only one that can come.
 #[test]
 fn work_that_can_t_be_replaced_is_waited_for_to_the_end() {
-    let sight = TimeoutSight { replaceable: false, ..timeout_sight() };
+    let sight = TimeoutInputs { replaceable: false, ..timeout_sight() };
 
     assert_eq!(attempt_timeout(sight), TimeSpan::from_millis(3_000));
 }
@@ -184,7 +191,7 @@
 #[test]
 fn a_silent_server_is_left_after_a_few_usual_times() {
     let late =
-        TimeoutSight { left: TimeSpan::from_millis(300), ..timeout_sight() };
+        TimeoutInputs { left: TimeSpan::from_millis(300), ..timeout_sight() };
 
     assert_eq!(attempt_timeout(timeout_sight()), TimeSpan::from_millis(875));
     assert_eq!(attempt_timeout(late), TimeSpan::from_millis(300));
@@ -197,14 +204,14 @@
 #[test]
 fn long_work_among_short_is_waited_for_by_its_own_time() {
     let (lookup, check) = (Arc::from("lookup"), Arc::from("check"));
-    let mut times = AnswerTimes::default();
+    let mut times = ResponseTimes::default();
     for turn in 0..200 {
         let long = turn % 10 == 0;
         let (route, millis) = if long { (&check, 300) } else { (&lookup, 50) };
         times.note(route, TimeSpan::from_millis(millis));
     }
     let wait = |route: &str| {
-        attempt_timeout(TimeoutSight {
+        attempt_timeout(TimeoutInputs {
             usual: times.of(route),
             ..timeout_sight()
         })
@@ -213,7 +220,7 @@
     assert!(wait("check") > TimeSpan::from_millis(900));
     assert!(wait("lookup") <= TimeSpan::from_millis(250));
     let together =
-        TimeoutSight { usual: Some(times.mean()), ..timeout_sight() };
+        TimeoutInputs { usual: Some(times.mean()), ..timeout_sight() };
     assert!(attempt_timeout(together) < TimeSpan::from_millis(400));
 }
 
@@ -222,7 +229,7 @@
 fn looking_at_the_budget_uses_nothing_of_it() {
     let span = TimeSpan::from_millis(10_000);
     let settings = BudgetSettings { span, per_mille: 200, extra: 10 };
-    let mut window = SendBudget::new(settings);
+    let mut window = AttemptBudget::new(settings);
     let looks = (0..50).filter(|_| window.has_room(at(0), 1)).count();
     let taken = (0..50).filter(|_| window.take(at(0), 1)).count();
 
@@ -232,7 +239,7 @@
 
 #[test]
 fn turns_keep_to_weights_after_any_number_of_requests() {
-    let mut turns = WeightedRobin::default();
+    let mut turns = WeightedRoundRobin::default();
     let weights = [70, 25, 5, 0];
     let mut counts = [0_u32; 4];
     for request in 1..=500_u32 {
@@ -250,8 +257,8 @@
 #[test]
 fn rank_goes_before_arrival_and_a_place_is_kept() {
     let mut line = AdmissionQueue::default();
-    let low = QueuePlace { priority: 2, turn: 1 };
-    let high = QueuePlace { priority: 1, turn: 2 };
+    let low = QueuePosition { priority: 2, turn: 1 };
+    let high = QueuePosition { priority: 1, turn: 2 };
     line.join(low, "low");
     line.join(high, "high");
 
@@ -266,12 +273,12 @@
 
 const SETTINGS: RebalanceSettings = RebalanceSettings::for_servers(20);
 
-fn places(servers: usize) -> Vec<PlaceLoad> {
-    vec![PlaceLoad { slots: 2, work_s: 0.1, open: true }; servers]
+fn places(servers: usize) -> Vec<TargetLoad> {
+    vec![TargetLoad { slots: 2, work_s: 0.1, open: true }; servers]
 }
 
 /// One run a server, in order.
-fn even_runs(servers: u16) -> Vec<PlacedRun> {
+fn even_runs(servers: u16) -> Vec<PlacedRange> {
     let size = u16::MAX / servers;
     (0..servers)
         .map(|place| {
@@ -279,13 +286,13 @@
             let last =
                 if place + 1 == servers { u16::MAX } else { first + size - 1 };
             let range = SliceRange { first: first.into(), last: last.into() };
-            PlacedRun { range, place: usize::from(place), movable: true }
+            PlacedRange { range, place: usize::from(place), movable: true }
         })
         .collect()
 }
 
 /// Applies moves as the servers would follow them.
-fn follow(runs: &mut Vec<PlacedRun>, moves: &[(SliceRange, usize)]) {
+fn follow(runs: &mut Vec<PlacedRange>, moves: &[(SliceRange, usize)]) {
     for (range, target) in moves {
         let whole = runs.iter().position(|run| run.range.covers(*range));
         let whole = runs.swap_remove(whole.expect("one run"));
@@ -293,14 +300,18 @@
         if whole.range.first.get() < first {
             let last = SliceIndex::from(first - 1);
             let range = SliceRange { first: whole.range.first, last };
-            runs.push(PlacedRun { range, ..whole });
+            runs.push(PlacedRange { range, ..whole });
         }
         if last < whole.range.last.get() {
             let first = SliceIndex::from(last + 1);
             let range = SliceRange { first, last: whole.range.last };
-            runs.push(PlacedRun { range, ..whole });
+            runs.push(PlacedRange { range, ..whole });
         }
-        runs.push(PlacedRun { range: *range, place: *target, movable: true });
+        runs.push(PlacedRange {
+            range: *range,
+            place: *target,
+            movable: true,
+        });
     }
 }
 
--- a/goldcrestramp-decisions/tests/overload/policy.rs
+++ b/goldcrestramp-decisions/tests/overload/policy.rs
@@ -2,7 +2,7 @@
 
 use goldcrestramp_decisions::{
     CompletionOutcome, GatewayLimit, OfferOutcome, QueueEvent, QueueSettings,
-    QueuedRequest, RequestKey, ServerLimit, ServerQueue, ServerSign,
+    QueuedRequest, RequestKey, ServerLimit, ServerQueue, ServerSignal,
     baseline::{BaselineEvent, BaselineRequest, FifoBaseline, StaticBaseline},
 };
 use goldcrestramp_types::{FastMap, LocalTime, NotRunReason, TimeSpan};
@@ -130,7 +130,7 @@
         let (queue, limit) = &mut self.servers[server];
         queue.finished(now, key, CompletionOutcome::Answered);
         limit.replied(now);
-        limit.finished(now, ServerSign::Answered(class, span), 0);
+        limit.finished(now, ServerSignal::Answered(class, span), 0);
     }
 
     fn act(&mut self, now: LocalTime) -> Option<PolicyAction> {
--- a/goldcrestramp-decisions/tests/placement.rs
+++ b/goldcrestramp-decisions/tests/placement.rs
@@ -3,8 +3,8 @@
 mod placement_world;
 
 use goldcrestramp_decisions::{
-    LoadEstimate, PlaceReport, PlaceView, PlacementPlanner, PlacementSettings,
-    PlannedMove, assign_orphans,
+    LoadEstimate, PlacementPlanner, PlacementSettings, PlannedMove,
+    TargetReport, TargetView, assign_orphans,
 };
 use goldcrestramp_types::{
     LocalTime, SliceCount, SliceIndex, SliceSet, TimeSpan,
@@ -22,7 +22,7 @@
 
 /// Places of 4 slots whose slices have the given loads, in hundredths of
 /// a slot; slices are numbered from place to place.
-fn places(loads: &[&[u32]]) -> (Vec<PlaceView>, LoadEstimate) {
+fn places(loads: &[&[u32]]) -> (Vec<TargetView>, LoadEstimate) {
     let count = SliceCount::new(1_024).expect("a power of two");
     let half_life = TimeSpan::from_millis(1);
     let mut estimate = LoadEstimate::new(count, half_life);
@@ -31,8 +31,8 @@
     let mut reports = Vec::new();
     for loads in loads {
         let mut place =
-            PlaceView { slots: 4, open: true, ..PlaceView::default() };
-        let mut report = PlaceReport::default();
+            TargetView { slots: 4, open: true, ..TargetView::default() };
+        let mut report = TargetReport::default();
         for load in *loads {
             let load = f64::from(*load) / 100.0;
             place.held.insert(slice(number));
--- a/goldcrestramp-decisions/tests/placement_world/mod.rs
+++ b/goldcrestramp-decisions/tests/placement_world/mod.rs
@@ -7,8 +7,8 @@
 use std::collections::BTreeMap;
 
 use goldcrestramp_decisions::{
-    LoadEstimate, PlaceReport, PlaceView, PlacementPlanner, PlacementSettings,
-    PlannedMove, assign_orphans, greedy_moves, hash_placement,
+    LoadEstimate, PlacementPlanner, PlacementSettings, PlannedMove,
+    TargetReport, TargetView, assign_orphans, greedy_moves, hash_placement,
 };
 use goldcrestramp_types::{
     LocalTime, SliceCount, SliceIndex, SliceSet, slice_of,
@@ -92,7 +92,7 @@
     case: &'a WorldCase,
     kind: PlacementKind,
     random: TestRng,
-    places: Vec<PlaceView>,
+    places: Vec<TargetView>,
     load: Vec<f64>,
     total: f64,
     estimate: LoadEstimate,
@@ -108,10 +108,10 @@
         let count = SliceCount::DEFAULT;
         let settings = PlacementSettings::within_domain();
         let open = case.servers - case.closed;
-        let places = (0..case.servers).map(|place| PlaceView {
+        let places = (0..case.servers).map(|place| TargetView {
             slots: case.slots,
             open: place < open,
-            ..PlaceView::default()
+            ..TargetView::default()
         });
         let slots = u32::try_from(open).expect("few") * case.slots;
         let mut world = Self {
@@ -237,7 +237,7 @@
 
     fn observe(&mut self, second: u64) {
         let now = LocalTime::from_micros(second * 1_000_000);
-        let reports: Vec<PlaceReport> =
+        let reports: Vec<TargetReport> =
             self.places.iter().map(|place| self.report(place)).collect();
         let pairs = self.places.iter().zip(&reports);
         self.estimate.observe(now, pairs);
@@ -245,7 +245,7 @@
 
     /// What a keeper sees: no more than the slots in use, and the heaviest
     /// slices only.
-    fn report(&self, place: &PlaceView) -> PlaceReport {
+    fn report(&self, place: &TargetView) -> TargetReport {
         let mut heavy: Vec<(SliceIndex, f64)> = place
             .held
             .iter()
@@ -254,7 +254,7 @@
         let busy = heavy.iter().map(|(_, load)| load).sum();
         heavy.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
         heavy.truncate(HEAVY_LIMIT);
-        PlaceReport { busy, heavy }
+        TargetReport { busy, heavy }
     }
 
     fn decide(&mut self, second: u64) {
--- a/goldcrestramp-decisions/tests/queue.rs
+++ b/goldcrestramp-decisions/tests/queue.rs
@@ -291,14 +291,14 @@
 #[test]
 fn a_held_server_is_sent_nothing_before_its_probe() {
     let mut queue = measured(2, 100);
-    queue.set_limit(LimitVerdict::Held(at(300)));
+    queue.set_limit(LimitVerdict::Suspended(at(300)));
     let refusal = refuse(&mut queue, at(200), lookup("a", at(290)));
     let patient = admit(&mut queue, at(200), lookup("a", at(400)));
     assert_eq!(refusal.reason, NotRunReason::ServerUnreachable);
     assert!(refusal.retry_after >= TimeSpan::from_millis(100));
     assert_eq!(poll_all(&mut queue, at(299)), []);
     assert_eq!(queue.wake_at(), Some(at(300)));
-    queue.set_limit(LimitVerdict::Open(1));
+    queue.set_limit(LimitVerdict::Allowed(1));
     assert_eq!(poll_all(&mut queue, at(300)), [QueueEvent::Start(patient)]);
 }
 
--- a/goldcrestramp-decisions/tests/rate.rs
+++ b/goldcrestramp-decisions/tests/rate.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use goldcrestramp_decisions::{
-    FleetPlace, PermitGrant, PermitRequest, RateAllowance, RateLedger,
+    FleetPosition, PermitGrant, PermitRequest, RateAllowance, RateLedger,
 };
 use goldcrestramp_types::{LocalTime, TimeSpan};
 
@@ -173,7 +173,7 @@
             if vm.waiting.is_empty() {
                 continue;
             }
-            let place = FleetPlace { vms: plan.vms, rank: number };
+            let place = FleetPosition { vms: plan.vms, rank: number };
             if vm.allowance.take(now, place) {
                 vm.waiting.pop_front();
                 later.push((WAY_MS, PlayEvent::Arrives(number)));
@@ -270,7 +270,7 @@
 /// Guards against permits that VMs keep and use all at once.
 #[test]
 fn a_permit_that_was_not_used_lapses() {
-    let place = FleetPlace { vms: 91, rank: 40 };
+    let place = FleetPosition { vms: 91, rank: 40 };
     let mut allowance = RateAllowance::default();
     allowance.stated(at(0), Some(3.0));
 
@@ -283,7 +283,7 @@
 /// Guards against an old answer that ends a limit named since.
 #[test]
 fn an_answer_from_before_a_statement_ends_no_limit() {
-    let place = FleetPlace { vms: 91, rank: 40 };
+    let place = FleetPosition { vms: 91, rank: 40 };
     let mut allowance = RateAllowance::default();
     allowance.stated(at(500), Some(3.0));
 
--- a/goldcrestramp-decisions/tests/rebalancing/world.rs
+++ b/goldcrestramp-decisions/tests/rebalancing/world.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use goldcrestramp_decisions::{
-    PlaceLoad, PlacedRun, RangeLoad, RangeMove, RebalanceSettings,
+    PlacedRange, RangeLoad, RangeMove, RebalanceSettings, TargetLoad,
     WorkEstimate, rebalancing_moves,
 };
 use goldcrestramp_types::{LocalTime, SliceIndex, SliceRange, TimeSpan};
@@ -51,7 +51,7 @@
 #[derive(Debug)]
 pub struct ServerWorld {
     servers: Vec<Server>,
-    runs: Vec<PlacedRun>,
+    runs: Vec<PlacedRange>,
     load: RangeLoad,
     random: u64,
     now: u64,
@@ -83,7 +83,7 @@
                 SliceIndex::from(u16::try_from(key).expect("a key"))
             };
             let range = SliceRange { first: slice(first), last: slice(last) };
-            PlacedRun { range, place: number % speeds.len(), movable: true }
+            PlacedRange { range, place: number % speeds.len(), movable: true }
         });
         Self {
             servers: servers.collect(),
@@ -174,10 +174,10 @@
         if !moves {
             return;
         }
-        let places: Vec<PlaceLoad> = self
+        let places: Vec<TargetLoad> = self
             .servers
             .iter()
-            .map(|server| PlaceLoad {
+            .map(|server| TargetLoad {
                 slots: SLOTS,
                 work_s: server.work.seconds(SLOTS).unwrap_or(0.12),
                 open: true,
@@ -198,14 +198,14 @@
         if whole.range.first < range.first {
             let last = SliceIndex::from(range.first.get() - 1);
             let range = SliceRange { first: whole.range.first, last };
-            self.runs.push(PlacedRun { range, ..whole });
+            self.runs.push(PlacedRange { range, ..whole });
         }
         if range.last < whole.range.last {
             let first = SliceIndex::from(range.last.get() + 1);
             let range = SliceRange { first, last: whole.range.last };
-            self.runs.push(PlacedRun { range, ..whole });
+            self.runs.push(PlacedRange { range, ..whole });
         }
-        self.runs.push(PlacedRun { range, place: target, movable: true });
+        self.runs.push(PlacedRange { range, place: target, movable: true });
     }
 
     /// A number from 0 to 1, the same in every run.
--- a/goldcrestramp-entry/src/configuration.rs
+++ b/goldcrestramp-entry/src/configuration.rs
@@ -15,7 +15,7 @@
 use crate::mirror::MirrorValue;
 
 /// Versions kept. A VM that is further behind is told everything.
-const VERSIONS_MOST: usize = 16;
+const MAX_VERSIONS: usize = 16;
 
 /// A version of the configuration.
 #[derive(Clone, Debug)]
@@ -30,7 +30,7 @@
 #[derive(
     Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize,
 )]
-pub struct ConfigurationMark {
+pub struct ConfigurationRevision {
     /// The revision of the version that it has; 0 if it has none.
     revision: u64,
     /// The revision up to which it has read what was written, values that
@@ -40,19 +40,19 @@
 
 /// A newer version, for a VM that has another one or none.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct ConfigurationNews {
+pub struct ConfigurationUpdate {
     /// The store's revision of its write.
     revision: u64,
-    body: ConfigurationBody,
+    body: ConfigurationPayload,
 }
 
 /// What a newer version is.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-enum ConfigurationBody {
+enum ConfigurationPayload {
     /// What has changed since the version of revision `base`.
-    Changed { base: u64, patch: Box<ConfigurationPatch> },
+    Patch { base: u64, patch: Box<ConfigurationPatch> },
     /// All of it.
-    Whole(Arc<FleetConfiguration>),
+    Full(Arc<FleetConfiguration>),
 }
 
 /// What makes one version of another.
@@ -137,8 +137,8 @@
 
     /// How much is known.
     #[must_use]
-    pub fn mark(&self) -> ConfigurationMark {
-        ConfigurationMark {
+    pub fn mark(&self) -> ConfigurationRevision {
+        ConfigurationRevision {
             revision: self.revision(),
             read_until: self.revision().max(self.refused),
         }
@@ -178,14 +178,14 @@
     #[must_use]
     pub fn news_for(
         &self,
-        known: ConfigurationMark,
-    ) -> Option<ConfigurationNews> {
+        known: ConfigurationRevision,
+    ) -> Option<ConfigurationUpdate> {
         let newest =
             self.newest().filter(|v| v.revision > known.read_until)?;
         let mut versions = self.versions.iter();
         let former = versions.find(|v| v.revision == known.revision);
         let body = match former {
-            Some(former) => ConfigurationBody::Changed {
+            Some(former) => ConfigurationPayload::Patch {
                 base: known.revision,
                 patch: Box::new(ConfigurationPatch::between(
                     &former.configuration,
@@ -193,10 +193,10 @@
                 )),
             },
             None => {
-                ConfigurationBody::Whole(Arc::clone(&newest.configuration))
+                ConfigurationPayload::Full(Arc::clone(&newest.configuration))
             }
         };
-        Some(ConfigurationNews { revision: newest.revision, body })
+        Some(ConfigurationUpdate { revision: newest.revision, body })
     }
 
     /// Takes another VM's news; whether they are a newer version.
@@ -206,14 +206,14 @@
     /// [`BaseMismatch`] if they were made for another version.
     pub fn take_news(
         &mut self,
-        news: ConfigurationNews,
+        news: ConfigurationUpdate,
     ) -> Result<bool, BaseMismatch> {
         if news.revision <= self.mark().read_until {
             return Ok(false);
         }
         let configuration = match news.body {
-            ConfigurationBody::Whole(whole) => Arc::unwrap_or_clone(whole),
-            ConfigurationBody::Changed { base, patch } => {
+            ConfigurationPayload::Full(whole) => Arc::unwrap_or_clone(whole),
+            ConfigurationPayload::Patch { base, patch } => {
                 let former = self.newest().filter(|v| v.revision == base);
                 let former = former.ok_or(BaseMismatch)?;
                 log::info!(
@@ -242,7 +242,7 @@
             }
             share_routes(&newest.configuration, &mut configuration);
         }
-        if self.versions.len() >= VERSIONS_MOST {
+        if self.versions.len() >= MAX_VERSIONS {
             self.versions.pop_front();
         }
         let configuration = Arc::new(configuration);
--- a/goldcrestramp-entry/src/control/actor.rs
+++ b/goldcrestramp-entry/src/control/actor.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Weak};
 
 use goldcrestramp_adapter::CONFIGURATION_KEY;
-use goldcrestramp_assignment::{FormerPlanner, last_grant_sent};
+use goldcrestramp_assignment::{PreviousPlanner, last_grant_sent};
 use goldcrestramp_types::{FastMap, LocalTime, TimeSpan};
 use tokio::sync::watch;
 use xtra::Address;
@@ -13,21 +13,21 @@
     control::{
         claim::{claim, stop_former},
         lease::LeaseTerms,
-        load::{LoadBook, LoadReport},
+        load::{LoadRecorder, LoadReport},
         message::{ClaimEnded, LeaseProof},
-        news::NewsState,
-        order::OrderPermit,
+        news::SyncState,
+        order::OrderGate,
         permits::PermitMailbox,
         ranking::is_large,
-        tables::TellBook,
+        tables::ReplicaTracker,
         term::PlannerTerm,
     },
     history::TableHistory,
-    http::{CallPool, LimitScope, LinkEnd},
+    http::{CallPool, CloseMode, TimeoutScope},
     metrics::EntryMetrics,
     mirror::StoreMirror,
     peers::{PeerCall, PeerClient},
-    records::{PLANNER_KEY, VmRun, decode},
+    records::{PLANNER_KEY, VmInstance, decode},
     shared::SharedState,
     store::StoreClient,
     view::{FleetView, ViewBuilder},
@@ -61,7 +61,7 @@
 /// The control state of one VM.
 #[derive(Debug)]
 pub struct ControlActor {
-    pub(crate) me: VmRun,
+    pub(crate) me: VmInstance,
     /// The region of each failure domain.
     pub(crate) regions: FastMap<Arc<str>, Arc<str>>,
     /// How long a grant holds.
@@ -73,13 +73,13 @@
     pub(crate) mirror: StoreMirror,
     pub(crate) history: TableHistory,
     pub(crate) configurations: ConfigurationHistory,
-    pub(crate) told: TellBook,
+    pub(crate) told: ReplicaTracker,
     builder: ViewBuilder,
     pub(crate) view: Arc<FleetView>,
     views: watch::Sender<Arc<FleetView>>,
     revision_out: watch::Sender<u64>,
-    pub(crate) news: NewsState,
-    loads: LoadBook,
+    pub(crate) news: SyncState,
+    loads: LoadRecorder,
     pub(crate) permits: PermitMailbox,
     pub(crate) metrics: Arc<EntryMetrics>,
     report_at: LocalTime,
@@ -92,20 +92,20 @@
     pub(crate) proof: LocalTime,
     /// The planner before this VM, as it was last known, with when it was
     /// first known to plan.
-    former: Option<(VmRun, LocalTime)>,
+    former: Option<(VmInstance, LocalTime)>,
     vacant_since: Option<LocalTime>,
     claim: ClaimStage,
     /// Whether another VM is being asked while the store is silent.
     pub(crate) asking: bool,
     pub(crate) term: Option<PlannerTerm>,
     /// Permits of ended terms, held by the orders under way.
-    ending: Vec<Weak<OrderPermit>>,
+    ending: Vec<Weak<OrderGate>>,
     pub(crate) stopping: bool,
 }
 
 impl ControlActor {
     pub(crate) fn new(
-        me: VmRun,
+        me: VmInstance,
         regions: FastMap<Arc<str>, Arc<str>>,
         hold: TimeSpan,
         store: Arc<StoreClient>,
@@ -114,11 +114,11 @@
         address: Address<Self>,
     ) -> Self {
         /// A server's answer to an order is a few bytes.
-        const ORDER_ANSWER_MOST: usize = 64 * 1024;
+        const MAX_ORDER_RESPONSE_BYTES: usize = 64 * 1024;
         let orders = CallPool::open(
-            LinkEnd::Reset,
-            LimitScope::WholeAnswer,
-            ORDER_ANSWER_MOST,
+            CloseMode::Reset,
+            TimeoutScope::FullResponse,
+            MAX_ORDER_RESPONSE_BYTES,
         );
         Self {
             me,
@@ -131,12 +131,12 @@
             mirror: StoreMirror::default(),
             history: TableHistory::default(),
             configurations: ConfigurationHistory::default(),
-            told: TellBook::default(),
+            told: ReplicaTracker::default(),
             builder: ViewBuilder::default(),
             view: Arc::default(),
             views,
             revision_out: watch::channel(0).0,
-            news: NewsState::open(shared.clock),
+            news: SyncState::open(shared.clock),
             loads: shared.loads,
             permits: shared.permits,
             metrics: shared.metrics,
@@ -221,7 +221,7 @@
     }
 
     /// The record of the planning VM, with its revision.
-    pub(crate) fn planner(&self) -> Option<(VmRun, u64)> {
+    pub(crate) fn planner(&self) -> Option<(VmInstance, u64)> {
         let item = self.mirror.get(PLANNER_KEY)?;
         Some((decode(&item.value)?, item.revision))
     }
@@ -324,9 +324,9 @@
             Some((vm, at))
                 if vm.vm == self.me.vm && vm.start != self.me.start =>
             {
-                FormerPlanner::Stopped { planned_by: *at }
+                PreviousPlanner::Stopped { planned_by: *at }
             }
-            _ => FormerPlanner::MayRenew,
+            _ => PreviousPlanner::MayRenew,
         };
         let sent_until = last_grant_sent(now, known, PROOF_LIFE);
         self.term = Some(PlannerTerm::open(
--- a/goldcrestramp-entry/src/control/claim.rs
+++ b/goldcrestramp-entry/src/control/claim.rs
@@ -11,17 +11,17 @@
 use crate::{
     control::{
         ControlActor,
-        message::{ClaimEnded, FormerStopped},
+        message::{ClaimEnded, PreviousPlannerStopped},
     },
     peers::{PeerCall, PeerClient, PeerReply},
-    records::{OWN_PREFIX, PLANNER_KEY, VmRun, decode},
+    records::{OWN_PREFIX, PLANNER_KEY, VmInstance, decode},
     store::{StoreClient, StoreFailure, StorePage},
 };
 
 /// Writes the planner's record, then reads what it has to take up.
 pub(crate) async fn claim(
     store: Arc<StoreClient>,
-    me: VmRun,
+    me: VmInstance,
     revision: u64,
     lease: u64,
     control: Address<ControlActor>,
@@ -43,7 +43,7 @@
     // The record itself says who won, also when the answer was lost.
     let record = tables.items.iter().find(|item| *item.key == *PLANNER_KEY);
     let won = record
-        .filter(|item| decode::<VmRun>(&item.value).as_ref() == Some(&me))
+        .filter(|item| decode::<VmInstance>(&item.value).as_ref() == Some(&me))
         .map(|item| item.revision);
     // The actor is gone only when the process ends.
     let _gone = control.send(ClaimEnded { won, tables, lease, sent_at }).await;
@@ -52,7 +52,7 @@
 /// Asks the former planner to stop, until it has or can't be asked.
 pub(crate) async fn stop_former(
     peers: PeerClient,
-    former: VmRun,
+    former: VmInstance,
     planned_by: LocalTime,
     control: Address<ControlActor>,
 ) {
@@ -60,13 +60,13 @@
     const TRIES: u32 = 20;
     /// A stopped planner waits for orders under way, some 700 ms.
     const PAUSE: std::time::Duration = std::time::Duration::from_millis(300);
-    let call = PeerCall::StandDown { start: former.start };
+    let call = PeerCall::StepDown { start: former.start };
     for _ in 0..TRIES {
         let reply = peers.call(former.address, &call).await;
-        if matches!(reply, Some(PeerReply::StoodDown)) {
+        if matches!(reply, Some(PeerReply::SteppedDown)) {
             let at = MonotonicClock.now();
             // The actor is gone only when the process ends.
-            let stopped = FormerStopped { at, planned_by };
+            let stopped = PreviousPlannerStopped { at, planned_by };
             let _gone = control.send(stopped).await;
             return;
         }
--- a/goldcrestramp-entry/src/control/follow.rs
+++ b/goldcrestramp-entry/src/control/follow.rs
@@ -16,15 +16,15 @@
 
 use crate::{
     control::{
-        ControlActor, NewsSource,
+        ControlActor, UpdateSource,
         message::{
-            HistoryGone, NextSource, NextStep, PeerNews, PeerSilent,
-            StoreChanges, StoreReading, StoreSilent, VmReading,
+            HistoryLost, NextSource, NextStep, PeerTimedOut, PeerUpdate,
+            StoreChanges, StoreSnapshot, StoreTimedOut, VmPage,
         },
         told_as_of,
     },
     metrics::EntryMetrics,
-    peers::{NewsMarks, PeerCall, PeerClient, PeerReply},
+    peers::{KnownRevisions, PeerCall, PeerClient, PeerReply},
     records::VM_PREFIX,
     store::{StoreClient, StoreFailure},
 };
@@ -53,8 +53,8 @@
 
 /// Pauses after a failure: the first is short, as one lost answer is no
 /// outage; all VMs come back together, so they spread over half of it.
-const RETRY_FIRST: Duration = Duration::from_millis(100);
-const RETRY_MOST: Duration = Duration::from_millis(800);
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(100);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(800);
 
 /// What follows the store for the control actor.
 #[derive(Debug)]
@@ -70,7 +70,7 @@
 }
 
 /// A call for news to another VM.
-struct NewsFetch {
+struct UpdateFetch {
     peers: PeerClient,
     control: Address<ControlActor>,
     address: SocketAddr,
@@ -79,7 +79,7 @@
     limit: Option<Duration>,
 }
 
-impl NewsFetch {
+impl UpdateFetch {
     /// Fetches, and tells the actor; whether there was an answer.
     async fn run(self) -> bool {
         let Self { peers, control, address, call, limit } = self;
@@ -88,12 +88,12 @@
             Some(limit) => peers.call_within(address, &call, limit).await,
             None => peers.call(address, &call).await,
         };
-        let Some(PeerReply::News { news, age, held, fresh }) = reply else {
+        let Some(PeerReply::Update { news, age, held, fresh }) = reply else {
             return false;
         };
         let as_of = told_as_of(sent_at, held, age);
         let source = Some(address);
-        let news = PeerNews { news, as_of, fresh, source };
+        let news = PeerUpdate { news, as_of, fresh, source };
         control.send(news).await.is_ok()
     }
 }
@@ -104,14 +104,14 @@
 impl StoreFollower {
     /// Follows the store until the actor is gone.
     pub(crate) async fn run(mut self) {
-        let mut pause = RETRY_FIRST;
+        let mut pause = INITIAL_RETRY_DELAY;
         while let Ok(step) = self.control.send(NextSource).await {
             match self.follow(step).await {
-                Ok(true) => pause = RETRY_FIRST,
+                Ok(true) => pause = INITIAL_RETRY_DELAY,
                 Ok(false) => {
                     let jitter = rand::random_range(0.5..1.0);
                     sleep(pause.mul_f64(jitter)).await;
-                    pause = (pause * 2).min(RETRY_MOST);
+                    pause = (pause * 2).min(MAX_RETRY_DELAY);
                 }
                 Err(ActorGone) => return,
             }
@@ -122,21 +122,21 @@
     async fn follow(&mut self, step: NextStep) -> Result<bool, ActorGone> {
         let next = Instant::now() + WATCH_PAUSE;
         let followed = match step.source {
-            NewsSource::Peer(address, _revision) => {
+            UpdateSource::Peer(address, _revision) => {
                 return self.ask_peer(address, step.known).await;
             }
-            NewsSource::StoreVms => self.read_vms().await?,
-            NewsSource::StoreWhole => self.read_all().await?,
-            NewsSource::StoreChanges(after) => self.watch(after).await?,
+            UpdateSource::StoreVms => self.read_vms().await?,
+            UpdateSource::StoreWhole => self.read_all().await?,
+            UpdateSource::StoreChanges(after) => self.watch(after).await?,
         };
         if let Err(failure) = followed {
             self.metrics.news("store-failed");
             log::debug!("[store] Following failed: {failure}.");
-            self.tell(StoreSilent).await?;
+            self.tell(StoreTimedOut).await?;
             return Ok(false);
         }
         self.metrics.news("store");
-        if step.source != NewsSource::StoreVms {
+        if step.source != UpdateSource::StoreVms {
             sleep_until(next).await;
         }
         Ok(true)
@@ -147,14 +147,14 @@
     async fn ask_peer(
         &mut self,
         address: SocketAddr,
-        known: NewsMarks,
+        known: KnownRevisions,
     ) -> Result<bool, ActorGone> {
         // One that is asked for the first time answers at once, so that
         // several silent ones cost little time.
         let wait = self.followed == Some(address);
         let limit =
             (!wait && known.revision > 0).then_some(FIRST_ANSWER_TIMEOUT);
-        let fetch = NewsFetch {
+        let fetch = UpdateFetch {
             peers: self.peers.clone(),
             control: self.control.clone(),
             address,
@@ -169,7 +169,7 @@
             Err(_elapsed) => {
                 self.metrics.news("peer-slow");
                 self.slow_answer = Some(asked);
-                self.tell(PeerSilent(address)).await?;
+                self.tell(PeerTimedOut(address)).await?;
                 return Ok(true);
             }
         };
@@ -178,7 +178,7 @@
             self.followed = Some(address);
         } else {
             self.metrics.news("peer-failed");
-            self.tell(PeerSilent(address)).await?;
+            self.tell(PeerTimedOut(address)).await?;
         }
         Ok(true)
     }
@@ -190,7 +190,7 @@
 
     async fn read_vms(&self) -> Result<Result<(), StoreFailure>, ActorGone> {
         match self.store.read_all(VM_PREFIX).await {
-            Ok(page) => self.tell(VmReading(page)).await.map(Ok),
+            Ok(page) => self.tell(VmPage(page)).await.map(Ok),
             Err(failure) => Ok(Err(failure)),
         }
     }
@@ -199,7 +199,7 @@
         let sent_at = MonotonicClock.now();
         match self.store.read_all("").await {
             Ok(page) => {
-                self.tell(StoreReading { sent_at, page }).await.map(Ok)
+                self.tell(StoreSnapshot { sent_at, page }).await.map(Ok)
             }
             Err(failure) => Ok(Err(failure)),
         }
@@ -219,7 +219,7 @@
             }
             Ok(StoreReply::HistoryLost) => {
                 log::info!("[store] History after {after} is lost.");
-                self.tell(HistoryGone).await.map(Ok)
+                self.tell(HistoryLost).await.map(Ok)
             }
             Ok(_) => Ok(Err(StoreFailure::Unknown)),
             Err(failure) => Ok(Err(failure)),
--- a/goldcrestramp-entry/src/control/handlers.rs
+++ b/goldcrestramp-entry/src/control/handlers.rs
@@ -1,7 +1,7 @@
 //! What the control actor does with what it is told.
 
 use goldcrestramp_adapter::StoreCall;
-use goldcrestramp_assignment::{FormerPlanner, last_grant_sent};
+use goldcrestramp_assignment::{PreviousPlanner, last_grant_sent};
 use goldcrestramp_types::{ClockSource, LocalTime, MonotonicClock, TimeSpan};
 use xtra::{Actor, Context, Handler};
 
@@ -10,10 +10,11 @@
         ControlActor,
         actor::PROOF_LIFE,
         message::{
-            AskEnded, ClaimEnded, CommitEnded, ControlTick, FormerStopped,
-            HistoryGone, LeaseProof, NextSource, NextStep, OrderEnded,
-            PeerNews, PeerSilent, ReadBack, StopControl, StoreChanges,
-            StoreReading, StoreSilent, TablesTold, VmReading,
+            ClaimEnded, CommitEnded, ControlTick, HistoryLost, LeaseProof,
+            NextSource, NextStep, OrderEnded, PeerQueryEnded, PeerTimedOut,
+            PeerUpdate, PreviousPlannerStopped, ReadBack, StopControl,
+            StoreChanges, StoreSnapshot, StoreTimedOut, TablesReplicated,
+            VmPage,
         },
     },
     peers::{PeerCall, PeerReply},
@@ -46,13 +47,13 @@
     }
 }
 
-impl Handler<StoreReading> for ControlActor {
+impl Handler<StoreSnapshot> for ControlActor {
     type Return = ();
 
-    async fn handle(&mut self, message: StoreReading, _: &mut Context<Self>) {
+    async fn handle(&mut self, message: StoreSnapshot, _: &mut Context<Self>) {
         let now = now();
         self.news.answered(now);
-        let StoreReading { sent_at, page } = message;
+        let StoreSnapshot { sent_at, page } = message;
         self.news.was_read();
         if self.mirror.replace(page.items, page.revision) {
             self.refresh(now);
@@ -62,14 +63,10 @@
     }
 }
 
-impl Handler<VmReading> for ControlActor {
+impl Handler<VmPage> for ControlActor {
     type Return = ();
 
-    async fn handle(
-        &mut self,
-        VmReading(page): VmReading,
-        _: &mut Context<Self>,
-    ) {
+    async fn handle(&mut self, VmPage(page): VmPage, _: &mut Context<Self>) {
         let now = now();
         self.news.answered(now);
         self.news.was_read();
@@ -93,46 +90,46 @@
     }
 }
 
-impl Handler<StoreSilent> for ControlActor {
+impl Handler<StoreTimedOut> for ControlActor {
     type Return = ();
 
-    async fn handle(&mut self, _: StoreSilent, _: &mut Context<Self>) {
+    async fn handle(&mut self, _: StoreTimedOut, _: &mut Context<Self>) {
         self.news.failed();
     }
 }
 
-impl Handler<HistoryGone> for ControlActor {
+impl Handler<HistoryLost> for ControlActor {
     type Return = ();
 
-    async fn handle(&mut self, _: HistoryGone, _: &mut Context<Self>) {
+    async fn handle(&mut self, _: HistoryLost, _: &mut Context<Self>) {
         self.news.history_lost();
     }
 }
 
-impl Handler<AskEnded> for ControlActor {
+impl Handler<PeerQueryEnded> for ControlActor {
     type Return = ();
 
-    async fn handle(&mut self, _: AskEnded, _: &mut Context<Self>) {
+    async fn handle(&mut self, _: PeerQueryEnded, _: &mut Context<Self>) {
         self.asking = false;
     }
 }
 
-impl Handler<PeerSilent> for ControlActor {
+impl Handler<PeerTimedOut> for ControlActor {
     type Return = ();
 
     async fn handle(
         &mut self,
-        PeerSilent(peer): PeerSilent,
+        PeerTimedOut(peer): PeerTimedOut,
         _: &mut Context<Self>,
     ) {
         self.news.peer_failed(now(), peer);
     }
 }
 
-impl Handler<PeerNews> for ControlActor {
+impl Handler<PeerUpdate> for ControlActor {
     type Return = ();
 
-    async fn handle(&mut self, message: PeerNews, _: &mut Context<Self>) {
+    async fn handle(&mut self, message: PeerUpdate, _: &mut Context<Self>) {
         let now = now();
         if message.fresh {
             self.news.answered(now);
@@ -193,12 +190,16 @@
     }
 }
 
-impl Handler<FormerStopped> for ControlActor {
+impl Handler<PreviousPlannerStopped> for ControlActor {
     type Return = ();
 
-    async fn handle(&mut self, message: FormerStopped, _: &mut Context<Self>) {
-        let FormerStopped { at, planned_by } = message;
-        let stopped = FormerPlanner::Stopped { planned_by };
+    async fn handle(
+        &mut self,
+        message: PreviousPlannerStopped,
+        _: &mut Context<Self>,
+    ) {
+        let PreviousPlannerStopped { at, planned_by } = message;
+        let stopped = PreviousPlanner::Stopped { planned_by };
         if let Some(term) = &mut self.term {
             term.inherit(last_grant_sent(at, stopped, PROOF_LIFE));
         }
@@ -215,10 +216,14 @@
     }
 }
 
-impl Handler<TablesTold> for ControlActor {
+impl Handler<TablesReplicated> for ControlActor {
     type Return = ();
 
-    async fn handle(&mut self, message: TablesTold, _: &mut Context<Self>) {
+    async fn handle(
+        &mut self,
+        message: TablesReplicated,
+        _: &mut Context<Self>,
+    ) {
         self.tables_told(message);
     }
 }
@@ -282,7 +287,7 @@
                 let fresh = self.news.may_be_followed(now, self.proof);
                 let news = self.news_since(&known);
                 let age = self.news.age(now);
-                PeerReply::News { news, age, held: TimeSpan::ZERO, fresh }
+                PeerReply::Update { news, age, held: TimeSpan::ZERO, fresh }
             }
             PeerCall::Tables(news) => {
                 self.take_tables(now, news);
@@ -290,10 +295,10 @@
             }
             PeerCall::Load(report) => {
                 self.take_load(now, &report);
-                PeerReply::Taken
+                PeerReply::Accepted
             }
-            PeerCall::StandDown { start } => self.stand_down(start),
-            PeerCall::Permits(_) if self.term.is_none() => PeerReply::Taken,
+            PeerCall::StepDown { start } => self.stand_down(start),
+            PeerCall::Permits(_) if self.term.is_none() => PeerReply::Accepted,
             PeerCall::Permits(requests) => {
                 PeerReply::Permits(self.grant_permits(now, requests))
             }
--- a/goldcrestramp-entry/src/control/lease.rs
+++ b/goldcrestramp-entry/src/control/lease.rs
@@ -14,7 +14,7 @@
 
 use crate::{
     control::{ControlActor, message::LeaseProof},
-    records::{VmRun, vm_key},
+    records::{VmInstance, vm_key},
     store::{StoreClient, StoreFailure},
 };
 
@@ -57,7 +57,7 @@
 /// Keeps a lease and this VM's entry until the actor is gone.
 pub(crate) async fn keep_lease(
     store: Arc<StoreClient>,
-    me: VmRun,
+    me: VmInstance,
     span_least: TimeSpan,
     mut wanted: watch::Receiver<Option<LeaseTerms>>,
     control: Address<ControlActor>,
@@ -104,7 +104,7 @@
 /// Takes a lease and writes this VM's entry with it.
 async fn announce(
     store: &StoreClient,
-    me: &VmRun,
+    me: &VmInstance,
     span: TimeSpan,
 ) -> Result<u64, StoreFailure> {
     let reply = store.call(&StoreCall::OpenLease { span }).await?;
--- a/goldcrestramp-entry/src/control/load.rs
+++ b/goldcrestramp-entry/src/control/load.rs
@@ -7,7 +7,7 @@
 
 /// The answers of one server.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
-pub struct AnswerSum {
+pub struct ResponseTotals {
     /// How many came.
     pub answers: u32,
     /// The time that they took, in milliseconds.
@@ -20,7 +20,7 @@
     /// Requests by key.
     pub keys: FastMap<u16, u32>,
     /// Answers by server id.
-    pub servers: FastMap<Arc<str>, AnswerSum>,
+    pub servers: FastMap<Arc<str>, ResponseTotals>,
 }
 
 /// What one VM was asked since its last report, by service.
@@ -28,9 +28,9 @@
 
 /// Counts on the traffic thread, read on the control thread.
 #[derive(Clone, Debug, Default)]
-pub struct LoadBook(Arc<Mutex<LoadReport>>);
+pub struct LoadRecorder(Arc<Mutex<LoadReport>>);
 
-impl LoadBook {
+impl LoadRecorder {
     /// Counts a request for a key.
     pub fn asked(&self, service: &Arc<str>, slice: SliceIndex) {
         let mut report = self.lock();
--- a/goldcrestramp-entry/src/control/message.rs
+++ b/goldcrestramp-entry/src/control/message.rs
@@ -7,10 +7,10 @@
 use goldcrestramp_types::LocalTime;
 
 use crate::{
-    control::{LeaseTerms, NewsSource},
-    history::TableMark,
-    peers::{NewsMarks, StoreNews},
-    records::VmRun,
+    control::{LeaseTerms, UpdateSource},
+    history::TableRevision,
+    peers::{KnownRevisions, StoreUpdate},
+    records::VmInstance,
     store::{StoreFailure, StorePage},
 };
 
@@ -25,7 +25,7 @@
 
 /// A reading of the whole store.
 #[derive(Debug)]
-pub(crate) struct StoreReading {
+pub(crate) struct StoreSnapshot {
     /// When the first call was sent.
     pub(crate) sent_at: LocalTime,
     pub(crate) page: StorePage,
@@ -33,7 +33,7 @@
 
 /// A reading of the VMs' entries alone.
 #[derive(Debug)]
-pub(crate) struct VmReading(pub(crate) StorePage);
+pub(crate) struct VmPage(pub(crate) StorePage);
 
 /// Asks from where changes are to be followed next.
 #[derive(Debug)]
@@ -42,23 +42,23 @@
 /// From where changes are to be followed next.
 #[derive(Debug)]
 pub(crate) struct NextStep {
-    pub(crate) source: NewsSource,
+    pub(crate) source: UpdateSource,
     /// What is known.
-    pub(crate) known: NewsMarks,
+    pub(crate) known: KnownRevisions,
 }
 
 /// A VM was told of tables.
 #[derive(Debug)]
-pub(crate) struct TablesTold {
-    pub(crate) vm: VmRun,
+pub(crate) struct TablesReplicated {
+    pub(crate) vm: VmInstance,
     /// The versions that it has now; nothing if it gave no answer.
-    pub(crate) known: Option<Vec<TableMark>>,
+    pub(crate) known: Option<Vec<TableRevision>>,
 }
 
 /// Another VM's news of the store.
 #[derive(Debug)]
-pub(crate) struct PeerNews {
-    pub(crate) news: StoreNews,
+pub(crate) struct PeerUpdate {
+    pub(crate) news: StoreUpdate,
     /// The moment up to which these tell the store's changes.
     pub(crate) as_of: LocalTime,
     pub(crate) fresh: bool,
@@ -68,19 +68,19 @@
 
 /// The call to another VM, made while the store is silent, has ended.
 #[derive(Debug)]
-pub(crate) struct AskEnded;
+pub(crate) struct PeerQueryEnded;
 
 /// The VM that was followed gave no answer.
 #[derive(Debug)]
-pub(crate) struct PeerSilent(pub(crate) SocketAddr);
+pub(crate) struct PeerTimedOut(pub(crate) SocketAddr);
 
 /// The history after the known revision is no longer there.
 #[derive(Debug)]
-pub(crate) struct HistoryGone;
+pub(crate) struct HistoryLost;
 
 /// The store gave no answer to this VM.
 #[derive(Debug)]
-pub(crate) struct StoreSilent;
+pub(crate) struct StoreTimedOut;
 
 /// The lease was alive when the store took a call that was sent then; no
 /// lease: it has ended. The reply tells whether to keep one.
@@ -134,7 +134,7 @@
 
 /// The former planner plans no more.
 #[derive(Debug)]
-pub(crate) struct FormerStopped {
+pub(crate) struct PreviousPlannerStopped {
     /// When that became known.
     pub(crate) at: LocalTime,
     /// When it was first known to plan.
--- a/goldcrestramp-entry/src/control/mod.rs
+++ b/goldcrestramp-entry/src/control/mod.rs
@@ -29,8 +29,8 @@
 pub use crate::control::{
     actor::ControlActor,
     lease::LeaseTerms,
-    load::{AnswerSum, LoadBook, LoadReport, ServiceLoad},
-    news::{NewsClock, NewsSource, NewsState, told_as_of},
+    load::{LoadRecorder, LoadReport, ResponseTotals, ServiceLoad},
+    news::{FreshnessClock, SyncState, UpdateSource, told_as_of},
     permits::{PermitGrants, PermitMailbox, PermitRequests},
     ranking::{advising_vms, is_large, source_vms},
 };
@@ -40,7 +40,7 @@
         message::StopControl, service::HOLD,
     },
     peers::{PeerClient, PeerSource, serve_peers},
-    records::VmRun,
+    records::VmInstance,
     shared::SharedState,
     store::StoreClient,
     view::FleetView,
@@ -66,7 +66,7 @@
 /// Starts the control part on the current runtime.
 pub fn spawn_control(
     settings: &NodeSettings,
-    me: VmRun,
+    me: VmInstance,
     peers: TcpListener,
     shared: SharedState,
     views: tokio::sync::watch::Sender<Arc<FleetView>>,
--- a/goldcrestramp-entry/src/control/news.rs
+++ b/goldcrestramp-entry/src/control/news.rs
@@ -20,7 +20,7 @@
 
 /// News that are older than this have waited out an outage, in which the
 /// store acknowledged nothing to anybody.
-const LAG_MOST: TimeSpan = TimeSpan::from_millis(1_500);
+const MAX_LAG: TimeSpan = TimeSpan::from_millis(1_500);
 
 /// A VM that could not be followed is not asked again for so long.
 const PEER_PAUSE: TimeSpan = TimeSpan::from_millis(5_000);
@@ -28,7 +28,7 @@
 /// A VM whose news are not fresh is followed for so long all the same: it
 /// may have lost its own source a moment ago and be about to replace it.
 /// Two of its answers come in this time.
-const STALE_MOST: TimeSpan = TimeSpan::from_millis(700);
+const MAX_STALE_TIME: TimeSpan = TimeSpan::from_millis(700);
 
 /// The store is taken for silent when the last call that it answered was
 /// sent so long ago: two renewals of the lease.
@@ -48,7 +48,7 @@
 
 /// From where changes are followed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum NewsSource {
+pub enum UpdateSource {
     /// The VMs alone are read from the store.
     StoreVms,
     /// Everything is read from the store.
@@ -74,9 +74,9 @@
 /// The moment up to which the store's changes are known; shared with the
 /// traffic thread. It only moves forward.
 #[derive(Clone, Debug, Default)]
-pub struct NewsClock(Arc<AtomicU64>);
+pub struct FreshnessClock(Arc<AtomicU64>);
 
-impl NewsClock {
+impl FreshnessClock {
     /// The moment.
     #[must_use]
     pub fn current_at(&self) -> LocalTime {
@@ -115,12 +115,12 @@
 
 /// What a VM knows of its way to the store.
 #[derive(Debug, Default)]
-pub struct NewsState {
+pub struct SyncState {
     /// When the store last answered; the start of the clock: never.
     seen: LocalTime,
     /// When it came back after an outage.
     back: LocalTime,
-    clock: NewsClock,
+    clock: FreshnessClock,
     /// Whether a call failed since it last answered.
     silent: bool,
     /// Whether this VM follows the store itself.
@@ -134,10 +134,10 @@
     asked: LocalTime,
 }
 
-impl NewsState {
+impl SyncState {
     /// The state of a VM that knows nothing; it sets the clock forward.
     #[must_use]
-    pub fn open(clock: NewsClock) -> Self {
+    pub fn open(clock: FreshnessClock) -> Self {
         Self { clock, ..Self::default() }
     }
 
@@ -181,7 +181,7 @@
         if self.is_unsure(now) {
             return now;
         }
-        self.clock.current_at().max(now - LAG_MOST)
+        self.clock.current_at().max(now - MAX_LAG)
     }
 
     /// Notes that a call to the store failed.
@@ -222,7 +222,7 @@
         let known = self.stale_peer.filter(|(stale, _since)| *stale == peer);
         let (_peer, since) =
             *self.stale_peer.insert(known.unwrap_or((peer, now)));
-        if now.since(since) >= STALE_MOST {
+        if now.since(since) >= MAX_STALE_TIME {
             self.peer_failed(now, peer);
         }
     }
@@ -244,10 +244,10 @@
         now: LocalTime,
         revision: u64,
         mut peers: impl Iterator<Item = SocketAddr>,
-    ) -> NewsSource {
+    ) -> UpdateSource {
         if revision == 0 && self.reading == ReadingState::Unread {
             self.direct = true;
-            return NewsSource::StoreVms;
+            return UpdateSource::StoreVms;
         }
         self.failed_peers.retain(|_peer, at| now.since(*at) < PEER_PAUSE);
         let lost = self.reading == ReadingState::HistoryLost;
@@ -257,9 +257,9 @@
         let peer = peer.filter(|_peer| usable);
         self.direct = peer.is_none();
         match peer {
-            Some(address) => NewsSource::Peer(address, revision),
-            None if revision == 0 || lost => NewsSource::StoreWhole,
-            None => NewsSource::StoreChanges(revision),
+            Some(address) => UpdateSource::Peer(address, revision),
+            None if revision == 0 || lost => UpdateSource::StoreWhole,
+            None => UpdateSource::StoreChanges(revision),
         }
     }
 
--- a/goldcrestramp-entry/src/control/order.rs
+++ b/goldcrestramp-entry/src/control/order.rs
@@ -16,7 +16,7 @@
 
 use crate::{
     control::{ControlActor, message::OrderEnded},
-    http::{CallFailure, CallPool, CallReach, CallRequest},
+    http::{CallFailure, CallPool, CallRequest, ConnectionReuse},
 };
 
 /// A grant is answered at once; one without an answer is sent again.
@@ -32,11 +32,11 @@
 /// hand, and its successor, which waits for the last grant, counts from
 /// too early. Looked at before each order, it stops all of them.
 #[derive(Debug, Default)]
-pub(crate) struct OrderPermit {
+pub(crate) struct OrderGate {
     ended: AtomicBool,
 }
 
-impl OrderPermit {
+impl OrderGate {
     pub(crate) fn end(&self) {
         self.ended.store(true, Ordering::Release);
     }
@@ -52,7 +52,7 @@
     pub(crate) pool: Arc<CallPool>,
     pub(crate) control: Address<ControlActor>,
     pub(crate) service: Arc<str>,
-    pub(crate) permit: Arc<OrderPermit>,
+    pub(crate) permit: Arc<OrderGate>,
     /// Until when no other VM can be planning.
     pub(crate) sure_until: LocalTime,
 }
@@ -88,11 +88,11 @@
     /// id and has forgotten the higher token, so a renewal from here makes
     /// it an owner again. A connection ends with the run of the server that
     /// took it, so renewals over kept ones can't reach a later run.
-    fn reach(&self) -> CallReach {
+    fn reach(&self) -> ConnectionReuse {
         if MonotonicClock.now() < self.sure_until {
-            CallReach::Any
+            ConnectionReuse::Any
         } else {
-            CallReach::Kept
+            ConnectionReuse::Kept
         }
     }
 
@@ -108,7 +108,7 @@
                 outcome,
                 OrderOutcome::NotSent
                     | OrderOutcome::Unknown
-                    | OrderOutcome::Silent
+                    | OrderOutcome::TimedOut
             );
             let service = Arc::clone(&self.service);
             let ended = OrderEnded { service, order, outcome };
@@ -121,7 +121,7 @@
 
 async fn send_order(
     pool: &CallPool,
-    reach: CallReach,
+    reach: ConnectionReuse,
     order: &ServerOrder,
 ) -> OrderOutcome {
     let (first, last) = (order.range.first.get(), order.range.last.get());
@@ -148,7 +148,7 @@
         Ok(answer) => outcome(answer.status, &answer.headers),
         Err(CallFailure::NotSent) => OrderOutcome::NotSent,
         Err(CallFailure::Unknown) => OrderOutcome::Unknown,
-        Err(CallFailure::Silent) => OrderOutcome::Silent,
+        Err(CallFailure::TimedOut) => OrderOutcome::TimedOut,
     }
 }
 
--- a/goldcrestramp-entry/src/control/permits.rs
+++ b/goldcrestramp-entry/src/control/permits.rs
@@ -5,26 +5,26 @@
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use goldcrestramp_assignment::ServerLife;
+use goldcrestramp_assignment::ServerInstance;
 use goldcrestramp_decisions::{PermitGrant, PermitRequest};
 use goldcrestramp_types::{ClockSource, FastMap, LocalTime, MonotonicClock};
 
 use crate::{
     control::ControlActor,
     peers::{PeerCall, PeerClient, PeerReply},
-    records::VmRun,
+    records::VmInstance,
 };
 
 /// Requests for permits, by server.
-pub type PermitRequests = Vec<(ServerLife, PermitRequest)>;
+pub type PermitRequests = Vec<(ServerInstance, PermitRequest)>;
 
 /// The answers to them.
-pub type PermitGrants = Vec<(ServerLife, PermitGrant)>;
+pub type PermitGrants = Vec<(ServerInstance, PermitGrant)>;
 
 #[derive(Debug, Default)]
 struct MailboxState {
     /// What is to be asked, with the moment at which it was put down.
-    requests: FastMap<ServerLife, (PermitRequest, LocalTime)>,
+    requests: FastMap<ServerInstance, (PermitRequest, LocalTime)>,
     /// Answers with the moments at which they came.
     grants: Vec<(LocalTime, PermitGrants)>,
     /// Whether an answer is awaited.
@@ -40,7 +40,7 @@
     pub fn request(
         &self,
         now: LocalTime,
-        server: &ServerLife,
+        server: &ServerInstance,
         request: PermitRequest,
     ) {
         self.lock().requests.insert(server.clone(), (request, now));
@@ -117,7 +117,7 @@
 /// Asks the planning VM; nothing if it can't be asked.
 async fn fetch(
     peers: &PeerClient,
-    planner: Option<VmRun>,
+    planner: Option<VmInstance>,
     requests: PermitRequests,
 ) -> Option<PermitGrants> {
     let planner = planner?;
--- a/goldcrestramp-entry/src/control/ranking.rs
+++ b/goldcrestramp-entry/src/control/ranking.rs
@@ -8,31 +8,31 @@
 
 use goldcrestramp_types::FastMap;
 
-use crate::records::VmRun;
+use crate::records::VmInstance;
 
 /// The VMs of its own failure domain that a VM may follow.
-const INSIDE_MOST: usize = 2;
+const MAX_SOURCES_IN_DOMAIN: usize = 2;
 
 /// The VMs that a VM may follow, in all. Each that is silent costs a part of
 /// the time in which a change has to be known.
-const SOURCES_MOST: usize = 3;
+const MAX_SOURCES: usize = 3;
 
 /// A VM is large if it has at least this part of what the largest has.
 const LARGE_PERCENT: u64 = 50;
 
 /// Whether a VM may plan and be followed while others like it are there.
 #[must_use]
-pub fn is_large(me: &VmRun, vms: &[VmRun]) -> bool {
+pub fn is_large(me: &VmInstance, vms: &[VmInstance]) -> bool {
     has_large_part(me, largest_of(me, vms))
 }
 
 /// The largest capacity there is.
-fn largest_of(me: &VmRun, vms: &[VmRun]) -> u32 {
+fn largest_of(me: &VmInstance, vms: &[VmInstance]) -> u32 {
     let others = vms.iter().map(|vm| vm.capacity).max();
     others.unwrap_or(0).max(me.capacity)
 }
 
-fn has_large_part(vm: &VmRun, largest: u32) -> bool {
+fn has_large_part(vm: &VmInstance, largest: u32) -> bool {
     u64::from(vm.capacity) * 100 >= u64::from(largest) * LARGE_PERCENT
 }
 
@@ -47,20 +47,21 @@
 /// store would fill their links, and callers' requests wait behind them.
 #[must_use]
 pub fn source_vms<'a>(
-    me: &VmRun,
-    vms: &'a [VmRun],
+    me: &VmInstance,
+    vms: &'a [VmInstance],
     is_near: impl Fn(&str) -> bool,
-) -> Vec<&'a VmRun> {
+) -> Vec<&'a VmInstance> {
     let largest = largest_of(me, vms);
-    let is_large = |vm: &VmRun| has_large_part(vm, largest);
-    let large: Vec<&VmRun> = vms.iter().filter(|vm| is_large(vm)).collect();
+    let is_large = |vm: &VmInstance| has_large_part(vm, largest);
+    let large: Vec<&VmInstance> =
+        vms.iter().filter(|vm| is_large(vm)).collect();
     let mut sources = large.clone();
     sources.retain(|vm| {
         vm.domain == me.domain
             && (!is_large(me) || vm.duty_rank() > me.duty_rank())
     });
     sources.sort_unstable_by_key(|vm| Reverse(vm.duty_rank()));
-    sources.truncate(INSIDE_MOST);
+    sources.truncate(MAX_SOURCES_IN_DOMAIN);
     if is_large(me) {
         return sources;
     }
@@ -70,24 +71,27 @@
         Reverse((is_near(&vm.domain), vm.duty_rank()))
     });
     sources.extend(heads);
-    sources.truncate(SOURCES_MOST);
+    sources.truncate(MAX_SOURCES);
     sources
 }
 
 /// The VMs that `me` may ask when its own sources fail: the other large
 /// ones, whose news come from the store or from one VM that follows it.
 #[must_use]
-pub fn advising_vms<'a>(me: &VmRun, vms: &'a [VmRun]) -> Vec<&'a VmRun> {
+pub fn advising_vms<'a>(
+    me: &VmInstance,
+    vms: &'a [VmInstance],
+) -> Vec<&'a VmInstance> {
     let largest = largest_of(me, vms);
     let others = || vms.iter().filter(|vm| vm.vm != me.vm);
-    let large: Vec<&VmRun> =
+    let large: Vec<&VmInstance> =
         others().filter(|vm| has_large_part(vm, largest)).collect();
     if large.is_empty() { others().collect() } else { large }
 }
 
 /// The best ranked VM of each failure domain.
-fn domain_heads(vms: Vec<&VmRun>) -> Vec<&VmRun> {
-    let mut heads: FastMap<&str, &VmRun> = FastMap::default();
+fn domain_heads(vms: Vec<&VmInstance>) -> Vec<&VmInstance> {
+    let mut heads: FastMap<&str, &VmInstance> = FastMap::default();
     for vm in vms {
         let head = heads.entry(&vm.domain).or_insert(vm);
         if vm.duty_rank() > head.duty_rank() {
--- a/goldcrestramp-entry/src/control/service.rs
+++ b/goldcrestramp-entry/src/control/service.rs
@@ -4,16 +4,18 @@
 
 use goldcrestramp_adapter::ServerEntry;
 use goldcrestramp_assignment::{
-    AssignmentTable, HolderFate, MoveWish, PlannerTiming, RunPhase,
-    ServerLife, TablePlanner,
+    AssignmentPhase, AssignmentTable, HolderStatus, MoveRequest,
+    PlannerTiming, ServerInstance, TablePlanner,
 };
 use goldcrestramp_decisions::{
-    PlaceLoad, PlacedRun, RangeLoad, RangeMove, RateLedger, RebalanceSettings,
-    lightest_place, place_uses, rebalancing_moves,
+    PlacedRange, RangeLoad, RangeMove, RateLedger, RebalanceSettings,
+    TargetLoad, lightest_place, place_uses, rebalancing_moves,
 };
 use goldcrestramp_types::{FastMap, LocalTime, SliceRange, TimeSpan};
 
-use crate::control::{load::ServiceLoad, speed::SpeedBook, term::life_of};
+use crate::control::{
+    load::ServiceLoad, speed::SpeedEstimates, term::life_of,
+};
 
 /// How long a grant holds. A server that can't be reached and is gone
 /// leaves its keys without an owner for this long; a planner that is lost
@@ -42,7 +44,7 @@
     /// Whether a commit is on its way.
     pub(crate) committing: bool,
     load: RangeLoad,
-    speeds: SpeedBook,
+    speeds: SpeedEstimates,
     weigh_at: LocalTime,
     resting: Vec<(SliceRange, LocalTime)>,
 }
@@ -65,7 +67,7 @@
             revision,
             committing: false,
             load: RangeLoad::open(now),
-            speeds: SpeedBook::default(),
+            speeds: SpeedEstimates::default(),
             weigh_at: now + WEIGH_PAUSE,
             resting: Vec::new(),
         }
@@ -93,7 +95,7 @@
             return;
         }
         for run in table.runs() {
-            if run.phase == RunPhase::Releasing {
+            if run.phase == AssignmentPhase::Releasing {
                 self.resting.push((run.range, now + REST));
             }
         }
@@ -105,9 +107,9 @@
     pub(crate) fn plan(
         &mut self,
         now: LocalTime,
-        fate: impl Fn(&ServerLife) -> HolderFate,
+        fate: impl Fn(&ServerInstance) -> HolderStatus,
         ready: &[Arc<ServerEntry>],
-        rates: &RateLedger<ServerLife>,
+        rates: &RateLedger<ServerInstance>,
     ) -> Option<AssignmentTable> {
         if self.committing {
             return None;
@@ -131,7 +133,7 @@
         self.planner.plan(now, fate, &wishes, place)
     }
 
-    fn wishes(&self, board: &PlaceBoard) -> Vec<MoveWish> {
+    fn wishes(&self, board: &PlaceBoard) -> Vec<MoveRequest> {
         let settings = RebalanceSettings::for_servers(board.places.len());
         let moves = rebalancing_moves(
             &board.runs,
@@ -149,7 +151,7 @@
                 moves.len()
             );
         }
-        let wish = |chosen: &RangeMove| MoveWish {
+        let wish = |chosen: &RangeMove| MoveRequest {
             range: chosen.range,
             target: board.lives[chosen.target].clone(),
         };
@@ -170,24 +172,24 @@
 
 /// The servers and runs of a service as the rebalancing sees them.
 struct PlaceBoard {
-    lives: Vec<ServerLife>,
-    places: Vec<PlaceLoad>,
-    runs: Vec<PlacedRun>,
+    lives: Vec<ServerInstance>,
+    places: Vec<TargetLoad>,
+    runs: Vec<PlacedRange>,
 }
 
 impl PlaceBoard {
     fn new(
         plan: &ServicePlan,
         ready: &[Arc<ServerEntry>],
-        rates: &RateLedger<ServerLife>,
+        rates: &RateLedger<ServerInstance>,
     ) -> Self {
         let speeds = &plan.speeds;
         let usual = speeds.usual_work_s(ready);
-        let mut lives: Vec<ServerLife> =
+        let mut lives: Vec<ServerInstance> =
             ready.iter().map(|entry| life_of(entry)).collect();
         let pairs = ready.iter().zip(&lives);
-        let mut places: Vec<PlaceLoad> = pairs
-            .map(|(entry, life)| PlaceLoad {
+        let mut places: Vec<TargetLoad> = pairs
+            .map(|(entry, life)| TargetLoad {
                 slots: entry.slots,
                 work_s: speeds
                     .work_s(entry, usual)
@@ -198,21 +200,21 @@
         let table = plan.planner.table();
         // Holders that are no longer ready stand behind, closed.
         let ready = lives.iter().cloned().zip(0..);
-        let ready: FastMap<ServerLife, usize> = ready.collect();
+        let ready: FastMap<ServerInstance, usize> = ready.collect();
         let mut positions = FastMap::default();
         for (key, life) in table.lives() {
             let known = ready.get(life).copied();
             positions.insert(key, known.unwrap_or(lives.len()));
             if known.is_none() {
                 lives.push(life.clone());
-                let gone = PlaceLoad { slots: 1, work_s: usual, open: false };
+                let gone = TargetLoad { slots: 1, work_s: usual, open: false };
                 places.push(gone);
             }
         }
-        let runs = table.runs().iter().map(|run| PlacedRun {
+        let runs = table.runs().iter().map(|run| PlacedRange {
             range: run.range,
             place: positions[&run.life],
-            movable: run.phase == RunPhase::Granted
+            movable: run.phase == AssignmentPhase::Granted
                 && places[positions[&run.life]].open
                 && !plan.resting.iter().any(|(range, _until)| {
                     range.covers(run.range) || run.range.covers(*range)
--- a/goldcrestramp-entry/src/control/source.rs
+++ b/goldcrestramp-entry/src/control/source.rs
@@ -3,19 +3,19 @@
 use goldcrestramp_types::{ClockSource, LocalTime, MonotonicClock};
 
 use crate::{
-    configuration::ConfigurationNews,
+    configuration::ConfigurationUpdate,
     control::{
         ControlActor,
-        message::{AskEnded, PeerNews},
-        news::{NewsSource, told_as_of},
+        message::{PeerQueryEnded, PeerUpdate},
+        news::{UpdateSource, told_as_of},
         ranking::{advising_vms, source_vms},
     },
-    peers::{NewsMarks, PeerCall, PeerReply, StoreNews},
+    peers::{KnownRevisions, PeerCall, PeerReply, StoreUpdate},
 };
 
 /// What came of another VM's news.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct TakenNews {
+pub(crate) struct AppliedUpdate {
     /// Whether anything has changed.
     pub(crate) changed: bool,
     /// Whether everything was taken.
@@ -32,7 +32,7 @@
 
     /// From where changes are followed next: from the store by the planning
     /// VM and by those that have nobody to follow, else from another VM.
-    pub(crate) fn next_source(&mut self, now: LocalTime) -> NewsSource {
+    pub(crate) fn next_source(&mut self, now: LocalTime) -> UpdateSource {
         let revision = self.mirror.revision();
         let sources = if self.term.is_none() {
             let region = self.regions.get(&self.me.domain);
@@ -46,8 +46,8 @@
     }
 
     /// What this VM knows of the store.
-    pub(crate) fn marks(&self) -> NewsMarks {
-        NewsMarks {
+    pub(crate) fn marks(&self) -> KnownRevisions {
+        KnownRevisions {
             revision: self.mirror.revision(),
             tables: self.history.marks(),
             configuration: self.configurations.mark(),
@@ -55,18 +55,18 @@
     }
 
     /// What has changed in the store, for a VM that knows so much of it.
-    pub(crate) fn news_since(&self, known: &NewsMarks) -> StoreNews {
+    pub(crate) fn news_since(&self, known: &KnownRevisions) -> StoreUpdate {
         let tables = self.history.news_for(&known.tables);
         let configuration = self.configurations.news_for(known.configuration);
         let is_known = self.mirror.revision() <= known.revision;
         if is_known && tables.is_empty() && configuration.is_none() {
-            return StoreNews::None;
+            return StoreUpdate::Unchanged;
         }
         if let Some(items) = self.mirror.delta_since(known.revision) {
-            return StoreNews::Changes { items, tables, configuration };
+            return StoreUpdate::Delta { items, tables, configuration };
         }
         let items = self.mirror.without_tables();
-        StoreNews::Whole { items, tables, configuration }
+        StoreUpdate::Snapshot { items, tables, configuration }
     }
 
     /// Takes what another VM says has changed.
@@ -77,11 +77,13 @@
     pub(crate) fn take_news(
         &mut self,
         now: LocalTime,
-        news: StoreNews,
-    ) -> TakenNews {
+        news: StoreUpdate,
+    ) -> AppliedUpdate {
         match news {
-            StoreNews::None => TakenNews { changed: false, whole: true },
-            StoreNews::Changes { items, tables, configuration } => {
+            StoreUpdate::Unchanged => {
+                AppliedUpdate { changed: false, whole: true }
+            }
+            StoreUpdate::Delta { items, tables, configuration } => {
                 let tables = self.take_tables(now, tables);
                 let taken = self.take_configuration(configuration);
                 let whole = tables && taken.whole;
@@ -89,32 +91,32 @@
                 if taken.changed {
                     self.mirror.note_news();
                 }
-                TakenNews { changed: changed || taken.changed, whole }
+                AppliedUpdate { changed: changed || taken.changed, whole }
             }
-            StoreNews::Whole { items, tables, configuration } => {
+            StoreUpdate::Snapshot { items, tables, configuration } => {
                 let tables = self.take_tables(now, tables);
                 let taken = self.take_configuration(configuration);
                 let whole = tables && taken.whole;
                 // Adopted without them, what is missing would not be asked
                 // for.
                 let changed = whole && self.mirror.adopt(items);
-                TakenNews { changed: changed || taken.changed, whole }
+                AppliedUpdate { changed: changed || taken.changed, whole }
             }
         }
     }
 
     fn take_configuration(
         &mut self,
-        news: Option<ConfigurationNews>,
-    ) -> TakenNews {
+        news: Option<ConfigurationUpdate>,
+    ) -> AppliedUpdate {
         let Some(news) = news else {
-            return TakenNews { changed: false, whole: true };
+            return AppliedUpdate { changed: false, whole: true };
         };
         match self.configurations.take_news(news) {
-            Ok(changed) => TakenNews { changed, whole: true },
+            Ok(changed) => AppliedUpdate { changed, whole: true },
             Err(error) => {
                 log::debug!("[control] News were left aside: {error}.");
-                TakenNews { changed: false, whole: false }
+                AppliedUpdate { changed: false, whole: false }
             }
         }
     }
@@ -138,18 +140,18 @@
         self.asking = true;
         tokio::spawn(async move {
             let sent_at = MonotonicClock.now();
-            if let Some(PeerReply::News { news, age, held, .. }) =
+            if let Some(PeerReply::Update { news, age, held, .. }) =
                 peers.call(address, &call).await
             {
                 let as_of = told_as_of(sent_at, held, age);
                 // It says nothing of this VM's own way to the store.
                 let source = None;
-                let news = PeerNews { news, as_of, fresh: false, source };
+                let news = PeerUpdate { news, as_of, fresh: false, source };
                 // The actor is gone only when the process ends.
                 let _gone = control.send(news).await;
             }
             // As above.
-            let _gone = control.send(AskEnded).await;
+            let _gone = control.send(PeerQueryEnded).await;
         });
     }
 }
--- a/goldcrestramp-entry/src/control/speed.rs
+++ b/goldcrestramp-entry/src/control/speed.rs
@@ -6,7 +6,7 @@
 use goldcrestramp_decisions::WorkEstimate;
 use goldcrestramp_types::{FastMap, LocalTime, TimeSpan};
 
-use crate::control::load::AnswerSum;
+use crate::control::load::ResponseTotals;
 
 /// What stands in until servers have answered, in seconds.
 const WORK_FIRST: f32 = 0.1;
@@ -25,15 +25,15 @@
 
 /// The speeds of the servers of a service, by their ids.
 #[derive(Debug, Default)]
-pub(crate) struct SpeedBook(FastMap<Arc<str>, ServerSpeed>);
+pub(crate) struct SpeedEstimates(FastMap<Arc<str>, ServerSpeed>);
 
-impl SpeedBook {
+impl SpeedEstimates {
     /// Counts answers of a server.
     pub(crate) fn answered(
         &mut self,
         now: LocalTime,
         server: &Arc<str>,
-        sum: AnswerSum,
+        sum: ResponseTotals,
     ) {
         let unknown =
             || ServerSpeed { estimate: WorkEstimate::open(now), work_s: None };
--- a/goldcrestramp-entry/src/control/tables.rs
+++ b/goldcrestramp-entry/src/control/tables.rs
@@ -9,36 +9,39 @@
 use goldcrestramp_types::{FastMap, LocalTime};
 
 use crate::{
-    control::{ControlActor, message::TablesTold},
-    history::{TableMark, TableNews},
+    control::{ControlActor, message::TablesReplicated},
+    history::{TableRevision, TableUpdate},
     peers::{PeerCall, PeerReply},
-    records::VmRun,
+    records::VmInstance,
 };
 
 /// What the planning VM has told the others.
 #[derive(Debug, Default)]
-pub(crate) struct TellBook(FastMap<Arc<str>, ToldVm>);
+pub(crate) struct ReplicaTracker(FastMap<Arc<str>, ReplicaState>);
 
 /// What one run of a VM was told.
 #[derive(Debug)]
-struct ToldVm {
+struct ReplicaState {
     start: u64,
     /// The versions that it said it has.
-    known: Vec<TableMark>,
+    known: Vec<TableRevision>,
     /// Whether a call is on its way. Two at once could overtake each other,
     /// and the later change would be one of a version that is not there.
     busy: bool,
 }
 
-impl TellBook {
+impl ReplicaTracker {
     /// What a VM is known to have, if it may be told now.
     fn begin(
         &mut self,
-        vm: &VmRun,
-        usual: &[TableMark],
-    ) -> Option<Vec<TableMark>> {
-        let fresh =
-            || ToldVm { start: vm.start, known: usual.to_vec(), busy: false };
+        vm: &VmInstance,
+        usual: &[TableRevision],
+    ) -> Option<Vec<TableRevision>> {
+        let fresh = || ReplicaState {
+            start: vm.start,
+            known: usual.to_vec(),
+            busy: false,
+        };
         let told = self.0.entry(Arc::clone(&vm.vm)).or_insert_with(fresh);
         if told.start != vm.start {
             *told = fresh();
@@ -49,7 +52,7 @@
         })
     }
 
-    fn ended(&mut self, vm: &VmRun, known: Option<Vec<TableMark>>) {
+    fn ended(&mut self, vm: &VmInstance, known: Option<Vec<TableRevision>>) {
         let told = self.0.get_mut(&vm.vm);
         if let Some(told) = told.filter(|told| told.start == vm.start) {
             told.busy = false;
@@ -59,7 +62,7 @@
         }
     }
 
-    fn retain(&mut self, vms: &[VmRun]) {
+    fn retain(&mut self, vms: &[VmInstance]) {
         self.0.retain(|name, _| vms.iter().any(|vm| vm.vm == *name));
     }
 }
@@ -81,7 +84,7 @@
 
     /// Tells a VM what it does not have; of one that was never told, the
     /// `usual` versions are assumed.
-    fn tell_vm(&mut self, vm: &VmRun, usual: &[TableMark]) {
+    fn tell_vm(&mut self, vm: &VmInstance, usual: &[TableRevision]) {
         let Some(known) = self.told.begin(vm, usual) else { return };
         let news = self.history.news_for(&known);
         if news.is_empty() {
@@ -98,13 +101,13 @@
                 _ => None,
             };
             // The actor is gone only when the process ends.
-            let _gone = control.send(TablesTold { vm, known }).await;
+            let _gone = control.send(TablesReplicated { vm, known }).await;
         });
     }
 
     /// Takes what a VM has after it was told of tables.
-    pub(crate) fn tables_told(&mut self, ended: TablesTold) {
-        let TablesTold { vm, known } = ended;
+    pub(crate) fn tables_told(&mut self, ended: TablesReplicated) {
+        let TablesReplicated { vm, known } = ended;
         let answered = known.is_some();
         self.told.ended(&vm, known);
         if answered && self.term.is_some() {
@@ -116,12 +119,12 @@
     pub(crate) fn take_tables(
         &mut self,
         now: LocalTime,
-        news: Vec<TableNews>,
+        news: Vec<TableUpdate>,
     ) -> bool {
         let mut all = true;
         let mut any = false;
         for table_news in news {
-            let TableMark { key, revision } = table_news.mark.clone();
+            let TableRevision { key, revision } = table_news.mark.clone();
             match self.history.resolve(table_news) {
                 Ok(Some(table)) => {
                     let value = table.encode().into();
--- a/goldcrestramp-entry/src/control/term.rs
+++ b/goldcrestramp-entry/src/control/term.rs
@@ -7,7 +7,7 @@
     StoreTransaction, StoreWrite,
 };
 use goldcrestramp_assignment::{
-    AssignmentTable, HolderFate, OrderKind, OrderOutcome, ServerLife,
+    AssignmentTable, HolderStatus, OrderKind, OrderOutcome, ServerInstance,
 };
 use goldcrestramp_decisions::RateLedger;
 use goldcrestramp_types::{FastSet, LocalTime, TimeSpan};
@@ -19,7 +19,7 @@
         actor::{ByService, PROOF_LIFE},
         lease::LEASE_SPAN,
         message::{CommitEnded, OrderEnded, ReadBack},
-        order::{OrderPermit, OrderSender},
+        order::{OrderGate, OrderSender},
         service::ServicePlan,
     },
     peers::PeerReply,
@@ -36,7 +36,7 @@
 /// the second figure: each is renewed on its own, and there have to be far
 /// fewer than the most that a service may have, or no busy run is cut.
 const FIRST_RUNS: u32 = 256;
-const FIRST_STRIPES_MOST: u32 = 8;
+const MAX_INITIAL_STRIPES: u32 = 8;
 
 /// The term of the planning VM.
 #[derive(Debug)]
@@ -55,9 +55,9 @@
     /// Services whose first table is on its way.
     creating: FastSet<Arc<str>>,
     /// The accounts of servers that name the rate they take.
-    pub(crate) rates: RateLedger<ServerLife>,
+    pub(crate) rates: RateLedger<ServerInstance>,
     /// Lets orders of this term be sent until it ends.
-    pub(crate) permit: Arc<OrderPermit>,
+    pub(crate) permit: Arc<OrderGate>,
 }
 
 impl Drop for PlannerTerm {
@@ -126,32 +126,32 @@
 fn fate_of(
     view: &FleetView,
     returning: bool,
-    life: &ServerLife,
-) -> HolderFate {
+    life: &ServerInstance,
+) -> HolderStatus {
     let own = view.servers.get(&life.id);
     if let Some(entry) = own.filter(|entry| entry.address == life.address) {
         let drains = entry.phase == ServerPhase::Draining;
         let leaving = drains || entry.started_ms != life.started_ms;
         return if leaving {
-            HolderFate::Leaving
+            HolderStatus::Leaving
         } else {
-            HolderFate::Serving
+            HolderStatus::Serving
         };
     }
     let runs_anew = own.is_some_and(|own| own.started_ms > life.started_ms);
     // Orders name the server that they are for: its successor takes none.
     if runs_anew || view.has_successor(life) {
-        HolderFate::Ended
+        HolderStatus::Ended
     } else if returning {
-        HolderFate::Serving
+        HolderStatus::Serving
     } else {
-        HolderFate::Missing
+        HolderStatus::Missing
     }
 }
 
 /// The life of a server that has an entry.
-pub(crate) fn life_of(entry: &ServerEntry) -> ServerLife {
-    ServerLife {
+pub(crate) fn life_of(entry: &ServerEntry) -> ServerInstance {
+    ServerInstance {
         id: Arc::clone(&entry.id),
         started_ms: entry.started_ms,
         address: entry.address,
@@ -195,7 +195,7 @@
                 term.services.insert(Arc::clone(name), plan);
             }
             let Some(service) = term.services.get_mut(name) else { continue };
-            let fate = |life: &ServerLife| fate_of(&view, away, life);
+            let fate = |life: &ServerInstance| fate_of(&view, away, life);
             let ready = view.ready.get(name).map_or(&[][..], Vec::as_slice);
             if plans
                 && let Some(next) = service.plan(now, fate, ready, &term.rates)
@@ -325,7 +325,7 @@
     pub(crate) fn stand_down(&mut self, start: u64) -> PeerReply {
         // Another run answers: the one that is meant is over.
         if start != self.me.start {
-            return PeerReply::StoodDown;
+            return PeerReply::SteppedDown;
         }
         if self.term.is_some() {
             log::warn!("[control] Another VM plans; this one stops.");
@@ -335,7 +335,7 @@
         if self.has_orders_ending() {
             return PeerReply::Busy;
         }
-        PeerReply::StoodDown
+        PeerReply::SteppedDown
     }
 }
 
@@ -376,11 +376,11 @@
     if now.since(settled.1) < SETTLE || term.creating.contains(name) {
         return None;
     }
-    let mut lives: Vec<ServerLife> =
+    let mut lives: Vec<ServerInstance> =
         ready.iter().map(|entry| life_of(entry)).collect();
     lives.sort_by(|a, b| a.id.cmp(&b.id));
     let servers = u32::try_from(lives.len()).unwrap_or(u32::MAX);
-    let stripes = (FIRST_RUNS / servers.max(1)).clamp(1, FIRST_STRIPES_MOST);
+    let stripes = (FIRST_RUNS / servers.max(1)).clamp(1, MAX_INITIAL_STRIPES);
     let table = AssignmentTable::striped(&lives, stripes)?;
     log::info!("[control] {name} gets its first table.");
     term.creating.insert(Arc::clone(name));
--- a/goldcrestramp-entry/src/framing.rs
+++ b/goldcrestramp-entry/src/framing.rs
@@ -12,7 +12,7 @@
 use http::{HeaderMap, HeaderName, HeaderValue, Method, Request, Uri};
 
 /// Headers of a request; the HTTP library takes no more either.
-const HEADERS_MOST: usize = 100;
+const MAX_HEADERS: usize = 100;
 
 /// What stands at the begin of some bytes.
 #[derive(Debug)]
@@ -51,7 +51,7 @@
 /// ```
 #[must_use]
 pub fn frame_request(bytes: &[u8]) -> FrameStep {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS_MOST];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
     let head_bytes = match request.parse(bytes) {
         Ok(httparse::Status::Complete(head_bytes)) => head_bytes,
--- a/goldcrestramp-entry/src/history.rs
+++ b/goldcrestramp-entry/src/history.rs
@@ -14,11 +14,11 @@
 
 /// Versions kept of each table: four commits a second are many, and a VM
 /// that is four seconds behind is told everything.
-const VERSIONS_MOST: usize = 16;
+const MAX_VERSIONS: usize = 16;
 
 /// A version of a table.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
-pub struct TableMark {
+pub struct TableRevision {
     /// The table's key in the store.
     pub key: Arc<str>,
     /// The store's revision of its commit.
@@ -27,25 +27,25 @@
 
 /// A newer version of a table.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct TableNews {
+pub struct TableUpdate {
     /// Which version.
-    pub mark: TableMark,
+    pub mark: TableRevision,
     /// What it is.
-    pub body: TableBody,
+    pub body: TablePayload,
 }
 
 /// What a newer version is.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum TableBody {
+pub enum TablePayload {
     /// What has changed since the version of revision `base`.
-    Changed {
+    Patch {
         /// The revision of the version that was patched.
         base: u64,
         /// What has changed.
         patch: TablePatch,
     },
     /// All of it.
-    Whole(AssignmentTable),
+    Full(AssignmentTable),
 }
 
 #[derive(Debug)]
@@ -73,7 +73,7 @@
             let Ok(table) = AssignmentTable::decode(&item.value) else {
                 continue;
             };
-            if versions.len() >= VERSIONS_MOST {
+            if versions.len() >= MAX_VERSIONS {
                 versions.pop_front();
             }
             let table = Arc::new(table);
@@ -86,18 +86,18 @@
 
     /// The newest version of each table.
     #[must_use]
-    pub fn marks(&self) -> Vec<TableMark> {
+    pub fn marks(&self) -> Vec<TableRevision> {
         let newest = |(key, versions): (&Arc<str>, &VecDeque<_>)| {
             let last: &TableVersion = versions.back()?;
             let key = Arc::clone(key);
-            Some(TableMark { key, revision: last.revision })
+            Some(TableRevision { key, revision: last.revision })
         };
         self.versions.iter().filter_map(newest).collect()
     }
 
     /// The newest versions, for a VM that has `known` ones.
     #[must_use]
-    pub fn news_for(&self, known: &[TableMark]) -> Vec<TableNews> {
+    pub fn news_for(&self, known: &[TableRevision]) -> Vec<TableUpdate> {
         let mut news = Vec::new();
         for (key, versions) in &self.versions {
             let Some(last) = versions.back() else { continue };
@@ -108,15 +108,15 @@
             }
             let former = versions.iter().find(|v| v.revision == base);
             let body = match former {
-                Some(former) => TableBody::Changed {
+                Some(former) => TablePayload::Patch {
                     base,
                     patch: last.table.patch_from(&former.table),
                 },
-                None => TableBody::Whole((*last.table).clone()),
+                None => TablePayload::Full((*last.table).clone()),
             };
             let key = Arc::clone(key);
-            let mark = TableMark { key, revision: last.revision };
-            news.push(TableNews { mark, body });
+            let mark = TableRevision { key, revision: last.revision };
+            news.push(TableUpdate { mark, body });
         }
         news
     }
@@ -129,7 +129,7 @@
     /// [`TableError`] if they were made for another version.
     pub fn resolve(
         &self,
-        news: TableNews,
+        news: TableUpdate,
     ) -> Result<Option<AssignmentTable>, TableError> {
         let versions = self.versions.get(&news.mark.key);
         let last = versions.and_then(VecDeque::back);
@@ -137,8 +137,8 @@
             return Ok(None);
         }
         match news.body {
-            TableBody::Whole(table) => Ok(Some(table)),
-            TableBody::Changed { base, patch } => last
+            TablePayload::Full(table) => Ok(Some(table)),
+            TablePayload::Patch { base, patch } => last
                 .filter(|last| last.revision == base)
                 .ok_or(TableError)
                 .and_then(|last| last.table.patched(&patch).map(Some)),
--- a/goldcrestramp-entry/src/http.rs
+++ b/goldcrestramp-entry/src/http.rs
@@ -27,7 +27,7 @@
 pub type SendBody = Either<Full<Bytes>, Incoming>;
 
 /// The sender of one connection.
-pub type LinkSender = SendRequest<SendBody>;
+pub type ConnectionSender = SendRequest<SendBody>;
 
 /// The first packet of a connection may wait for its second try, which the
 /// kernel makes after a second; a new connection elsewhere is sooner.
@@ -45,7 +45,7 @@
 
 /// What happens to bytes on the way when a connection is given up.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum LinkEnd {
+pub enum CloseMode {
     /// They may still arrive.
     Close,
     /// They are discarded: a late order must not come after newer ones.
@@ -54,13 +54,13 @@
 
 /// How much of an answer the limit of a call covers.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum LimitScope {
+pub enum TimeoutScope {
     /// All of it: short answers, whose callers act on their absence.
-    WholeAnswer,
+    FullResponse,
     /// Its head. The rest may take any time, as long as it does not stall:
     /// a large answer that is given up half way and asked for again would
     /// cross a full link any number of times and never be had.
-    AnswerHead,
+    ResponseHead,
 }
 
 /// Why a call brought no answer.
@@ -71,12 +71,12 @@
     /// The connection ended; it may have been carried out.
     Unknown,
     /// No answer came in time; it may be carried out later.
-    Silent,
+    TimedOut,
 }
 
 /// An answer that was read whole.
 #[derive(Clone, Debug)]
-pub struct CallAnswer {
+pub struct CallResponse {
     /// The status.
     pub status: StatusCode,
     /// The headers.
@@ -92,8 +92,8 @@
 /// The error of the socket when it can't be made in time.
 pub async fn dial(
     address: SocketAddr,
-    end: LinkEnd,
-) -> std::io::Result<LinkSender> {
+    end: CloseMode,
+) -> std::io::Result<ConnectionSender> {
     let socket = TcpSocket::new_v4()?;
     let options = SockRef::from(&socket);
     options.set_tcp_user_timeout(Some(USER_TIMEOUT))?;
@@ -102,7 +102,7 @@
         .with_interval(KEEPALIVE_IDLE)
         .with_retries(KEEPALIVE_TRIES);
     options.set_tcp_keepalive(&keepalive)?;
-    if end == LinkEnd::Reset {
+    if end == CloseMode::Reset {
         options.set_linger(Some(Duration::ZERO))?;
     }
     let stream = timeout(CONNECT_TIMEOUT, socket.connect(address)).await??;
@@ -136,11 +136,11 @@
 }
 
 /// Kept connections by address.
-type IdleLinks = FastMap<SocketAddr, Vec<LinkSender>>;
+type IdleConnections = FastMap<SocketAddr, Vec<ConnectionSender>>;
 
 /// Over which connections a call may go.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum CallReach {
+pub enum ConnectionReuse {
     /// A kept one, or a new one.
     Any,
     /// A kept one only.
@@ -150,21 +150,21 @@
 /// Calls over kept connections, one call at a time on each.
 #[derive(Debug)]
 pub struct CallPool {
-    end: LinkEnd,
-    scope: LimitScope,
+    end: CloseMode,
+    scope: TimeoutScope,
     answer_bytes_most: usize,
-    idle: Mutex<IdleLinks>,
+    idle: Mutex<IdleConnections>,
 }
 
 /// Connections kept to one address; more are only open in a rush.
-const IDLE_MOST: usize = 2;
+const MAX_IDLE: usize = 2;
 
 impl CallPool {
     /// Opens a pool with no connection.
     #[must_use]
     pub fn open(
-        end: LinkEnd,
-        scope: LimitScope,
+        end: CloseMode,
+        scope: TimeoutScope,
         answer_bytes_most: usize,
     ) -> Self {
         Self { end, scope, answer_bytes_most, idle: Mutex::default() }
@@ -179,13 +179,13 @@
     pub async fn call(
         &self,
         request: CallRequest,
-        reach: CallReach,
+        reach: ConnectionReuse,
         limit: Duration,
-    ) -> Result<CallAnswer, CallFailure> {
+    ) -> Result<CallResponse, CallFailure> {
         let address = request.address;
         let sender = match self.take_idle(address).await {
             Some(sender) => sender,
-            None if reach == CallReach::Kept => {
+            None if reach == ConnectionReuse::Kept => {
                 return Err(CallFailure::NotSent);
             }
             None => dial(address, self.end)
@@ -196,13 +196,13 @@
         let most = self.answer_bytes_most;
         let exchange = exchange(sender, request, limit, most, &progress);
         let exchanged = match self.scope {
-            LimitScope::AnswerHead => exchange.await,
-            LimitScope::WholeAnswer => timeout(limit, exchange)
+            TimeoutScope::ResponseHead => exchange.await,
+            TimeoutScope::FullResponse => timeout(limit, exchange)
                 .await
-                .unwrap_or(Err(CallFailure::Silent)),
+                .unwrap_or(Err(CallFailure::TimedOut)),
         };
         let (sender, answer) = exchanged.inspect_err(|failure| {
-            if *failure == CallFailure::Silent {
+            if *failure == CallFailure::TimedOut {
                 progress.log_given_up(address);
             }
         })?;
@@ -211,7 +211,10 @@
         Ok(answer)
     }
 
-    async fn take_idle(&self, address: SocketAddr) -> Option<LinkSender> {
+    async fn take_idle(
+        &self,
+        address: SocketAddr,
+    ) -> Option<ConnectionSender> {
         loop {
             let sender = self.pop_idle(address)?;
             if let Some(sender) = usable(sender).await {
@@ -220,26 +223,26 @@
         }
     }
 
-    fn pop_idle(&self, address: SocketAddr) -> Option<LinkSender> {
+    fn pop_idle(&self, address: SocketAddr) -> Option<ConnectionSender> {
         self.idle().get_mut(&address)?.pop()
     }
 
-    fn keep(&self, address: SocketAddr, sender: LinkSender) {
+    fn keep(&self, address: SocketAddr, sender: ConnectionSender) {
         let mut idle = self.idle();
         let kept = idle.entry(address).or_default();
-        if kept.len() < IDLE_MOST && !sender.is_closed() {
+        if kept.len() < MAX_IDLE && !sender.is_closed() {
             kept.push(sender);
         }
     }
 
-    fn idle(&self) -> MutexGuard<'_, IdleLinks> {
+    fn idle(&self) -> MutexGuard<'_, IdleConnections> {
         // A list of connections is valid whatever happened to its holder.
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 /// The sender, if its connection still takes a request.
-pub async fn usable(mut sender: LinkSender) -> Option<LinkSender> {
+pub async fn usable(mut sender: ConnectionSender) -> Option<ConnectionSender> {
     if sender.is_closed() {
         return None;
     }
@@ -302,13 +305,13 @@
 }
 
 async fn exchange(
-    mut sender: LinkSender,
+    mut sender: ConnectionSender,
     request: CallRequest,
     limit: Duration,
     answer_bytes_most: usize,
     progress: &CallProgress,
-) -> Result<(LinkSender, CallAnswer), CallFailure> {
-    let silent = |_elapsed| CallFailure::Silent;
+) -> Result<(ConnectionSender, CallResponse), CallFailure> {
+    let silent = |_elapsed| CallFailure::TimedOut;
     let sent = sender.try_send_request(http_request(request));
     let sent = timeout(limit, sent).await.map_err(silent)?;
     let response = sent.map_err(|mut error| match error.take_message() {
@@ -331,7 +334,7 @@
     }
     let body = bytes.freeze();
     let answer =
-        CallAnswer { status: parts.status, headers: parts.headers, body };
+        CallResponse { status: parts.status, headers: parts.headers, body };
     Ok((sender, answer))
 }
 
--- a/goldcrestramp-entry/src/logs/budget.rs
+++ b/goldcrestramp-entry/src/logs/budget.rs
@@ -5,7 +5,7 @@
 /// Lines of one part in a second. A line is about 200 bytes, so a part in
 /// trouble writes 20 kB a second; a busy VM refuses some thousand requests
 /// in that time.
-const LINES_MOST: u32 = 100;
+const MAX_LINES: u32 = 100;
 
 const WINDOW: TimeSpan = TimeSpan::from_millis(1_000);
 
@@ -46,7 +46,7 @@
             count.since = now;
             count.lines = 0;
         }
-        if count.lines >= LINES_MOST {
+        if count.lines >= MAX_LINES {
             count.left_out += 1;
             return LineVerdict::LeaveOut;
         }
--- a/goldcrestramp-entry/src/logs/writer.rs
+++ b/goldcrestramp-entry/src/logs/writer.rs
@@ -23,10 +23,10 @@
 
 /// Lines that wait to be written. A reader that stops reading fills this,
 /// and from then on lines are dropped and counted: nobody waits.
-const WAITING_MOST: usize = 1_024;
+const MAX_QUEUED_LINES: usize = 1_024;
 
 /// How long the end of the process waits for lines to be written.
-const FLUSH_MOST: Duration = Duration::from_millis(100);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// How many lines were handed over and written.
 #[derive(Debug, Default)]
@@ -48,7 +48,7 @@
     /// Starts the thread that writes to `out`.
     #[must_use]
     pub fn spawn(out: impl Write + Send + 'static) -> Self {
-        let (lines, waiting) = sync_channel(WAITING_MOST);
+        let (lines, waiting) = sync_channel(MAX_QUEUED_LINES);
         let counts = Arc::<LineCounts>::default();
         let known = Arc::clone(&counts);
         thread::spawn(move || write_lines(out, &waiting, &known));
@@ -115,7 +115,7 @@
     }
 
     fn flush(&self) -> io::Result<()> {
-        let end = Instant::now() + FLUSH_MOST;
+        let end = Instant::now() + FLUSH_TIMEOUT;
         let counts = &self.counts;
         while counts.written.load(Ordering::Relaxed)
             < counts.handed.load(Ordering::Relaxed)
--- a/goldcrestramp-entry/src/mirror.rs
+++ b/goldcrestramp-entry/src/mirror.rs
@@ -27,7 +27,7 @@
 
 /// Removals that are remembered, so that another VM can be told only what
 /// has changed: a whole fleet of servers that leaves within a second.
-const REMOVALS_MOST: usize = 512;
+const MAX_REMOVALS: usize = 512;
 
 /// What has changed in the store since a revision.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -158,7 +158,7 @@
         if known.is_some_and(|known| known.revision < revision) {
             self.items.remove(key);
         }
-        if self.removed.len() >= REMOVALS_MOST
+        if self.removed.len() >= MAX_REMOVALS
             && let Some((_key, oldest)) = self.removed.pop_front()
         {
             self.removed_since = self.removed_since.max(oldest);
--- a/goldcrestramp-entry/src/peers/client.rs
+++ b/goldcrestramp-entry/src/peers/client.rs
@@ -5,7 +5,7 @@
 use http::{HeaderMap, Method};
 
 use crate::{
-    http::{CallPool, CallReach, CallRequest, LimitScope, LinkEnd},
+    http::{CallPool, CallRequest, CloseMode, ConnectionReuse, TimeoutScope},
     peers::{
         PEER_PATH,
         message::{PeerCall, PeerReply},
@@ -22,7 +22,7 @@
 const COPY_LIMIT: Duration = Duration::from_secs(2);
 
 /// A copy of the store is some hundred kilobytes at most.
-const ANSWER_BYTES_MOST: usize = 16 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
 /// A client of the other VMs; cheap to clone.
 #[derive(Clone, Debug)]
@@ -35,9 +35,9 @@
     #[must_use]
     pub fn open() -> Self {
         let pool = CallPool::open(
-            LinkEnd::Close,
-            LimitScope::AnswerHead,
-            ANSWER_BYTES_MOST,
+            CloseMode::Close,
+            TimeoutScope::ResponseHead,
+            MAX_RESPONSE_BYTES,
         );
         Self { pool: Arc::new(pool) }
     }
@@ -72,7 +72,7 @@
             body: body.into(),
         };
         let answer =
-            self.pool.call(request, CallReach::Any, limit).await.ok()?;
+            self.pool.call(request, ConnectionReuse::Any, limit).await.ok()?;
         postcard::from_bytes(&answer.body).ok()
     }
 }
--- a/goldcrestramp-entry/src/peers/message.rs
+++ b/goldcrestramp-entry/src/peers/message.rs
@@ -4,9 +4,9 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    configuration::{ConfigurationMark, ConfigurationNews},
+    configuration::{ConfigurationRevision, ConfigurationUpdate},
     control::{LoadReport, PermitGrants, PermitRequests},
-    history::{TableMark, TableNews},
+    history::{TableRevision, TableUpdate},
     mirror::{MirrorDelta, StoreMirror},
 };
 
@@ -16,16 +16,16 @@
     /// Asks for what has changed in the store.
     Sync {
         /// What the asking VM knows.
-        known: NewsMarks,
+        known: KnownRevisions,
         /// Whether to wait for a change, if there is none yet.
         wait: bool,
     },
     /// Tells of tables that were committed.
-    Tables(Vec<TableNews>),
+    Tables(Vec<TableUpdate>),
     /// Tells the planning VM what was asked for.
     Load(LoadReport),
     /// Tells a former planner that another has taken its place.
-    StandDown {
+    StepDown {
         /// The run of the program that is meant.
         start: u64,
     },
@@ -35,13 +35,13 @@
 
 /// How much of the store a VM knows.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct NewsMarks {
+pub struct KnownRevisions {
     /// The revision up to which it knows all changes.
     pub revision: u64,
     /// The versions of the tables that it has.
-    pub tables: Vec<TableMark>,
+    pub tables: Vec<TableRevision>,
     /// How much of the configuration it knows.
-    pub configuration: ConfigurationMark,
+    pub configuration: ConfigurationRevision,
 }
 
 /// What has changed in the store.
@@ -49,26 +49,26 @@
 /// Tables and the configuration stand apart, as they are told by what has
 /// changed in them.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum StoreNews {
+pub enum StoreUpdate {
     /// Nothing.
-    None,
+    Unchanged,
     /// Some of it.
-    Changes {
+    Delta {
         /// Items that have changed.
         items: MirrorDelta,
         /// Tables that have changed.
-        tables: Vec<TableNews>,
+        tables: Vec<TableUpdate>,
         /// The configuration, if it has changed.
-        configuration: Option<ConfigurationNews>,
+        configuration: Option<ConfigurationUpdate>,
     },
     /// More than is remembered: all of it.
-    Whole {
+    Snapshot {
         /// All other items.
         items: StoreMirror,
         /// Tables that have changed.
-        tables: Vec<TableNews>,
+        tables: Vec<TableUpdate>,
         /// The configuration, if it has changed.
-        configuration: Option<ConfigurationNews>,
+        configuration: Option<ConfigurationUpdate>,
     },
 }
 
@@ -76,13 +76,13 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum PeerReply {
     /// It was taken.
-    Taken,
+    Accepted,
     /// The versions of the tables that the VM has now.
-    Tables(Vec<TableMark>),
+    Tables(Vec<TableRevision>),
     /// What has changed in the store.
-    News {
+    Update {
         /// The changes.
-        news: StoreNews,
+        news: StoreUpdate,
         /// How long ago the store was as these tell.
         age: TimeSpan,
         /// For how long the call had waited for news by then.
@@ -91,7 +91,7 @@
         fresh: bool,
     },
     /// That run plans no more and has no order under way.
-    StoodDown,
+    SteppedDown,
     /// That run still has orders under way.
     Busy,
     /// The permits that were given.
--- a/goldcrestramp-entry/src/peers/mod.rs
+++ b/goldcrestramp-entry/src/peers/mod.rs
@@ -10,7 +10,7 @@
 
 pub use crate::peers::{
     client::PeerClient,
-    message::{NewsMarks, PeerCall, PeerReply, StoreNews},
+    message::{KnownRevisions, PeerCall, PeerReply, StoreUpdate},
     server::{PeerSource, serve_peers},
 };
 
--- a/goldcrestramp-entry/src/peers/server.rs
+++ b/goldcrestramp-entry/src/peers/server.rs
@@ -17,7 +17,7 @@
 };
 
 /// A call is a load report or a table, some ten kilobytes.
-const CALL_BYTES_MOST: usize = 4 * 1024 * 1024;
+const MAX_CALL_BYTES: usize = 4 * 1024 * 1024;
 
 /// A call that waits for changes waits so long at the most; its caller
 /// gives it up a little later. A frozen source is then left in time for a
@@ -59,7 +59,7 @@
     }
     let waited = MonotonicClock.now().since(arrived);
     let mut reply: Option<PeerReply> = source.control.send(call).await.ok();
-    if let Some(PeerReply::News { held, .. }) = &mut reply {
+    if let Some(PeerReply::Update { held, .. }) = &mut reply {
         *held = waited;
     }
     let body = reply.and_then(|reply| postcard::to_allocvec(&reply).ok());
@@ -70,7 +70,7 @@
 }
 
 async fn read_call(request: Request<Incoming>) -> Option<PeerCall> {
-    let body = Limited::new(request.into_body(), CALL_BYTES_MOST);
+    let body = Limited::new(request.into_body(), MAX_CALL_BYTES);
     let bytes = body.collect().await.ok()?.to_bytes();
     postcard::from_bytes(&bytes).ok()
 }
--- a/goldcrestramp-entry/src/records.rs
+++ b/goldcrestramp-entry/src/records.rs
@@ -31,7 +31,7 @@
 
 /// One run of the program on one VM.
 #[derive(Clone, Debug, Eq, Hash, PartialEq, Serialize, Deserialize)]
-pub struct VmRun {
+pub struct VmInstance {
     /// The VM's name.
     pub vm: Arc<str>,
     /// A random number, drawn at the process's start.
@@ -52,7 +52,7 @@
     weight: u64,
 }
 
-impl VmRun {
+impl VmInstance {
     /// Its rank for planning and for following the store.
     ///
     /// Where VMs differ, the large ones come first. Planning for hundreds of
--- a/goldcrestramp-entry/src/run.rs
+++ b/goldcrestramp-entry/src/run.rs
@@ -16,7 +16,7 @@
     control::{ControlHandle, spawn_control},
     metrics::{METRICS_PORT, serve_metrics},
     ready::serve_ready,
-    records::VmRun,
+    records::VmInstance,
     shared::SharedState,
     traffic::{TrafficGate, spawn_traffic},
     view::FleetView,
@@ -38,7 +38,7 @@
     /// It serves.
     Serving,
     /// It serves, and asks callers to connect elsewhere.
-    Leaving,
+    Draining,
     /// It takes no new connection and ends each after its answer.
     Closing,
 }
@@ -131,7 +131,7 @@
     let end = begin + grace.saturating_sub(GRACE_MARGIN);
     let close_at = begin + LEAVE_TIME.min(grace / 2);
     log::info!("[stop] SIGTERM: this VM leaves.");
-    phases.send_replace(StopPhase::Leaving);
+    phases.send_replace(StopPhase::Draining);
     // A store that is silent keeps this from ending. Waited for first, it
     // puts off the close, and requests are taken that have no time left.
     if timeout_at(close_at, control.stop()).await.is_err() {
@@ -254,7 +254,7 @@
             log::warn!("[metrics] No metrics are served: {error}.");
         }
     }
-    let me = VmRun {
+    let me = VmInstance {
         vm: Arc::clone(&settings.vm),
         start: rand::random(),
         domain: Arc::clone(&settings.domain),
--- a/goldcrestramp-entry/src/shared.rs
+++ b/goldcrestramp-entry/src/shared.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use crate::{
-    control::{LoadBook, NewsClock, PermitMailbox},
+    control::{FreshnessClock, LoadRecorder, PermitMailbox},
     metrics::EntryMetrics,
 };
 
@@ -11,11 +11,11 @@
 #[derive(Clone, Debug, Default)]
 pub struct SharedState {
     /// What was asked for, told to the planning VM.
-    pub loads: LoadBook,
+    pub loads: LoadRecorder,
     /// Permits for servers that name a limit.
     pub permits: PermitMailbox,
     /// What is counted.
     pub metrics: Arc<EntryMetrics>,
     /// The moment up to which the store's changes are known.
-    pub clock: NewsClock,
+    pub clock: FreshnessClock,
 }
--- a/goldcrestramp-entry/src/store.rs
+++ b/goldcrestramp-entry/src/store.rs
@@ -9,7 +9,8 @@
 };
 
 use crate::http::{
-    CallFailure, CallPool, CallReach, CallRequest, LimitScope, LinkEnd,
+    CallFailure, CallPool, CallRequest, CloseMode, ConnectionReuse,
+    TimeoutScope,
 };
 
 /// A call without an answer is given up after so long: the store answers
@@ -22,7 +23,7 @@
 const PAGE_LIMIT: Duration = Duration::from_secs(4);
 
 /// An answer is at most a page of items: 1 MB, a third more as text.
-const ANSWER_BYTES_MOST: usize = 4 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
 
 /// Why the store gave no usable answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -65,9 +66,9 @@
     #[must_use]
     pub fn open(address: SocketAddr) -> Self {
         let pool = CallPool::open(
-            LinkEnd::Close,
-            LimitScope::AnswerHead,
-            ANSWER_BYTES_MOST,
+            CloseMode::Close,
+            TimeoutScope::ResponseHead,
+            MAX_RESPONSE_BYTES,
         );
         Self { address, pool }
     }
@@ -96,10 +97,11 @@
             StoreCall::Range { .. } => PAGE_LIMIT,
             _ => CALL_LIMIT,
         };
-        let answer = self.pool.call(request, CallReach::Any, limit).await;
+        let answer =
+            self.pool.call(request, ConnectionReuse::Any, limit).await;
         let answer = answer.map_err(|failure| match failure {
             CallFailure::NotSent => StoreFailure::NotDone,
-            CallFailure::Unknown | CallFailure::Silent => {
+            CallFailure::Unknown | CallFailure::TimedOut => {
                 StoreFailure::Unknown
             }
         })?;
--- a/goldcrestramp-entry/src/traffic/answer.rs
+++ b/goldcrestramp-entry/src/traffic/answer.rs
@@ -14,7 +14,7 @@
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 
 use crate::{
-    http::LinkSender,
+    http::ConnectionSender,
     traffic::{
         headers::strip_connection, reason::EndReason, server::ServerSlot,
     },
@@ -23,28 +23,28 @@
 /// Answers up to this size are read whole before the caller gets a byte,
 /// so that one that breaks off can be asked for again, and the server is
 /// free as soon as it is done, however slowly the caller reads.
-const HELD_BYTES_MOST: usize = 256 * 1024;
+const MAX_BUFFERED_BYTES: usize = 256 * 1024;
 
 /// The body of an answer.
 #[derive(Debug)]
-pub(crate) enum AnswerBody {
+pub(crate) enum ResponseBody {
     /// All of it.
     Whole(Full<Bytes>),
     /// What was read, and what is still to come.
-    Streamed(Box<StreamedAnswer>),
+    Streamed(Box<StreamedResponse>),
 }
 
 /// An answer that passes through; it holds its place at the server.
 #[derive(Debug)]
-pub(crate) struct StreamedAnswer {
+pub(crate) struct StreamedResponse {
     begun: Option<Bytes>,
     rest: Incoming,
     size: Option<u64>,
     _slot: ServerSlot,
-    _link: LinkSender,
+    _link: ConnectionSender,
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = hyper::Error;
 
@@ -85,7 +85,7 @@
 
 /// The body of a server's answer as far as it has to be read.
 #[derive(Debug)]
-pub(crate) enum ReadAnswer {
+pub(crate) enum ReadResponse {
     /// All of it.
     Whole(Bytes),
     /// The begin of a large one.
@@ -95,14 +95,14 @@
 /// Reads a server's answer, whole if it is not large.
 pub(crate) async fn read_answer(
     mut body: Incoming,
-) -> Result<ReadAnswer, hyper::Error> {
+) -> Result<ReadResponse, hyper::Error> {
     let mut read: Vec<u8> = Vec::new();
     loop {
-        if read.len() > HELD_BYTES_MOST {
-            return Ok(ReadAnswer::Begun(read.into(), body));
+        if read.len() > MAX_BUFFERED_BYTES {
+            return Ok(ReadResponse::Begun(read.into(), body));
         }
         match body.frame().await {
-            None => return Ok(ReadAnswer::Whole(read.into())),
+            None => return Ok(ReadResponse::Whole(read.into())),
             Some(frame) => {
                 if let Ok(data) = frame?.into_data() {
                     read.extend_from_slice(&data);
@@ -117,8 +117,8 @@
     status: StatusCode,
     headers: HeaderMap,
     body: Bytes,
-) -> Response<AnswerBody> {
-    let body = AnswerBody::Whole(Full::new(body));
+) -> Response<ResponseBody> {
+    let body = ResponseBody::Whole(Full::new(body));
     forwarded(status, headers, body)
 }
 
@@ -129,20 +129,21 @@
     begun: Bytes,
     rest: Incoming,
     slot: ServerSlot,
-    link: LinkSender,
-) -> Response<AnswerBody> {
+    link: ConnectionSender,
+) -> Response<ResponseBody> {
     let left = rest.size_hint().exact();
     let size = left.map(|left| left + begun.len() as u64);
     let begun = Some(begun);
-    let body = StreamedAnswer { begun, rest, size, _slot: slot, _link: link };
-    forwarded(status, headers, AnswerBody::Streamed(Box::new(body)))
+    let body =
+        StreamedResponse { begun, rest, size, _slot: slot, _link: link };
+    forwarded(status, headers, ResponseBody::Streamed(Box::new(body)))
 }
 
 fn forwarded(
     status: StatusCode,
     mut headers: HeaderMap,
-    body: AnswerBody,
-) -> Response<AnswerBody> {
+    body: ResponseBody,
+) -> Response<ResponseBody> {
     strip_connection(&mut headers);
     headers.remove(http::header::CONTENT_LENGTH);
     let mut response = Response::new(body);
@@ -156,10 +157,10 @@
     reason: EndReason,
     may_have_run: bool,
     retry_after: TimeSpan,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let status = own_status(reason, may_have_run);
     let body = Full::new(Bytes::from_static(reason.code().as_bytes()));
-    let mut response = Response::new(AnswerBody::Whole(body));
+    let mut response = Response::new(ResponseBody::Whole(body));
     *response.status_mut() = status;
     if status == StatusCode::SERVICE_UNAVAILABLE {
         let seconds = retry_after.to_std().as_secs_f64();
