--- a/goldcrestramp-entry/src/traffic/attempt.rs
+++ b/goldcrestramp-entry/src/traffic/attempt.rs
@@ -3,7 +3,7 @@
 use std::{pin::pin, rc::Rc, time::Duration};
 
 use goldcrestramp_adapter::headers as names;
-use goldcrestramp_decisions::{ServerSign, ServerWay};
+use goldcrestramp_decisions::{ServerProximity, ServerSignal};
 use goldcrestramp_types::{ClockSource, LocalTime, MonotonicClock, TimeSpan};
 use http::{
     HeaderMap, HeaderValue, Request, Response, StatusCode,
@@ -13,10 +13,11 @@
 use tokio::time::{error::Elapsed, timeout};
 
 use crate::{
-    http::LinkSender,
+    http::ConnectionSender,
     traffic::{
         answer::{
-            AnswerBody, ReadAnswer, read_answer, streamed_answer, whole_answer,
+            ReadResponse, ResponseBody, read_answer, streamed_answer,
+            whole_answer,
         },
         choose::has_other_owner,
         headers::text,
@@ -35,11 +36,11 @@
 
 /// What came of a send.
 #[derive(Debug)]
-pub(crate) enum AttemptEnd {
+pub(crate) enum AttemptOutcome {
     /// The server's answer, for the caller.
-    Answered(Response<AnswerBody>),
+    Answered(Response<ResponseBody>),
     /// The server's answer is a failure of its own; it ran.
-    Failed(Response<AnswerBody>),
+    Failed(Response<ResponseBody>),
     /// The server states that it did not run the request.
     NotRun,
     /// The server does not hold the key, or another one answered.
@@ -50,12 +51,12 @@
     /// to this request.
     Broken,
     /// No answer came in the time that it was given.
-    Silent,
+    TimedOut,
     /// Another server owns the key by now, and no answer has come.
     OwnerChanged,
 }
 
-impl AttemptEnd {
+impl AttemptOutcome {
     /// The stable code in logs and counters.
     pub(crate) const fn code(&self) -> &'static str {
         match self {
@@ -65,7 +66,7 @@
             Self::Misdirected => "misdirected",
             Self::NotSent => "not-sent",
             Self::Broken => "broken",
-            Self::Silent => "silent",
+            Self::TimedOut => "silent",
             Self::OwnerChanged => "owner-changed",
         }
     }
@@ -74,7 +75,7 @@
 /// How long a send may take, and where it goes.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptPlan {
-    pub(crate) way: ServerWay,
+    pub(crate) way: ServerProximity,
     /// How long the begin of an answer is waited for.
     pub(crate) answer_timeout: TimeSpan,
     /// Whether the request goes to the key's next owner when it changes.
@@ -88,17 +89,17 @@
     request: &mut RoutedRequest,
     slot: ServerSlot,
     plan: AttemptPlan,
-) -> AttemptEnd {
+) -> AttemptOutcome {
     let left = request.left(MonotonicClock.now());
     let linked = timeout(left.to_std(), slot.server.link()).await;
     let Ok(Ok(link)) = linked else {
-        slot.end(MonotonicClock.now(), ServerSign::Unreachable);
-        return AttemptEnd::NotSent;
+        slot.end(MonotonicClock.now(), ServerSignal::Unreachable);
+        return AttemptOutcome::NotSent;
     };
     let now = MonotonicClock.now();
     let Some(outgoing) = outgoing(request, &slot, plan.way, now) else {
-        slot.end(now, ServerSign::Cancelled);
-        return AttemptEnd::NotSent;
+        slot.end(now, ServerSignal::Cancelled);
+        return AttemptOutcome::NotSent;
     };
     exchange(state, request, slot, link, outgoing, plan).await
 }
@@ -107,10 +108,10 @@
     state: &Rc<TrafficState>,
     request: &RoutedRequest,
     slot: ServerSlot,
-    mut link: LinkSender,
+    mut link: ConnectionSender,
     outgoing: Request<crate::http::SendBody>,
     plan: AttemptPlan,
-) -> AttemptEnd {
+) -> AttemptOutcome {
     let sent = link.try_send_request(outgoing);
     let response = wait_for_answer(state, request, sent, plan);
     // A former owner has answered all that it ran before the next one is
@@ -121,49 +122,49 @@
         () = wait_for_next_owner(state, request, &slot.server),
             if plan.follows_owner =>
         {
-            slot.end(MonotonicClock.now(), ServerSign::Cancelled);
-            return AttemptEnd::OwnerChanged;
+            slot.end(MonotonicClock.now(), ServerSignal::Cancelled);
+            return AttemptOutcome::OwnerChanged;
         }
     };
     let now = MonotonicClock.now();
     let response = match response {
         Err(_elapsed) => {
-            slot.end(now, ServerSign::Broken);
-            return AttemptEnd::Silent;
+            slot.end(now, ServerSignal::Broken);
+            return AttemptOutcome::TimedOut;
         }
         Ok(Err(mut error)) => {
             // A kept connection that the server had closed says nothing of
             // the server.
             if error.take_message().is_some() {
-                slot.end(now, ServerSign::Cancelled);
-                return AttemptEnd::NotSent;
+                slot.end(now, ServerSignal::Cancelled);
+                return AttemptOutcome::NotSent;
             }
-            slot.end(now, ServerSign::Broken);
-            return AttemptEnd::Broken;
+            slot.end(now, ServerSignal::Broken);
+            return AttemptOutcome::Broken;
         }
         Ok(Ok(response)) => response,
     };
     slot.replied(now);
     let (parts, body) = response.into_parts();
     match judge(request, &parts) {
-        AnswerKind::Foreign => {
-            slot.end(now, ServerSign::Broken);
-            AttemptEnd::Broken
+        ResponseKind::Foreign => {
+            slot.end(now, ServerSignal::Broken);
+            AttemptOutcome::Broken
         }
-        AnswerKind::NotRun(misdirected) => {
+        ResponseKind::NotRun(misdirected) => {
             // Another server at the address speaks for itself.
             if !misdirected {
                 state.note_rate(now, &slot.server, &parts.headers);
             }
-            slot.end(now, ServerSign::Refused);
+            slot.end(now, ServerSignal::Refused);
             finish_unread(&slot, link, parts, body).await;
             if misdirected {
-                AttemptEnd::Misdirected
+                AttemptOutcome::Misdirected
             } else {
-                AttemptEnd::NotRun
+                AttemptOutcome::NotRun
             }
         }
-        AnswerKind::Own => {
+        ResponseKind::Own => {
             state.note_rate(now, &slot.server, &parts.headers);
             deliver(state, request, slot, link, parts, body).await
         }
@@ -210,7 +211,7 @@
 }
 
 /// What a server's answer is.
-enum AnswerKind {
+enum ResponseKind {
     /// It belongs to this request.
     Own,
     /// The server states that it did not run it; true: as it is not the
@@ -225,37 +226,37 @@
 /// A second answer to an earlier request may come where this one's is
 /// expected. Its id is another; taken for this request's, one caller would
 /// get what belongs to another.
-fn judge(request: &RoutedRequest, parts: &Parts) -> AnswerKind {
+fn judge(request: &RoutedRequest, parts: &Parts) -> ResponseKind {
     let headers = &parts.headers;
     let asked = request.attempt_id();
     let echoed = text(headers, names::ATTEMPT_ID);
     if echoed.is_some_and(|echoed| echoed != asked) {
-        return AnswerKind::Foreign;
+        return ResponseKind::Foreign;
     }
     let misdirected = parts.status == StatusCode::MISDIRECTED_REQUEST;
     if misdirected || headers.contains_key(names::NOT_EXECUTED) {
-        return AnswerKind::NotRun(misdirected);
+        return ResponseKind::NotRun(misdirected);
     }
     let stamped = headers.contains_key(names::RESPONSE_STAMP);
     let encoded = headers.contains_key(CONTENT_ENCODING);
     let success = parts.status.is_success();
     if success && (echoed.is_none() || !stamped || encoded) {
-        return AnswerKind::Foreign;
+        return ResponseKind::Foreign;
     }
-    AnswerKind::Own
+    ResponseKind::Own
 }
 
 /// Reads what is left of a refusal, so that its connection can be kept.
 async fn finish_unread(
     slot: &ServerSlot,
-    link: LinkSender,
+    link: ConnectionSender,
     parts: Parts,
     body: Incoming,
 ) {
     /// A refusal is a few bytes that come with its head.
     const REST: Duration = Duration::from_millis(20);
     let read = timeout(REST, read_answer(body)).await;
-    if matches!(read, Ok(Ok(ReadAnswer::Whole(_)))) {
+    if matches!(read, Ok(Ok(ReadResponse::Whole(_)))) {
         slot.server.keep(link, keep_alive(&parts.headers));
     }
 }
@@ -265,10 +266,10 @@
     state: &Rc<TrafficState>,
     request: &RoutedRequest,
     slot: ServerSlot,
-    link: LinkSender,
+    link: ConnectionSender,
     parts: Parts,
     body: Incoming,
-) -> AttemptEnd {
+) -> AttemptOutcome {
     let late = request.left(MonotonicClock.now()).plus(LATE_REST);
     let read = timeout(late.to_std(), read_answer(body)).await;
     let now = MonotonicClock.now();
@@ -276,10 +277,10 @@
     let failed = status.is_server_error();
     match read {
         Err(_) | Ok(Err(_)) => {
-            slot.end(now, ServerSign::Broken);
-            AttemptEnd::Broken
+            slot.end(now, ServerSignal::Broken);
+            AttemptOutcome::Broken
         }
-        Ok(Ok(ReadAnswer::Whole(body))) => {
+        Ok(Ok(ReadResponse::Whole(body))) => {
             let span = state.note_answer(request, &slot, now);
             slot.server.keep(link, keep_alive(&headers));
             if request.slice.is_some() {
@@ -290,16 +291,16 @@
             state.note_bytes(request, sent + body.len() as u64);
             let answer = whole_answer(status, headers, body);
             if failed {
-                AttemptEnd::Failed(answer)
+                AttemptOutcome::Failed(answer)
             } else {
-                AttemptEnd::Answered(answer)
+                AttemptOutcome::Answered(answer)
             }
         }
-        Ok(Ok(ReadAnswer::Begun(begun, rest))) => {
+        Ok(Ok(ReadResponse::Begun(begun, rest))) => {
             state.note_answer(request, &slot, now);
             let answer =
                 streamed_answer(status, headers, begun, rest, slot, link);
-            AttemptEnd::Answered(answer)
+            AttemptOutcome::Answered(answer)
         }
     }
 }
@@ -319,7 +320,7 @@
 fn outgoing(
     request: &mut RoutedRequest,
     slot: &ServerSlot,
-    way: ServerWay,
+    way: ServerProximity,
     now: LocalTime,
 ) -> Option<Request<crate::http::SendBody>> {
     let left = request.left(now).minus(transit(way)).as_millis();
@@ -337,11 +338,11 @@
 
 /// The time on the way to a server and back, which is taken off the
 /// deadline that the server is given.
-const fn transit(way: ServerWay) -> TimeSpan {
+const fn transit(way: ServerProximity) -> TimeSpan {
     match way {
-        ServerWay::Domain => TimeSpan::from_millis(1),
-        ServerWay::Region => TimeSpan::from_millis(3),
-        ServerWay::Far => TimeSpan::from_millis(26),
+        ServerProximity::SameDomain => TimeSpan::from_millis(1),
+        ServerProximity::SameRegion => TimeSpan::from_millis(3),
+        ServerProximity::Remote => TimeSpan::from_millis(26),
     }
 }
 
--- a/goldcrestramp-entry/src/traffic/choose.rs
+++ b/goldcrestramp-entry/src/traffic/choose.rs
@@ -3,10 +3,10 @@
 use std::{cell::RefCell, rc::Rc, sync::Arc};
 
 use goldcrestramp_adapter::{RouteEffect, ServerEntry};
-use goldcrestramp_assignment::{RunPhase, ServerLife};
+use goldcrestramp_assignment::{AssignmentPhase, ServerInstance};
 use goldcrestramp_decisions::{
-    AnswerTimes, OwnerDenial, OwnerStep, PoolCandidate, PoolChoice, ServerWay,
-    choose_server, owner_step,
+    DenialAction, OwnerDenial, PoolCandidate, PoolChoice, ResponseTimes,
+    ServerProximity, choose_server, owner_step,
 };
 use goldcrestramp_types::{LocalTime, SliceIndex, TimeSpan};
 
@@ -38,7 +38,7 @@
 #[derive(Debug)]
 pub(crate) struct ChosenServer {
     pub(crate) server: Rc<ServerState>,
-    pub(crate) way: ServerWay,
+    pub(crate) way: ServerProximity,
     /// Whether another server could answer too.
     pub(crate) replaceable: bool,
     /// The token of the assignment by which it owns the request's key.
@@ -90,7 +90,7 @@
 
 /// What became of the earlier sends of a request.
 #[derive(Debug, Default)]
-pub(crate) struct SendHistory {
+pub(crate) struct AttemptHistory {
     /// The servers that it has reached.
     pub(crate) tried: Vec<Arc<str>>,
     /// The last statement of an owner that it does not hold the key.
@@ -103,7 +103,7 @@
     view: &FleetView,
     request: &RoutedRequest,
     now: LocalTime,
-    history: &SendHistory,
+    history: &AttemptHistory,
 ) -> Destination {
     match request.slice {
         Some(slice) => {
@@ -129,11 +129,11 @@
     let run = table.find(slice);
     let life = table.life(run.life);
     let since = state.token_since(service, run.token).unwrap_or(now);
-    if run.phase == RunPhase::Releasing {
+    if run.phase == AssignmentPhase::Releasing {
         return unavailable(now.since(since));
     }
     let step = owner_step(denial, run.token, since, now);
-    if let OwnerStep::AwaitChange { denied_for } = step {
+    if let DenialAction::AwaitChange { denied_for } = step {
         return unavailable(denied_for);
     }
     if let Some(wait) = wait_for_life(state, view, now, life, since) {
@@ -141,7 +141,8 @@
     }
     let entry = view.servers.get(&life.id);
     let entry = entry.map(|entry| &**entry);
-    let way = entry.map_or(ServerWay::Far, |entry| state.way_to(entry));
+    let way =
+        entry.map_or(ServerProximity::Remote, |entry| state.way_to(entry));
     let server = state.server(now, life, entry, view.vms.len());
     let limit = owner_limit(server.limit(now), &server, request);
     if server.in_flight() < limit {
@@ -172,7 +173,7 @@
     state: &TrafficState,
     view: &FleetView,
     now: LocalTime,
-    life: &ServerLife,
+    life: &ServerInstance,
     since: LocalTime,
 ) -> Option<Destination> {
     let known = now.since(since);
@@ -198,7 +199,8 @@
     let Some(slice) = request.slice else { return false };
     view.tables.get(&request.service).is_some_and(|table| {
         let run = table.find(slice);
-        run.phase == RunPhase::Granted && *table.life(run.life).id != *server
+        run.phase == AssignmentPhase::Granted
+            && *table.life(run.life).id != *server
     })
 }
 
@@ -291,17 +293,19 @@
     now: LocalTime,
     entry: &ServerEntry,
     route: &str,
-    service_times: &AnswerTimes,
+    service_times: &ResponseTimes,
 ) -> SeenServer {
-    let life = ServerLife {
+    let life = ServerInstance {
         id: Arc::clone(&entry.id),
         started_ms: entry.started_ms,
         address: entry.address,
     };
     let way = state.way_to(entry);
     let sharers = match way {
-        ServerWay::Domain => view.vms_in(&entry.domain),
-        ServerWay::Region | ServerWay::Far => view.vms.len(),
+        ServerProximity::SameDomain => view.vms_in(&entry.domain),
+        ServerProximity::SameRegion | ServerProximity::Remote => {
+            view.vms.len()
+        }
     };
     let server = state.server(now, &life, Some(entry), sharers);
     let latency = server.times.borrow().expected(route, service_times);
--- a/goldcrestramp-entry/src/traffic/lane.rs
+++ b/goldcrestramp-entry/src/traffic/lane.rs
@@ -31,7 +31,7 @@
 use crate::{
     framing::{FrameStep, FramedRequest, frame_request},
     traffic::{
-        answer::{AnswerBody, own_answer},
+        answer::{ResponseBody, own_answer},
         reason::EndReason,
         request::find_route,
         serve::serve,
@@ -43,19 +43,19 @@
 /// Bytes of a connection that are taken before the library reads them. With
 /// as many connections as a VM has descriptors for, they leave it half of
 /// its memory.
-const RECEIVED_MOST: usize = 24 * 1024;
+const MAX_RECEIVED_BYTES: usize = 24 * 1024;
 
 /// A head that is longer is left to the library's own limits.
-const HEAD_MOST: usize = 16 * 1024;
+const MAX_HEAD_BYTES: usize = 16 * 1024;
 
 /// The room for one read.
 const READ_BYTES: usize = 4 * 1024;
 
 /// One connection of a caller.
 #[derive(Debug)]
-pub(crate) struct CallerLane {
+pub(crate) struct CallerConnection {
     traffic: Rc<TrafficState>,
-    state: RefCell<LaneState>,
+    state: RefCell<ConnectionState>,
     /// The library has read some bytes.
     room: Notify,
     /// A request that was served ahead of its turn has been answered.
@@ -63,7 +63,7 @@
 }
 
 #[derive(Debug, Default)]
-struct LaneState {
+struct ConnectionState {
     received: BytesMut,
     /// What of it the library may read: up to the end of a whole head, or
     /// of what has come of a body.
@@ -81,11 +81,11 @@
 /// The work on a request that is served ahead of its turn; it ends with its
 /// caller's connection.
 #[derive(Debug)]
-struct EarlyTask(JoinHandle<Response<AnswerBody>>);
+struct EarlyTask(JoinHandle<Response<ResponseBody>>);
 
 impl EarlyTask {
     /// Waits for the answer.
-    async fn finish(mut self) -> Response<AnswerBody> {
+    async fn finish(mut self) -> Response<ResponseBody> {
         (&mut self.0).await.unwrap_or_else(|error| {
             log::warn!("[gateway] A pipelined request is lost: {error}.");
             own_answer(EndReason::Broken, true, RETURN_USUAL)
@@ -99,7 +99,7 @@
     }
 }
 
-impl CallerLane {
+impl CallerConnection {
     pub(crate) fn open(traffic: Rc<TrafficState>) -> Rc<Self> {
         Rc::new(Self {
             traffic,
@@ -131,7 +131,7 @@
     }
 
     fn is_full(&self) -> bool {
-        self.state.borrow().received.len() >= RECEIVED_MOST
+        self.state.borrow().received.len() >= MAX_RECEIVED_BYTES
     }
 
     fn read(&self, stream: &OwnedReadHalf) -> io::Result<usize> {
@@ -144,7 +144,7 @@
     pub(crate) async fn answer(
         &self,
         request: Request<Incoming>,
-    ) -> Response<AnswerBody> {
+    ) -> Response<ResponseBody> {
         let next = self.state.borrow_mut().pending.pop_front();
         let answer = if let Some(task) = next.flatten() {
             task.finish().await
@@ -220,7 +220,7 @@
     }
 }
 
-impl LaneState {
+impl ConnectionState {
     /// Releases bytes up to the end of the next whole head.
     fn next_request(&mut self) -> Option<Box<FramedRequest>> {
         self.release_body();
@@ -234,7 +234,9 @@
                 self.body_left = request.body_bytes;
                 return Some(request);
             }
-            FrameStep::Incomplete if rest.len() <= HEAD_MOST => return None,
+            FrameStep::Incomplete if rest.len() <= MAX_HEAD_BYTES => {
+                return None;
+            }
             FrameStep::Incomplete | FrameStep::Opaque => {}
         }
         self.opaque = true;
@@ -265,15 +267,15 @@
 
 /// What the HTTP library reads of a connection.
 #[derive(Debug)]
-pub(crate) struct LaneReader(Rc<CallerLane>);
+pub(crate) struct ConnectionReader(Rc<CallerConnection>);
 
-impl LaneReader {
-    pub(crate) const fn new(lane: Rc<CallerLane>) -> Self {
+impl ConnectionReader {
+    pub(crate) const fn new(lane: Rc<CallerConnection>) -> Self {
         Self(lane)
     }
 }
 
-impl AsyncRead for LaneReader {
+impl AsyncRead for ConnectionReader {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/goldcrestramp-entry/src/traffic/listener.rs
+++ b/goldcrestramp-entry/src/traffic/listener.rs
@@ -20,7 +20,7 @@
     run::StopPhase,
     traffic::{
         ConnectionCount, ConnectionGuard,
-        lane::{CallerLane, LaneReader},
+        lane::{CallerConnection, ConnectionReader},
         state::TrafficState,
     },
 };
@@ -33,7 +33,7 @@
 const IDLE_UNKNOWN: Duration = Duration::from_secs(30);
 
 /// The smallest buffer for the head of a request that the library takes.
-const HEAD_BYTES_LEAST: usize = 8 * 1024;
+const MIN_HEAD_BYTES: usize = 8 * 1024;
 
 /// Takes connections until the process closes.
 pub(crate) async fn serve_listener(
@@ -85,9 +85,9 @@
     let idle = limits.map_or(IDLE_UNKNOWN, |limits| {
         limits.idle_time.to_std() * IDLE_FACTOR
     });
-    let head = limits.map_or(HEAD_BYTES_LEAST, |limits| limits.head_bytes);
+    let head = limits.map_or(MIN_HEAD_BYTES, |limits| limits.head_bytes);
     let (reader, writer) = stream.into_split();
-    let lane = CallerLane::open(state);
+    let lane = CallerConnection::open(state);
     let answering = Rc::clone(&lane);
     let leaving = phase.clone();
     let service = service_fn(move |request: Request<Incoming>| {
@@ -101,11 +101,11 @@
             Ok::<_, Infallible>(response)
         }
     });
-    let stream = join(LaneReader::new(Rc::clone(&lane)), writer);
+    let stream = join(ConnectionReader::new(Rc::clone(&lane)), writer);
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(idle)
-        .max_buf_size(head.max(HEAD_BYTES_LEAST) + HEAD_BYTES_LEAST)
+        .max_buf_size(head.max(MIN_HEAD_BYTES) + MIN_HEAD_BYTES)
         .serve_connection(TokioIo::new(stream), service);
     let received = lane.receive(reader);
     pin!(connection, received);
@@ -126,7 +126,10 @@
 }
 
 /// Waits until a connection may be closed after its next answer.
-async fn may_close(phase: &mut watch::Receiver<StopPhase>, lane: &CallerLane) {
+async fn may_close(
+    phase: &mut watch::Receiver<StopPhase>,
+    lane: &CallerConnection,
+) {
     closing(phase).await;
     lane.wait_caught_up().await;
 }
--- a/goldcrestramp-entry/src/traffic/permit.rs
+++ b/goldcrestramp-entry/src/traffic/permit.rs
@@ -3,13 +3,13 @@
 use std::rc::Rc;
 
 use goldcrestramp_adapter::named_rate;
-use goldcrestramp_decisions::FleetPlace;
+use goldcrestramp_decisions::FleetPosition;
 use goldcrestramp_types::{ClockSource, LocalTime, MonotonicClock, TimeSpan};
 use http::HeaderMap;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 use crate::{
-    records::VmRun,
+    records::VmInstance,
     traffic::{
         reason::EndReason,
         request::RoutedRequest,
@@ -27,16 +27,16 @@
 const LOOK_PAUSE: TimeSpan = TimeSpan::from_millis(25);
 
 /// The place of a request that waits for a permit.
-struct PermitPlace<'a>(&'a ServerState);
+struct PermitReservation<'a>(&'a ServerState);
 
-impl<'a> PermitPlace<'a> {
+impl<'a> PermitReservation<'a> {
     fn enter(server: &'a ServerState) -> Self {
         server.permit_waits.set(server.permit_waits.get() + 1);
         Self(server)
     }
 }
 
-impl Drop for PermitPlace<'_> {
+impl Drop for PermitReservation<'_> {
     fn drop(&mut self) {
         let waits = &self.0.permit_waits;
         waits.set(waits.get().saturating_sub(1));
@@ -95,15 +95,15 @@
 
     /// This VM's place among those that send to a server that names a limit,
     /// in an order that differs from server to server.
-    fn limited_place(&self, server: &ServerState) -> Option<FleetPlace> {
+    fn limited_place(&self, server: &ServerState) -> Option<FleetPosition> {
         server.allowance.borrow().limit()?;
         let seed = xxh3_64(server.life.id.as_bytes());
         let weight = |vm: &str| xxh3_64_with_seed(vm.as_bytes(), seed);
         let own = weight(&self.settings.vm);
         let view = self.view();
-        let before = |vm: &&VmRun| weight(&vm.vm) < own;
+        let before = |vm: &&VmInstance| weight(&vm.vm) < own;
         let rank = view.vms.iter().filter(before).count();
-        Some(FleetPlace { vms: view.vms.len(), rank })
+        Some(FleetPosition { vms: view.vms.len(), rank })
     }
 
     /// Asks for permits for so many requests.
@@ -146,7 +146,7 @@
     if left == TimeSpan::ZERO || is_crowded && begun == now {
         return Err(EndReason::RateLimited.into());
     }
-    let _place = PermitPlace::enter(server);
+    let _place = PermitReservation::enter(server);
     state.want_permits(now, server, server.permit_waits.get());
     tokio::time::sleep(least(left, LOOK_PAUSE).to_std()).await;
     Ok(())
--- a/goldcrestramp-entry/src/traffic/request.rs
+++ b/goldcrestramp-entry/src/traffic/request.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use goldcrestramp_adapter::{RequestRoute, RouteEffect, headers as names};
-use goldcrestramp_decisions::QueuePlace;
+use goldcrestramp_decisions::QueuePosition;
 use goldcrestramp_types::{LocalTime, RequestClass, SliceIndex, TimeSpan};
 use http::{
     HeaderMap, Method, Uri,
@@ -19,13 +19,13 @@
         headers::{strip_connection, text},
         reason::EndReason,
     },
-    view::RouteBook,
+    view::RouteTable,
 };
 
 /// Bodies up to this size are read whole before a server is chosen, so
 /// that they can be sent again when the first send did not run. Larger
 /// ones pass through, and are sent once.
-const HELD_BYTES_MOST: u64 = 256 * 1024;
+const MAX_BUFFERED_BYTES: u64 = 256 * 1024;
 
 /// The body of a request on its way.
 #[derive(Debug)]
@@ -58,7 +58,7 @@
 #[derive(Debug)]
 pub(crate) struct RoutedRequest {
     /// Its place among those that wait.
-    pub(crate) place: QueuePlace,
+    pub(crate) place: QueuePosition,
     pub(crate) route: Arc<RequestRoute>,
     pub(crate) service: Arc<str>,
     /// The key, if the service is divided.
@@ -106,7 +106,7 @@
 
 /// The route of a request.
 pub(crate) fn find_route(
-    book: &RouteBook,
+    book: &RouteTable,
     headers: &HeaderMap,
     uri: &Uri,
 ) -> Result<Arc<RequestRoute>, EndReason> {
@@ -155,7 +155,7 @@
     if said.is_some_and(|bytes| bytes > bytes_most) {
         return Err(EndReason::BodyTooLarge);
     }
-    if said.is_some_and(|bytes| bytes > HELD_BYTES_MOST) {
+    if said.is_some_and(|bytes| bytes > MAX_BUFFERED_BYTES) {
         return Ok(RequestBody::Passing(Some(body)));
     }
     let most = usize::try_from(bytes_most).unwrap_or(usize::MAX);
--- a/goldcrestramp-entry/src/traffic/serve.rs
+++ b/goldcrestramp-entry/src/traffic/serve.rs
@@ -4,7 +4,7 @@
 
 use goldcrestramp_adapter::{RouteEffect, headers as names};
 use goldcrestramp_decisions::{
-    OwnerDenial, QueuePlace, SendBudget, TimeoutSight, attempt_timeout,
+    AttemptBudget, OwnerDenial, QueuePosition, TimeoutInputs, attempt_timeout,
 };
 use goldcrestramp_types::{ClockSource, LocalTime, MonotonicClock, TimeSpan};
 use http::{HeaderValue, Request, Response};
@@ -12,9 +12,9 @@
 use tokio::time::timeout;
 
 use crate::traffic::{
-    answer::{AnswerBody, own_answer},
-    attempt::{AttemptEnd, AttemptPlan, full_timeout, send},
-    choose::{ChosenServer, Destination, SendHistory, choose},
+    answer::{ResponseBody, own_answer},
+    attempt::{AttemptOutcome, AttemptPlan, full_timeout, send},
+    choose::{AttemptHistory, ChosenServer, Destination, choose},
     permit::wait_for_permit,
     reason::EndReason,
     request::{
@@ -28,22 +28,22 @@
 
 /// Sends that no server has run or will run, for one request: more means
 /// that something is wrong for longer than its caller waits.
-const SENDS_MOST: u32 = 6;
+const MAX_NOT_RUN_ATTEMPTS: u32 = 6;
 
 /// Longer than this no caller waits before it returns.
-const RETURN_MOST: TimeSpan = TimeSpan::from_millis(2_000);
+const MAX_RETRY_AFTER: TimeSpan = TimeSpan::from_millis(2_000);
 
 /// How far a request has come.
 #[derive(Debug, Default)]
 struct RequestProgress {
-    history: SendHistory,
+    history: AttemptHistory,
     /// Since when it has waited for a permit to be sent.
     permit_since: Option<LocalTime>,
     sends: u32,
     /// Whether one of them may have run it.
     may_have_run: bool,
     /// A failure that a server answered; given if nothing better comes.
-    failure: Option<Response<AnswerBody>>,
+    failure: Option<Response<ResponseBody>>,
 }
 
 /// Serves a request; without a body if it has none.
@@ -51,7 +51,7 @@
     state: &Rc<TrafficState>,
     head: Request<()>,
     body: Option<Incoming>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let attempt = head.headers().get(names::ATTEMPT_ID).cloned();
     let mut request = match read(state, head, body).await {
         Ok(request) => request,
@@ -76,7 +76,7 @@
         return failure;
     }
     log_end(&request, &progress, &end);
-    let retry_after = end.retry_after.min(RETURN_MOST);
+    let retry_after = end.retry_after.min(MAX_RETRY_AFTER);
     own_answer(end.reason, progress.may_have_run, retry_after)
 }
 
@@ -153,7 +153,7 @@
         state.loads.asked(&service, slice);
     }
     let place =
-        QueuePlace { priority: route.priority, turn: state.next_turn() };
+        QueuePosition { priority: route.priority, turn: state.next_turn() };
     Ok(RoutedRequest {
         place,
         route,
@@ -173,7 +173,7 @@
     state: &Rc<TrafficState>,
     request: &mut RoutedRequest,
     progress: &mut RequestProgress,
-) -> Result<Response<AnswerBody>, RequestEnd> {
+) -> Result<Response<ResponseBody>, RequestEnd> {
     loop {
         let now = MonotonicClock.now();
         if request.left(now) == TimeSpan::ZERO {
@@ -213,7 +213,7 @@
     request: &mut RoutedRequest,
     progress: &mut RequestProgress,
     chosen: ChosenServer,
-) -> Result<Option<Response<AnswerBody>>, RequestEnd> {
+) -> Result<Option<Response<ResponseBody>>, RequestEnd> {
     let ChosenServer { server, way, replaceable, token } = chosen;
     let now = MonotonicClock.now();
     let known = progress.history.tried.contains(&server.life.id);
@@ -221,7 +221,7 @@
     if !known && progress.history.tried.len() >= most {
         return Err(EndReason::AttemptsUsed.into());
     }
-    if progress.sends >= SENDS_MOST {
+    if progress.sends >= MAX_NOT_RUN_ATTEMPTS {
         return Err(EndReason::AttemptsUsed.into());
     }
     if !progress.history.tried.is_empty() && !state.take_repeat(request) {
@@ -234,7 +234,7 @@
     let service = state.service(&request.service);
     let queue = request.slice.is_none().then(|| Rc::clone(&service.queue));
     let slot = server.enter(now, request, queue);
-    let answer_timeout = attempt_timeout(TimeoutSight {
+    let answer_timeout = attempt_timeout(TimeoutInputs {
         usual: server.times.borrow().of(&request.route.name),
         target: request.route.target_latency,
         left: full_timeout(request, now),
@@ -249,20 +249,22 @@
     progress.sends += 1;
     // The next owner is one more server, and one more send.
     let used = progress.history.tried.len() + usize::from(!known);
-    let follows_owner =
-        request.may_repeat() && used < most && progress.sends < SENDS_MOST;
+    let follows_owner = request.may_repeat()
+        && used < most
+        && progress.sends < MAX_NOT_RUN_ATTEMPTS;
     let plan = AttemptPlan { way, answer_timeout, follows_owner };
     let end = send(state, request, slot, plan).await;
     note_send(state, request, &server, now, &end);
-    if !matches!(end, AttemptEnd::NotSent) && !known {
+    if !matches!(end, AttemptOutcome::NotSent) && !known {
         progress.history.tried.push(Arc::clone(&server.life.id));
     }
-    if matches!(end, AttemptEnd::Misdirected) {
+    if matches!(end, AttemptOutcome::Misdirected) {
         let denied_at = MonotonicClock.now();
         progress.history.denial =
             token.map(|token| OwnerDenial { token, denied_at });
     }
-    let again = matches!(end, AttemptEnd::NotRun | AttemptEnd::Misdirected);
+    let again =
+        matches!(end, AttemptOutcome::NotRun | AttemptOutcome::Misdirected);
     // Known now: told after the pause, its caller returns later for nothing.
     if again && !state.has_repeat(request) {
         return Err(EndReason::RetryBudget.into());
@@ -276,13 +278,13 @@
     request: &RoutedRequest,
     server: &ServerState,
     sent: LocalTime,
-    end: &AttemptEnd,
+    end: &AttemptOutcome,
 ) {
     let metrics = &state.metrics;
     metrics.sent(end.code());
     let span = MonotonicClock.now().since(sent);
     metrics.took(&request.service, "server", span);
-    if matches!(end, AttemptEnd::Answered(_)) {
+    if matches!(end, AttemptOutcome::Answered(_)) {
         return;
     }
     log::info!(
@@ -300,11 +302,11 @@
 async fn after_send(
     request: &RoutedRequest,
     progress: &mut RequestProgress,
-    end: AttemptEnd,
-) -> Result<Option<Response<AnswerBody>>, RequestEnd> {
+    end: AttemptOutcome,
+) -> Result<Option<Response<ResponseBody>>, RequestEnd> {
     match end {
-        AttemptEnd::Answered(answer) => Ok(Some(answer)),
-        AttemptEnd::Failed(answer) => {
+        AttemptOutcome::Answered(answer) => Ok(Some(answer)),
+        AttemptOutcome::Failed(answer) => {
             // The owner of a key would fail again; another server may not.
             let again = request.may_repeat() && request.slice.is_none();
             if !again || progress.failure.is_some() {
@@ -314,23 +316,23 @@
             progress.failure = Some(answer);
             Ok(None)
         }
-        AttemptEnd::NotSent => {
+        AttemptOutcome::NotSent => {
             pause(request, progress.sends).await;
             Ok(None)
         }
-        AttemptEnd::NotRun | AttemptEnd::Misdirected => {
+        AttemptOutcome::NotRun | AttemptOutcome::Misdirected => {
             if request.slice.is_some() {
                 pause(request, progress.sends).await;
             }
             Ok(None)
         }
-        AttemptEnd::OwnerChanged => {
+        AttemptOutcome::OwnerChanged => {
             progress.may_have_run = true;
             Ok(None)
         }
-        AttemptEnd::Broken | AttemptEnd::Silent => {
+        AttemptOutcome::Broken | AttemptOutcome::TimedOut => {
             progress.may_have_run = true;
-            let silent = matches!(end, AttemptEnd::Silent);
+            let silent = matches!(end, AttemptOutcome::TimedOut);
             let reason =
                 if silent { EndReason::Timeout } else { EndReason::Broken };
             let passing = matches!(request.body, RequestBody::Passing(None));
@@ -370,18 +372,18 @@
 
     /// Whether the budget has a send beyond the first left.
     fn has_repeat(&self, request: &RoutedRequest) -> bool {
-        self.ask_budget(request, SendBudget::has_room)
+        self.ask_budget(request, AttemptBudget::has_room)
     }
 
     /// Takes a send beyond the first from the budget, if one is left.
     fn take_repeat(&self, request: &RoutedRequest) -> bool {
-        self.ask_budget(request, SendBudget::take)
+        self.ask_budget(request, AttemptBudget::take)
     }
 
     fn ask_budget(
         &self,
         request: &RoutedRequest,
-        ask: impl FnOnce(&mut SendBudget, LocalTime, usize) -> bool,
+        ask: impl FnOnce(&mut AttemptBudget, LocalTime, usize) -> bool,
     ) -> bool {
         let vms = self.view().vms.len();
         let service = self.service(&request.service);
--- a/goldcrestramp-entry/src/traffic/server.rs
+++ b/goldcrestramp-entry/src/traffic/server.rs
@@ -7,10 +7,10 @@
     sync::Arc,
 };
 
-use goldcrestramp_assignment::ServerLife;
+use goldcrestramp_assignment::ServerInstance;
 use goldcrestramp_decisions::{
-    AdmissionQueue, AnswerTimes, LimitVerdict, RateAllowance, ServerLimit,
-    ServerSign,
+    AdmissionQueue, LimitVerdict, RateAllowance, ResponseTimes, ServerLimit,
+    ServerSignal,
 };
 use goldcrestramp_types::{
     ClockSource, LocalTime, MonotonicClock, RequestClass, TimeSpan,
@@ -18,7 +18,7 @@
 use tokio::sync::oneshot;
 
 use crate::{
-    http::{LinkEnd, LinkSender, dial, usable},
+    http::{CloseMode, ConnectionSender, dial, usable},
     traffic::request::RoutedRequest,
 };
 
@@ -35,19 +35,19 @@
 
 /// A connection that is kept.
 #[derive(Debug)]
-struct IdleLink {
-    sender: LinkSender,
+struct IdleConnection {
+    sender: ConnectionSender,
     until: LocalTime,
 }
 
 /// One run of a backend server.
 #[derive(Debug)]
 pub(crate) struct ServerState {
-    pub(crate) life: ServerLife,
+    pub(crate) life: ServerInstance,
     limit: RefCell<ServerLimit>,
     in_flight: Cell<usize>,
-    pub(crate) times: RefCell<AnswerTimes>,
-    idle: RefCell<Vec<IdleLink>>,
+    pub(crate) times: RefCell<ResponseTimes>,
+    idle: RefCell<Vec<IdleConnection>>,
     /// Requests that wait for this server alone.
     pub(crate) queue: RefCell<RequestQueue>,
     /// What this VM may have under way there at the most.
@@ -60,7 +60,7 @@
 
 impl ServerState {
     pub(crate) fn open(
-        life: ServerLife,
+        life: ServerInstance,
         limit: ServerLimit,
         share: usize,
     ) -> Self {
@@ -82,8 +82,8 @@
         let mut limit = self.limit.borrow_mut();
         limit.tick(now, rand::random());
         match limit.verdict(now) {
-            LimitVerdict::Open(most) => most.min(self.share.get()),
-            LimitVerdict::Held(_until) => 0,
+            LimitVerdict::Allowed(most) => most.min(self.share.get()),
+            LimitVerdict::Suspended(_until) => 0,
         }
     }
 
@@ -113,27 +113,31 @@
     }
 
     /// A connection to the server, kept or new.
-    pub(crate) async fn link(&self) -> io::Result<LinkSender> {
+    pub(crate) async fn link(&self) -> io::Result<ConnectionSender> {
         while let Some(sender) = self.pop_idle() {
             if let Some(sender) = usable(sender).await {
                 return Ok(sender);
             }
         }
-        dial(self.life.address, LinkEnd::Close).await
+        dial(self.life.address, CloseMode::Close).await
     }
 
     /// Keeps a connection whose answer was read whole.
-    pub(crate) fn keep(&self, sender: LinkSender, said: Option<TimeSpan>) {
+    pub(crate) fn keep(
+        &self,
+        sender: ConnectionSender,
+        said: Option<TimeSpan>,
+    ) {
         let span = said.map_or(IDLE_USUAL, |said| said.minus(IDLE_MARGIN));
         if span == TimeSpan::ZERO || sender.is_closed() {
             return;
         }
         let until = MonotonicClock.now() + span;
-        self.idle.borrow_mut().push(IdleLink { sender, until });
+        self.idle.borrow_mut().push(IdleConnection { sender, until });
     }
 
     /// The connection that was used last: the others fall idle and end.
-    fn pop_idle(&self) -> Option<LinkSender> {
+    fn pop_idle(&self) -> Option<ConnectionSender> {
         let now = MonotonicClock.now();
         let mut idle = self.idle.borrow_mut();
         idle.retain(|link| link.until > now && !link.sender.is_closed());
@@ -165,7 +169,7 @@
     }
 
     /// Notes how the request ended.
-    pub(crate) fn end(&self, now: LocalTime, sign: ServerSign) {
+    pub(crate) fn end(&self, now: LocalTime, sign: ServerSignal) {
         self.replied(now);
         if self.ended.replace(true) {
             return;
@@ -178,14 +182,14 @@
     pub(crate) fn answered(&self, now: LocalTime) -> TimeSpan {
         let span = now.since(self.since);
         self.server.times.borrow_mut().note(&self.route, span);
-        self.end(now, ServerSign::Answered(self.class, span));
+        self.end(now, ServerSignal::Answered(self.class, span));
         span
     }
 }
 
 impl Drop for ServerSlot {
     fn drop(&mut self) {
-        self.end(MonotonicClock.now(), ServerSign::Cancelled);
+        self.end(MonotonicClock.now(), ServerSignal::Cancelled);
         let server = &self.server;
         server.in_flight.set(server.in_flight.get().saturating_sub(1));
         let own = server.queue.borrow_mut().wake();
--- a/goldcrestramp-entry/src/traffic/state.rs
+++ b/goldcrestramp-entry/src/traffic/state.rs
@@ -7,10 +7,10 @@
 };
 
 use goldcrestramp_adapter::{NodeSettings, ServerEntry};
-use goldcrestramp_assignment::ServerLife;
+use goldcrestramp_assignment::ServerInstance;
 use goldcrestramp_decisions::{
-    AnswerTimes, BudgetSettings, SendBudget, ServerLimit, ServerWay,
-    WeightedRobin, server_share,
+    AttemptBudget, BudgetSettings, ResponseTimes, ServerLimit,
+    ServerProximity, WeightedRoundRobin, server_share,
 };
 use goldcrestramp_types::{
     ClockSource, FastMap, LocalTime, MonotonicClock, TimeSpan,
@@ -18,7 +18,7 @@
 use tokio::sync::watch;
 
 use crate::{
-    control::{LoadBook, NewsClock, PermitMailbox},
+    control::{FreshnessClock, LoadRecorder, PermitMailbox},
     metrics::EntryMetrics,
     run::StopPhase,
     shared::SharedState,
@@ -30,9 +30,9 @@
 #[derive(Debug)]
 pub(crate) struct ServiceState {
     pub(crate) queue: Rc<RefCell<RequestQueue>>,
-    pub(crate) budget: RefCell<SendBudget>,
+    pub(crate) budget: RefCell<AttemptBudget>,
     /// The usual times of all servers' answers.
-    pub(crate) times: RefCell<AnswerTimes>,
+    pub(crate) times: RefCell<ResponseTimes>,
     /// The usual bytes of an answer, of downloads and of others.
     pub(crate) bytes: [Cell<u64>; 2],
 }
@@ -41,15 +41,15 @@
 #[derive(Debug)]
 pub(crate) struct TrafficState {
     pub(crate) settings: Arc<NodeSettings>,
-    pub(crate) loads: LoadBook,
+    pub(crate) loads: LoadRecorder,
     pub(crate) permits: PermitMailbox,
     pub(crate) metrics: Arc<EntryMetrics>,
-    pub(crate) clock: NewsClock,
+    pub(crate) clock: FreshnessClock,
     views: watch::Receiver<Arc<FleetView>>,
     phase: watch::Receiver<StopPhase>,
-    pub(super) servers: RefCell<FastMap<ServerLife, Rc<ServerState>>>,
+    pub(super) servers: RefCell<FastMap<ServerInstance, Rc<ServerState>>>,
     services: RefCell<FastMap<Arc<str>, Rc<ServiceState>>>,
-    robins: RefCell<FastMap<Arc<str>, WeightedRobin>>,
+    robins: RefCell<FastMap<Arc<str>, WeightedRoundRobin>>,
     arrivals: Cell<u64>,
     started: LocalTime,
     /// Since when each token of a table has been known, by service.
@@ -132,7 +132,7 @@
 
     /// Leaves out servers that are gone and have nothing under way.
     fn forget_servers(&self, view: &FleetView) {
-        let held = |life: &ServerLife| {
+        let held = |life: &ServerInstance| {
             let mut tables = view.tables.values();
             tables.any(|table| {
                 let mut lives = table.lives();
@@ -150,7 +150,7 @@
     pub(crate) fn server(
         &self,
         now: LocalTime,
-        life: &ServerLife,
+        life: &ServerInstance,
         entry: Option<&ServerEntry>,
         sharers: usize,
     ) -> Rc<ServerState> {
@@ -182,7 +182,7 @@
                 reason = "a ratio of a few tenths"
             )]
             let per_mille = (settings.retry_ratio * 1_000.0) as u64;
-            let budget = SendBudget::new(BudgetSettings {
+            let budget = AttemptBudget::new(BudgetSettings {
                 span: settings.retry_window,
                 per_mille,
                 extra: u64::from(settings.retry_extra),
@@ -214,16 +214,16 @@
     }
 
     /// How far a server is.
-    pub(crate) fn way_to(&self, entry: &ServerEntry) -> ServerWay {
+    pub(crate) fn way_to(&self, entry: &ServerEntry) -> ServerProximity {
         let settings = &self.settings;
         if entry.domain == settings.domain {
-            return ServerWay::Domain;
+            return ServerProximity::SameDomain;
         }
         let own = settings.region_of(&settings.domain);
         if own.is_some() && settings.region_of(&entry.domain) == own {
-            return ServerWay::Region;
+            return ServerProximity::SameRegion;
         }
-        ServerWay::Far
+        ServerProximity::Remote
     }
 }
 
--- a/goldcrestramp-entry/src/view.rs
+++ b/goldcrestramp-entry/src/view.rs
@@ -6,13 +6,13 @@
     FleetConfiguration, RequestRoute, SERVER_PREFIX, ServerEntry, ServerPhase,
     TrafficLimits,
 };
-use goldcrestramp_assignment::{AssignmentTable, ServerLife};
+use goldcrestramp_assignment::{AssignmentTable, ServerInstance};
 use goldcrestramp_types::{FastMap, LocalTime, TimeSpan};
 
 use crate::{
     configuration::ConfigurationVersion,
     mirror::{MirrorValue, StoreMirror},
-    records::{TABLE_PREFIX, VM_PREFIX, VmRun, decode},
+    records::{TABLE_PREFIX, VM_PREFIX, VmInstance, decode},
 };
 
 /// An entry that vanished is remembered for so long, by which time its
@@ -21,7 +21,7 @@
 
 /// The routes of one configuration, ready to be looked up.
 #[derive(Debug)]
-pub struct RouteBook {
+pub struct RouteTable {
     /// The configuration's version.
     pub version: u64,
     /// Bounds on what callers may send.
@@ -32,7 +32,7 @@
     hosts: FastMap<Arc<str>, Vec<Arc<RequestRoute>>>,
 }
 
-impl RouteBook {
+impl RouteTable {
     fn new(configuration: &FleetConfiguration) -> Self {
         let mut hosts: FastMap<Arc<str>, Vec<Arc<RequestRoute>>> =
             FastMap::default();
@@ -93,12 +93,12 @@
 #[derive(Clone, Debug, Default)]
 pub struct FleetView {
     /// The operators' configuration, once it is known.
-    pub routes: Option<Arc<RouteBook>>,
+    pub routes: Option<Arc<RouteTable>>,
     /// The servers that say that they are there, by id; those at whose
     /// address another has started since have ended.
     pub servers: FastMap<Arc<str>, Arc<ServerEntry>>,
     /// The server that started last at each address.
-    pub occupants: AddressBook,
+    pub occupants: AddressMap,
     /// The servers that take new work, by service.
     pub ready: FastMap<Arc<str>, Vec<Arc<ServerEntry>>>,
     /// Servers that leave or have gone, with the earliest moment at which
@@ -107,16 +107,16 @@
     /// The assignments of divided services.
     pub tables: FastMap<Arc<str>, Arc<AssignmentTable>>,
     /// The VMs that are there.
-    pub vms: Vec<VmRun>,
+    pub vms: Vec<VmInstance>,
 }
 
 /// The server that started last at each address.
-pub type AddressBook = FastMap<SocketAddr, Arc<ServerEntry>>;
+pub type AddressMap = FastMap<SocketAddr, Arc<ServerEntry>>;
 
 fn last_occupants<'a>(
     entries: impl Iterator<Item = &'a Arc<ServerEntry>>,
-) -> AddressBook {
-    let mut occupants = AddressBook::default();
+) -> AddressMap {
+    let mut occupants = AddressMap::default();
     for entry in entries {
         let last = occupants.entry(entry.address);
         let last = last.or_insert_with(|| Arc::clone(entry));
@@ -133,7 +133,7 @@
 /// An address is given away only after its server has ended, while the entry
 /// of that server may stay until its heartbeats are missed.
 fn is_succeeded(
-    occupants: &AddressBook,
+    occupants: &AddressMap,
     address: SocketAddr,
     id: &str,
     started_ms: u64,
@@ -146,8 +146,8 @@
 impl FleetView {
     /// Whether another server has started at the address of this one since.
     #[must_use]
-    pub fn has_successor(&self, life: &ServerLife) -> bool {
-        let ServerLife { id, started_ms, address } = life;
+    pub fn has_successor(&self, life: &ServerInstance) -> bool {
+        let ServerInstance { id, started_ms, address } = life;
         is_succeeded(&self.occupants, *address, id, *started_ms)
     }
 
@@ -203,13 +203,13 @@
 /// Makes views of the mirror.
 #[derive(Debug, Default)]
 pub struct ViewBuilder {
-    routes: Option<(u64, Arc<RouteBook>)>,
+    routes: Option<(u64, Arc<RouteTable>)>,
     servers: ParsedItems<Arc<ServerEntry>>,
     tables: ParsedItems<Arc<AssignmentTable>>,
-    vms: ParsedItems<VmRun>,
+    vms: ParsedItems<VmInstance>,
     leaving: FastMap<Arc<str>, LocalTime>,
     present: FastMap<Arc<str>, Arc<ServerEntry>>,
-    occupants: AddressBook,
+    occupants: AddressMap,
 }
 
 impl ViewBuilder {
@@ -275,7 +275,7 @@
             return false;
         }
         self.routes =
-            Some((*revision, Arc::new(RouteBook::new(configuration))));
+            Some((*revision, Arc::new(RouteTable::new(configuration))));
         log::info!(
             "[control] Configuration {} is in force; it was written at \
              revision {revision}.",
--- a/goldcrestramp-entry/tests/calls.rs
+++ b/goldcrestramp-entry/tests/calls.rs
@@ -3,7 +3,8 @@
 use std::{net::SocketAddr, time::Duration};
 
 use goldcrestramp_entry::http::{
-    CallFailure, CallPool, CallReach, CallRequest, LimitScope, LinkEnd,
+    CallFailure, CallPool, CallRequest, CloseMode, ConnectionReuse,
+    TimeoutScope,
 };
 use http::{HeaderMap, Method};
 use tokio::{
@@ -40,7 +41,7 @@
     address
 }
 
-async fn call(scope: LimitScope) -> Result<usize, CallFailure> {
+async fn call(scope: TimeoutScope) -> Result<usize, CallFailure> {
     let request = CallRequest {
         address: slow_server().await,
         method: Method::GET,
@@ -48,19 +49,22 @@
         headers: HeaderMap::new(),
         body: "".into(),
     };
-    let pool = CallPool::open(LinkEnd::Close, scope, 1_024);
-    let answer = pool.call(request, CallReach::Any, LIMIT).await;
+    let pool = CallPool::open(CloseMode::Close, scope, 1_024);
+    let answer = pool.call(request, ConnectionReuse::Any, LIMIT).await;
     answer.map(|answer| answer.body.len())
 }
 
 /// Guards against orders that are under way without end.
 #[tokio::test]
 async fn a_call_for_a_short_answer_ends_while_bytes_come() {
-    assert_eq!(call(LimitScope::WholeAnswer).await, Err(CallFailure::Silent));
+    assert_eq!(
+        call(TimeoutScope::FullResponse).await,
+        Err(CallFailure::TimedOut)
+    );
 }
 
 /// Guards against giving a long answer up half way.
 #[tokio::test]
 async fn an_answer_that_is_coming_is_not_given_up() {
-    assert_eq!(call(LimitScope::AnswerHead).await, Ok(ANSWER_BYTES));
+    assert_eq!(call(TimeoutScope::ResponseHead).await, Ok(ANSWER_BYTES));
 }
--- a/goldcrestramp-entry/tests/configurations.rs
+++ b/goldcrestramp-entry/tests/configurations.rs
@@ -5,8 +5,8 @@
 use goldcrestramp_adapter::FleetConfiguration;
 use goldcrestramp_entry::{
     configuration::{
-        BaseMismatch, ConfigurationHistory, ConfigurationMark,
-        ConfigurationNews,
+        BaseMismatch, ConfigurationHistory, ConfigurationRevision,
+        ConfigurationUpdate,
     },
     mirror::MirrorValue,
 };
@@ -42,7 +42,7 @@
 }
 
 /// News as they come out at the other end of a link.
-fn sent(news: &ConfigurationNews) -> ConfigurationNews {
+fn sent(news: &ConfigurationUpdate) -> ConfigurationUpdate {
     let bytes = postcard::to_allocvec(news).expect("bytes");
     postcard::from_bytes(&bytes).expect("news")
 }
@@ -53,7 +53,7 @@
     let mut source = ConfigurationHistory::default();
     source.take_value(&value(1, &routes));
     let whole =
-        source.news_for(ConfigurationMark::default()).expect("all of it");
+        source.news_for(ConfigurationRevision::default()).expect("all of it");
 
     let mark = source.mark();
     routes.insert(7, 1);
@@ -87,7 +87,7 @@
 
     assert!(!history.take_value(&older));
     let news =
-        other.news_for(ConfigurationMark::default()).expect("all of it");
+        other.news_for(ConfigurationRevision::default()).expect("all of it");
     assert_eq!(history.take_news(news), Ok(false));
     assert_eq!(newest(&history).version, 7);
 }
--- a/goldcrestramp-entry/tests/knowledge.rs
+++ b/goldcrestramp-entry/tests/knowledge.rs
@@ -6,7 +6,7 @@
 use goldcrestramp_adapter::{StoreEvent, StoreItem};
 use goldcrestramp_entry::{
     configuration::ConfigurationHistory,
-    control::{NewsSource, NewsState, told_as_of},
+    control::{SyncState, UpdateSource, told_as_of},
     mirror::{MirrorValue, StoreMirror},
     view::ViewBuilder,
 };
@@ -252,7 +252,7 @@
 /// after the time that is allowed; counted from the last news, they don't.
 #[test]
 fn a_late_change_counts_from_the_news_before_it() {
-    let mut news = NewsState::default();
+    let mut news = SyncState::default();
     news.answered(at(0));
     news.was_current(at(100));
 
@@ -266,7 +266,7 @@
 /// them return: they count from when they are missed.
 #[test]
 fn what_is_missing_after_an_outage_counts_from_now() {
-    let mut news = NewsState::default();
+    let mut news = SyncState::default();
     news.answered(at(0));
     news.was_current(at(0));
     news.failed();
@@ -285,26 +285,26 @@
 /// callers' requests.
 #[test]
 fn a_vm_that_starts_has_the_store_s_contents_from_its_peer() {
-    let mut news = NewsState::default();
+    let mut news = SyncState::default();
     let first = news.next(at(0), 0, std::iter::empty());
     news.was_read();
     let second = news.next(at(0), 0, [peer()].into_iter());
     news.peer_failed(at(10), peer());
     let alone = news.next(at(10), 0, [peer()].into_iter());
 
-    assert_eq!(first, NewsSource::StoreVms);
-    assert_eq!(second, NewsSource::Peer(peer(), 0));
-    assert_eq!(alone, NewsSource::StoreWhole);
+    assert_eq!(first, UpdateSource::StoreVms);
+    assert_eq!(second, UpdateSource::Peer(peer(), 0));
+    assert_eq!(alone, UpdateSource::StoreWhole);
 }
 
 #[test]
 fn a_vm_follows_its_peer_if_it_has_one() {
-    let mut news = NewsState::default();
+    let mut news = SyncState::default();
     let followed = news.next(at(0), 5, [peer()].into_iter());
     let alone = news.next(at(0), 5, std::iter::empty());
 
-    assert_eq!(followed, NewsSource::Peer(peer(), 5));
-    assert_eq!(alone, NewsSource::StoreChanges(5));
+    assert_eq!(followed, UpdateSource::Peer(peer(), 5));
+    assert_eq!(alone, UpdateSource::StoreChanges(5));
 }
 
 /// The VM that others follow is restarted on a plan. If each of them then
@@ -316,7 +316,7 @@
     let second = SocketAddr::from(([10, 0, 0, 3], 7_540));
     let third = SocketAddr::from(([10, 0, 0, 4], 7_540));
     let peers = || [peer(), second, third].into_iter();
-    let mut news = NewsState::default();
+    let mut news = SyncState::default();
 
     news.peer_failed(at(0), peer());
     let after_one = news.next(at(0), 5, peers());
@@ -326,10 +326,10 @@
     let after_all = news.next(at(200), 5, peers());
     let later = news.next(at(5_050), 5, peers());
 
-    assert_eq!(after_one, NewsSource::Peer(second, 5));
-    assert_eq!(after_two, NewsSource::Peer(third, 5));
-    assert_eq!(after_all, NewsSource::StoreChanges(5));
-    assert_eq!(later, NewsSource::Peer(peer(), 5));
+    assert_eq!(after_one, UpdateSource::Peer(second, 5));
+    assert_eq!(after_two, UpdateSource::Peer(third, 5));
+    assert_eq!(after_all, UpdateSource::StoreChanges(5));
+    assert_eq!(later, UpdateSource::Peer(peer(), 5));
 }
 
 /// The store answers nothing to the VM that others follow, and serves the
@@ -338,7 +338,7 @@
 /// sooner than they, so it is given the time to follow the store itself.
 #[test]
 fn a_vm_that_the_store_is_silent_to_is_not_followed_for_long() {
-    let mut source = NewsState::default();
+    let mut source = SyncState::default();
     source.next(at(0), 5, std::iter::empty());
     source.answered(at(0));
     source.was_current(at(900));
@@ -346,7 +346,7 @@
     assert!(source.may_be_followed(at(900), at(0)));
     assert!(!source.may_be_followed(at(1_100), at(0)));
 
-    let mut follower = NewsState::default();
+    let mut follower = SyncState::default();
     let peers = || [peer()].into_iter();
     follower.peer_answered(at(1_100), peer(), false);
     let at_first = follower.next(at(1_100), 5, peers());
@@ -354,14 +354,14 @@
     follower.peer_answered(at(1_900), peer(), false);
     let at_last = follower.next(at(1_900), 5, peers());
 
-    assert_eq!(at_first, NewsSource::Peer(peer(), 5));
-    assert_eq!(at_last, NewsSource::StoreChanges(5));
+    assert_eq!(at_first, UpdateSource::Peer(peer(), 5));
+    assert_eq!(at_last, UpdateSource::StoreChanges(5));
 }
 
 /// Guards against a source that knows nothing yet, or hears slowly.
 #[test]
 fn a_vm_whose_own_news_are_old_is_not_followed() {
-    let mut source = NewsState::default();
+    let mut source = SyncState::default();
     source.next(at(0), 5, std::iter::empty());
     source.answered(at(2_000));
 
@@ -383,7 +383,7 @@
 /// Guards against a follower that waits for a source that has fallen silent.
 #[test]
 fn a_vm_with_old_news_asks_another_than_it_follows() {
-    let mut follower = NewsState::default();
+    let mut follower = SyncState::default();
     follower.next(at(0), 5, [peer()].into_iter());
 
     assert!(!follower.ask_due(at(9_000), at(0)), "it has just started");
@@ -397,7 +397,7 @@
 /// Guards against a source that does not know that the store is silent to it.
 #[test]
 fn a_vm_that_follows_the_store_asks_once_that_is_silent() {
-    let mut source = NewsState::default();
+    let mut source = SyncState::default();
     source.next(at(0), 5, std::iter::empty());
     source.was_current(at(10_000));
 
@@ -409,21 +409,21 @@
 /// are stale without a break count.
 #[test]
 fn a_fresh_answer_ends_the_doubt() {
-    let mut follower = NewsState::default();
+    let mut follower = SyncState::default();
     follower.peer_answered(at(0), peer(), false);
     follower.peer_answered(at(400), peer(), true);
     follower.peer_answered(at(800), peer(), false);
 
     let next = follower.next(at(800), 5, [peer()].into_iter());
 
-    assert_eq!(next, NewsSource::Peer(peer(), 5));
+    assert_eq!(next, UpdateSource::Peer(peer(), 5));
 }
 
 /// Entries end while the store is away, and are back two seconds after its
 /// return. Until then a missing entry says nothing.
 #[test]
 fn a_missing_entry_says_nothing_while_the_store_returns() {
-    let mut news = NewsState::default();
+    let mut news = SyncState::default();
     news.answered(at(0));
     assert!(!news.is_unsure(at(10)));
 
--- a/goldcrestramp-entry/tests/permits.rs
+++ b/goldcrestramp-entry/tests/permits.rs
@@ -1,6 +1,6 @@
 //! Permits on their way between the threads of a VM.
 
-use goldcrestramp_assignment::ServerLife;
+use goldcrestramp_assignment::ServerInstance;
 use goldcrestramp_decisions::{PermitGrant, PermitRequest};
 use goldcrestramp_entry::control::PermitMailbox;
 use goldcrestramp_types::{LocalTime, TimeSpan};
@@ -9,9 +9,9 @@
     LocalTime::from_micros(1_000_000_000) + TimeSpan::from_millis(millis)
 }
 
-fn server() -> ServerLife {
+fn server() -> ServerInstance {
     let address = ([10, 0, 0, 9], 80).into();
-    ServerLife { id: "server".into(), started_ms: 5, address }
+    ServerInstance { id: "server".into(), started_ms: 5, address }
 }
 
 fn request(wanted: u32) -> PermitRequest {
--- a/goldcrestramp-entry/tests/sources.rs
+++ b/goldcrestramp-entry/tests/sources.rs
@@ -2,14 +2,14 @@
 
 use goldcrestramp_entry::{
     control::{advising_vms, is_large, source_vms},
-    records::VmRun,
+    records::VmInstance,
 };
 
 const LARGE: u32 = 50;
 const SMALL: u32 = 10;
 
-fn vm(name: &str, domain: &str, capacity: u32) -> VmRun {
-    VmRun {
+fn vm(name: &str, domain: &str, capacity: u32) -> VmInstance {
+    VmInstance {
         vm: name.into(),
         start: 1,
         domain: domain.into(),
@@ -19,14 +19,17 @@
 }
 
 /// Whom a VM may follow; a region is what a domain's name begins with.
-fn sources_of<'a>(me: &VmRun, vms: &'a [VmRun]) -> Vec<&'a VmRun> {
+fn sources_of<'a>(
+    me: &VmInstance,
+    vms: &'a [VmInstance],
+) -> Vec<&'a VmInstance> {
     let region = &me.domain[..5];
     source_vms(me, vms, |domain| domain.starts_with(region))
 }
 
 /// Two large VMs and four small ones in each failure domain: two of those in
 /// the north, one in the south.
-fn fleet() -> Vec<VmRun> {
+fn fleet() -> Vec<VmInstance> {
     let mut vms = Vec::new();
     for domain in ["north-a", "north-b", "south-a"] {
         for number in 0..6 {
@@ -37,7 +40,7 @@
     vms
 }
 
-fn sources<'a>(vms: &'a [VmRun], name: &str) -> Vec<&'a VmRun> {
+fn sources<'a>(vms: &'a [VmInstance], name: &str) -> Vec<&'a VmInstance> {
     let me = vm(name, &name[..name.len() - 2], SMALL);
     let known = vms.iter().find(|vm| &*vm.vm == name);
     sources_of(known.unwrap_or(&me), vms)
--- a/goldcrestramp-entry/tests/tables.rs
+++ b/goldcrestramp-entry/tests/tables.rs
@@ -2,9 +2,9 @@
 //! versions they have and in whatever order they hear of it.
 
 use goldcrestramp_adapter::StoreItem;
-use goldcrestramp_assignment::{AssignmentTable, ServerLife, TableError};
+use goldcrestramp_assignment::{AssignmentTable, ServerInstance, TableError};
 use goldcrestramp_entry::{
-    history::{TableBody, TableHistory, TableMark, TableNews},
+    history::{TableHistory, TablePayload, TableRevision, TableUpdate},
     mirror::StoreMirror,
     records::table_key,
 };
@@ -12,8 +12,8 @@
 
 /// A table of so many servers: each number makes another table.
 fn table(servers: u16) -> AssignmentTable {
-    let lives: Vec<ServerLife> = (0..servers)
-        .map(|number| ServerLife {
+    let lives: Vec<ServerInstance> = (0..servers)
+        .map(|number| ServerInstance {
             id: format!("server-{number}").into(),
             started_ms: 1,
             address: ([127, 0, 0, 1], 9_000 + number).into(),
@@ -39,11 +39,11 @@
     history
 }
 
-fn mark(revision: u64) -> TableMark {
-    TableMark { key: table_key("stock"), revision }
+fn mark(revision: u64) -> TableRevision {
+    TableRevision { key: table_key("stock"), revision }
 }
 
-fn only(news: Vec<TableNews>) -> TableNews {
+fn only(news: Vec<TableUpdate>) -> TableUpdate {
     let [news] = news.try_into().expect("one table");
     news
 }
@@ -60,7 +60,7 @@
 
     let news = only(ahead.news_for(&behind.marks()));
 
-    assert!(matches!(news.body, TableBody::Changed { base: 20, .. }));
+    assert!(matches!(news.body, TablePayload::Patch { base: 20, .. }));
     let made = behind.resolve(news).expect("its version");
     let made = made.expect("a newer one");
     for key in (0..u16::MAX).step_by(97) {
@@ -113,7 +113,7 @@
     for known in [vec![], vec![mark(10)]] {
         let news = only(ahead.news_for(&known));
 
-        assert!(matches!(news.body, TableBody::Whole(_)));
+        assert!(matches!(news.body, TablePayload::Full(_)));
         assert!(history(1).resolve(news).expect("whole").is_some());
     }
 }
--- a/goldcrestramp-node/src/keeper/admission/state.rs
+++ b/goldcrestramp-node/src/keeper/admission/state.rs
@@ -2,7 +2,7 @@
 
 use goldcrestramp_decisions::{
     CompletionOutcome, OwnerAdvice, QueueRefusal, RequestKey, ServerLimit,
-    ServerQueue, ServerSign,
+    ServerQueue, ServerSignal,
 };
 use goldcrestramp_types::{FastMap, LocalTime, RequestClass};
 use tokio::sync::oneshot;
@@ -62,17 +62,19 @@
         let (outcome, sign) = match end {
             SlotEnd::Answered(span) => (
                 CompletionOutcome::Answered,
-                ServerSign::Answered(class, span),
+                ServerSignal::Answered(class, span),
             ),
             SlotEnd::Refused => {
-                (CompletionOutcome::Refused, ServerSign::Refused)
+                (CompletionOutcome::Refused, ServerSignal::Refused)
             }
             SlotEnd::Unreachable => {
-                (CompletionOutcome::Refused, ServerSign::Unreachable)
+                (CompletionOutcome::Refused, ServerSignal::Unreachable)
+            }
+            SlotEnd::Broken => {
+                (CompletionOutcome::Broken, ServerSignal::Broken)
             }
-            SlotEnd::Broken => (CompletionOutcome::Broken, ServerSign::Broken),
             SlotEnd::Cancelled => {
-                (CompletionOutcome::Broken, ServerSign::Cancelled)
+                (CompletionOutcome::Broken, ServerSignal::Cancelled)
             }
         };
         self.queue.finished(now, key, outcome);
--- a/goldcrestramp-node/src/keeper/pass_on.rs
+++ b/goldcrestramp-node/src/keeper/pass_on.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use bytes::Bytes;
-use goldcrestramp_decisions::{ANSWER_LIMIT, StoredAnswer};
+use goldcrestramp_decisions::{MAX_ANSWER_BYTES, StoredAnswer};
 use goldcrestramp_wire::peer::{RouteFrame, RouteHead};
 use reqwest::{Response, header::CONTENT_TYPE};
 use tokio::sync::mpsc;
@@ -114,7 +114,8 @@
     }
 
     fn add(&mut self, chunk: &[u8]) {
-        let room = |body: &Vec<u8>| body.len() + chunk.len() <= ANSWER_LIMIT;
+        let room =
+            |body: &Vec<u8>| body.len() + chunk.len() <= MAX_ANSWER_BYTES;
         self.body = self.body.take().filter(room);
         if let Some(body) = &mut self.body {
             body.extend_from_slice(chunk);
--- a/goldcrestramp-node/src/planner/feed.rs
+++ b/goldcrestramp-node/src/planner/feed.rs
@@ -2,8 +2,8 @@
 
 use goldcrestramp_config::{DeploymentState, ServerRules, ServiceRules};
 use goldcrestramp_decisions::{
-    LoadEstimate, PlaceReport, PlaceView, PlacementPlanner, PlacementSettings,
-    PlannedMove,
+    LoadEstimate, PlacementPlanner, PlacementSettings, PlannedMove,
+    TargetReport, TargetView,
 };
 use goldcrestramp_ownership::{KeeperReport, SliceMove, StewardStatus};
 use goldcrestramp_types::{
@@ -94,11 +94,11 @@
         let mut moves = Vec::new();
         for service in &config.services {
             let servers = servers_of(config, domain, &service.name);
-            let places: Vec<PlaceView> = servers
+            let places: Vec<TargetView> = servers
                 .iter()
                 .map(|rules| place_view(config, service, rules, status))
                 .collect();
-            let reports: Vec<PlaceReport> = servers
+            let reports: Vec<TargetReport> = servers
                 .iter()
                 .zip(&places)
                 .map(|(rules, place)| (sums.get(&rules.name), place))
@@ -161,13 +161,13 @@
     service: &ServiceRules,
     rules: &ServerRules,
     status: &StewardStatus,
-) -> PlaceView {
+) -> TargetView {
     let kept = status.keepers.contains_key(&rules.name);
-    PlaceView {
+    TargetView {
         slots: rules.slots,
         open: kept && config.may_own(service, rules),
         held: status.holders.get(&rules.name).cloned().unwrap_or_default(),
-        ..PlaceView::default()
+        ..TargetView::default()
     }
 }
 
@@ -183,8 +183,8 @@
     fn weigh(
         &mut self,
         now: LocalTime,
-        places: &[PlaceView],
-        reports: &[PlaceReport],
+        places: &[TargetView],
+        reports: &[TargetReport],
     ) -> Vec<PlannedMove> {
         self.estimate.observe(now, places.iter().zip(reports));
         self.planner.decide(now, places, &self.estimate)
@@ -194,11 +194,11 @@
 /// Slot time over a span as slots in use; of slices that it still holds.
 fn place_report(
     sum: Option<&LoadSum>,
-    place: &PlaceView,
+    place: &TargetView,
     span: TimeSpan,
-) -> PlaceReport {
+) -> TargetReport {
     let Some(sum) = sum else {
-        return PlaceReport::default();
+        return TargetReport::default();
     };
     let held =
         sum.slice_micros.iter().filter(|(s, _)| place.held.contains(**s));
@@ -206,7 +206,7 @@
         .map(|(slice, busy)| (*slice, slots_in_use(*busy, span)))
         .collect();
     heavy.sort_unstable_by_key(|(slice, _)| *slice);
-    PlaceReport { busy: slots_in_use(sum.busy_micros, span), heavy }
+    TargetReport { busy: slots_in_use(sum.busy_micros, span), heavy }
 }
 
 #[expect(clippy::cast_precision_loss, reason = "spans of seconds")]
