--- a/goldcrestramp-assignment/src/edit.rs
+++ b/goldcrestramp-assignment/src/edit.rs
@@ -17,13 +17,13 @@
     /// are taken.
     pub(crate) fn place_of(
         &mut self,
-        life: &ServerInstance,
+        instance: &ServerInstance,
     ) -> Option<InstanceKey> {
-        let known = self.lives.iter().position(|other| other == life);
-        let place = known.unwrap_or(self.lives.len());
+        let known = self.instances.iter().position(|other| other == instance);
+        let place = known.unwrap_or(self.instances.len());
         let key = u16::try_from(place).ok().map(InstanceKey)?;
         if known.is_none() {
-            self.lives.push(life.clone());
+            self.instances.push(instance.clone());
         }
         Some(key)
     }
@@ -32,8 +32,8 @@
     /// they had. Nothing is cut if no single run covers `range`.
     pub(crate) fn carve(&mut self, range: SliceRange) -> Option<usize> {
         let covers = |run: &AssignedRange| run.range.covers(range);
-        let position = self.runs.iter().position(covers)?;
-        let whole = self.runs[position].clone();
+        let position = self.ranges.iter().position(covers)?;
+        let whole = self.ranges[position].clone();
         let part = |first: SliceIndex, last: SliceIndex| AssignedRange {
             range: SliceRange { first, last },
             ..whole.clone()
@@ -51,24 +51,24 @@
         {
             pieces.push(part(first, whole.range.last));
         }
-        self.runs.splice(position..=position, pieces);
+        self.ranges.splice(position..=position, pieces);
         Some(carved)
     }
 
     /// Leaves out servers that hold nothing, so that the table does not
     /// grow with every server that ever was.
     pub(crate) fn forget_unused(&mut self) {
-        let mut places = vec![None; self.lives.len()];
+        let mut places = vec![None; self.instances.len()];
         let mut kept = Vec::new();
-        for run in &mut self.runs {
-            let old = usize::from(run.life.0);
+        for run in &mut self.ranges {
+            let old = usize::from(run.instance.0);
             let new = *places[old].get_or_insert_with(|| {
-                kept.push(self.lives[old].clone());
+                kept.push(self.instances[old].clone());
                 kept.len() - 1
             });
-            run.life = InstanceKey(u16::try_from(new).unwrap_or(u16::MAX));
+            run.instance = InstanceKey(u16::try_from(new).unwrap_or(u16::MAX));
         }
-        self.lives = kept;
+        self.instances = kept;
     }
 }
 
--- a/goldcrestramp-assignment/src/holds.rs
+++ b/goldcrestramp-assignment/src/grant_expiries.rs
@@ -32,43 +32,43 @@
 /// enough: a server runs no request on keys whose hold is over.
 #[derive(Clone, Debug)]
 pub struct GrantExpiries {
-    hold: TimeSpan,
+    grant_duration: TimeSpan,
     /// For servers of which this planner has sent nothing.
     inherited: LocalTime,
-    lives: FastMap<ServerInstance, HoldBound>,
+    instances: FastMap<ServerInstance, HoldBound>,
 }
 
 impl GrantExpiries {
     /// Bounds of a new planner: a former one may have sent grants of
-    /// `hold` until `sent_until`.
+    /// `grant_duration` until `last_grant_at`.
     #[must_use]
-    pub fn open(hold: TimeSpan, sent_until: LocalTime) -> Self {
+    pub fn open(grant_duration: TimeSpan, last_grant_at: LocalTime) -> Self {
         let mut bounds = Self {
-            hold,
+            grant_duration,
             inherited: LocalTime::default(),
-            lives: FastMap::default(),
+            instances: FastMap::default(),
         };
-        bounds.inherited = bounds.end_of(sent_until + MAX_ACCEPT_DELAY);
+        bounds.inherited = bounds.end_of(last_grant_at + MAX_ACCEPT_DELAY);
         bounds
     }
 
     /// Takes the knowledge that the former planner sent its last grant
-    /// before `sent_until`.
-    pub fn inherit(&mut self, sent_until: LocalTime) {
-        let end = self.end_of(sent_until + MAX_ACCEPT_DELAY);
+    /// before `last_grant_at`.
+    pub fn inherit(&mut self, last_grant_at: LocalTime) {
+        let end = self.end_of(last_grant_at + MAX_ACCEPT_DELAY);
         self.inherited = self.inherited.min(end);
     }
 
     /// Notes that a grant is on its way to a server.
-    pub fn sending(&mut self, life: &ServerInstance) {
-        self.lives.entry(life.clone()).or_default().in_flight += 1;
+    pub fn sending(&mut self, instance: &ServerInstance) {
+        self.instances.entry(instance.clone()).or_default().in_flight += 1;
     }
 
     /// Notes that a grant's way has ended at `now`.
     pub fn ended(
         &mut self,
         now: LocalTime,
-        life: &ServerInstance,
+        instance: &ServerInstance,
         outcome: &OrderOutcome,
     ) {
         let until = match outcome {
@@ -76,24 +76,25 @@
             OrderOutcome::TimedOut => self.end_of(now + MAX_ACCEPT_DELAY),
             _ => self.end_of(now),
         };
-        let bound = self.lives.entry(life.clone()).or_default();
+        let bound = self.instances.entry(instance.clone()).or_default();
         bound.in_flight = bound.in_flight.saturating_sub(1);
         bound.until = bound.until.max(until);
     }
 
     /// Whether the server can hold nothing any more.
     #[must_use]
-    pub fn are_over(&self, now: LocalTime, life: &ServerInstance) -> bool {
-        let bound = self.lives.get(life).copied().unwrap_or_default();
+    pub fn are_over(&self, now: LocalTime, instance: &ServerInstance) -> bool {
+        let bound = self.instances.get(instance).copied().unwrap_or_default();
         bound.in_flight == 0 && now > bound.until.max(self.inherited)
     }
 
     /// Leaves out servers that are no longer asked about.
     pub fn retain(&mut self, keep: impl Fn(&ServerInstance) -> bool) {
-        self.lives.retain(|life, bound| bound.in_flight > 0 || keep(life));
+        self.instances
+            .retain(|instance, bound| bound.in_flight > 0 || keep(instance));
     }
 
     fn end_of(&self, sent: LocalTime) -> LocalTime {
-        sent + MAX_TRANSIT + self.hold.percent(SLOW_CLOCK_PERCENT)
+        sent + MAX_TRANSIT + self.grant_duration.percent(SLOW_CLOCK_PERCENT)
     }
 }
--- a/goldcrestramp-assignment/src/lib.rs
+++ b/goldcrestramp-assignment/src/lib.rs
@@ -19,35 +19,35 @@
 use goldcrestramp_assignment::{AssignmentTable, ServerInstance};
 use goldcrestramp_types::SliceIndex;
 
-let life = ServerInstance {
+let instance = ServerInstance {
     id: "stock-1".into(),
     started_ms: 1,
     address: "127.0.0.1:9000".parse().expect("an address"),
 };
-let table = AssignmentTable::striped(&[life], 4).expect("a server");
+let table = AssignmentTable::striped(&[instance], 4).expect("a server");
 let run = table.find(SliceIndex::from(40_000));
-assert_eq!(table.life(run.life).id.as_ref(), "stock-1");
+assert_eq!(table.instance(run.instance).id.as_ref(), "stock-1");
 ```
 */
 
 mod edit;
-mod former;
-mod holds;
+mod grant_expiries;
 mod memo;
 mod moves;
 mod order;
 mod patch;
 mod planner;
+mod previous_planner;
 mod table;
 
 pub use crate::{
-    former::{PreviousPlanner, last_grant_sent},
-    holds::GrantExpiries,
+    grant_expiries::GrantExpiries,
     order::{OrderKind, OrderOutcome, ServerOrder},
     patch::TablePatch,
     planner::{
         HolderStatus, MoveRequest, PlannerTiming, ServerStatus, TablePlanner,
     },
+    previous_planner::{PreviousPlanner, last_grant_sent},
     table::{
         AssignedRange, AssignmentPhase, AssignmentTable, InstanceKey,
         ServerInstance, TableError,
--- a/goldcrestramp-assignment/src/memo.rs
+++ b/goldcrestramp-assignment/src/memo.rs
@@ -57,8 +57,8 @@
     }
 
     /// Leaves out what belongs to no run of the table.
-    pub(crate) fn retain(&mut self, runs: &[AssignedRange]) {
-        let kept = runs.iter().filter_map(|run| {
+    pub(crate) fn retain(&mut self, ranges: &[AssignedRange]) {
+        let kept = ranges.iter().filter_map(|run| {
             let key = (run.range.first, run.token);
             Some((key, self.0.remove(&key)?))
         });
--- a/goldcrestramp-assignment/src/moves.rs
+++ b/goldcrestramp-assignment/src/moves.rs
@@ -15,7 +15,7 @@
     targets: &mut FastMap<SliceRange, ServerInstance>,
 ) -> bool {
     let run = next.find(wish.range.first);
-    let holder = next.life(run.life);
+    let holder = next.instance(run.instance);
     let movable = run.phase == AssignmentPhase::Granted
         && run.range.covers(wish.range)
         && *holder != wish.target
@@ -25,7 +25,7 @@
     }
     let Some(position) = next.carve(wish.range) else { return false };
     let token = next.next_token();
-    let run = &mut next.runs[position];
+    let run = &mut next.ranges[position];
     run.phase = AssignmentPhase::Releasing;
     run.token = token;
     targets.insert(wish.range, wish.target.clone());
@@ -37,22 +37,22 @@
     next: &mut AssignmentTable,
     fate: impl Fn(&ServerInstance) -> HolderStatus,
 ) -> bool {
-    let lives: Vec<InstanceKey> = next
-        .lives()
-        .filter(|(_, life)| fate(life) != HolderStatus::Serving)
+    let instances: Vec<InstanceKey> = next
+        .instances()
+        .filter(|(_, instance)| fate(instance) != HolderStatus::Serving)
         .map(|(key, _)| key)
         .collect();
     let mut changed = false;
-    for key in lives {
-        let held = next.runs.iter().any(|run| {
-            run.life == key && run.phase == AssignmentPhase::Granted
+    for key in instances {
+        let held = next.ranges.iter().any(|run| {
+            run.instance == key && run.phase == AssignmentPhase::Granted
         });
         if !held {
             continue;
         }
         let token = next.next_token();
-        let runs = next.runs.iter_mut().filter(|run| run.life == key);
-        for run in runs.filter(|run| run.phase == AssignmentPhase::Granted) {
+        let ranges = next.ranges.iter_mut().filter(|run| run.instance == key);
+        for run in ranges.filter(|run| run.phase == AssignmentPhase::Granted) {
             run.phase = AssignmentPhase::Releasing;
             run.token = token;
         }
--- a/goldcrestramp-assignment/src/order.rs
+++ b/goldcrestramp-assignment/src/order.rs
@@ -12,7 +12,7 @@
     /// Hold the keys for this long from the order's arrival.
     Grant {
         /// How long.
-        hold: TimeSpan,
+        duration: TimeSpan,
         /// What the former holder left.
         handover: Option<Arc<str>>,
     },
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ServerOrder {
     /// The server.
-    pub life: ServerInstance,
+    pub instance: ServerInstance,
     /// The keys.
     pub range: SliceRange,
     /// The fencing token.
--- a/goldcrestramp-assignment/src/patch.rs
+++ b/goldcrestramp-assignment/src/patch.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 struct PatchRange {
     run: AssignedRange,
-    life: ServerInstance,
+    instance: ServerInstance,
 }
 
 /// What makes a newer table of an older one.
@@ -22,7 +22,7 @@
 pub struct TablePatch {
     highest_token: u64,
     /// In the order of their keys.
-    runs: Vec<PatchRange>,
+    ranges: Vec<PatchRange>,
 }
 
 impl AssignmentTable {
@@ -31,14 +31,21 @@
     pub fn patch_from(&self, older: &Self) -> TablePatch {
         let changed = |run: &&AssignedRange| {
             let known = older.find(run.range.first);
-            let same = AssignedRange { life: run.life, ..known.clone() };
-            same != **run || older.life(known.life) != self.life(run.life)
+            let same =
+                AssignedRange { instance: run.instance, ..known.clone() };
+            same != **run
+                || older.instance(known.instance)
+                    != self.instance(run.instance)
         };
-        let runs = self.runs.iter().filter(changed).map(|run| PatchRange {
-            run: run.clone(),
-            life: self.life(run.life).clone(),
-        });
-        TablePatch { highest_token: self.highest_token, runs: runs.collect() }
+        let ranges =
+            self.ranges.iter().filter(changed).map(|run| PatchRange {
+                run: run.clone(),
+                instance: self.instance(run.instance).clone(),
+            });
+        TablePatch {
+            highest_token: self.highest_token,
+            ranges: ranges.collect(),
+        }
     }
 
     /// The newer table: this one with the patch that was made from it.
@@ -52,19 +59,19 @@
     pub fn patched(&self, patch: &TablePatch) -> Result<Self, TableError> {
         let replaced = |run: &AssignedRange| {
             let next = patch
-                .runs
+                .ranges
                 .partition_point(|p| p.run.range.last < run.range.first);
-            let next = patch.runs.get(next);
+            let next = patch.ranges.get(next);
             next.is_some_and(|p| p.run.range.first <= run.range.last)
         };
         let mut table = self.clone();
-        table.runs.retain(|run| !replaced(run));
+        table.ranges.retain(|run| !replaced(run));
         table.highest_token = patch.highest_token;
-        for PatchRange { run, life } in &patch.runs {
-            let life = table.place_of(life).ok_or(TableError)?;
-            table.runs.push(AssignedRange { life, ..run.clone() });
+        for PatchRange { run, instance } in &patch.ranges {
+            let instance = table.place_of(instance).ok_or(TableError)?;
+            table.ranges.push(AssignedRange { instance, ..run.clone() });
         }
-        table.runs.sort_by_key(|run| run.range.first);
+        table.ranges.sort_by_key(|run| run.range.first);
         table.forget_unused();
         if table.is_whole() { Ok(table) } else { Err(TableError) }
     }
--- a/goldcrestramp-assignment/src/planner.rs
+++ b/goldcrestramp-assignment/src/planner.rs
@@ -3,7 +3,7 @@
 use goldcrestramp_types::{FastMap, FastSet, LocalTime, SliceRange, TimeSpan};
 
 use crate::{
-    holds::GrantExpiries,
+    grant_expiries::GrantExpiries,
     memo::{MemoBook, RunAnswer},
     moves::{begin_move, begin_releases},
     order::{OrderKind, OrderOutcome, ServerOrder},
@@ -17,11 +17,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct PlannerTiming {
     /// How long a grant holds from its arrival.
-    pub hold: TimeSpan,
+    pub grant_duration: TimeSpan,
     /// How long after a grant it is sent again.
-    pub renew_after: TimeSpan,
+    pub renew_interval: TimeSpan,
     /// How long after an order without an answer it is sent again.
-    pub retry_after: TimeSpan,
+    pub retry_delay: TimeSpan,
 }
 
 /// What is known of the holder of a run.
@@ -43,9 +43,9 @@
 #[derive(Clone, Debug)]
 pub struct ServerStatus {
     /// The server.
-    pub life: ServerInstance,
+    pub instance: ServerInstance,
     /// Whether it may be given more keys.
-    pub open: bool,
+    pub accepts_keys: bool,
 }
 
 /// A run of keys that would be served better elsewhere.
@@ -62,7 +62,7 @@
 pub struct TablePlanner {
     timing: PlannerTiming,
     table: AssignmentTable,
-    holds: GrantExpiries,
+    grant_expiries: GrantExpiries,
     memos: MemoBook,
     /// Where runs that are being released are to go.
     wishes: FastMap<SliceRange, ServerInstance>,
@@ -71,18 +71,21 @@
 }
 
 impl TablePlanner {
-    /// Takes up a committed table; `sent_until` bounds when a former
+    /// Takes up a committed table; `last_grant_at` bounds when a former
     /// planner may have sent its last grant.
     #[must_use]
     pub fn open(
         timing: PlannerTiming,
         table: AssignmentTable,
-        sent_until: LocalTime,
+        last_grant_at: LocalTime,
     ) -> Self {
         Self {
             timing,
             table,
-            holds: GrantExpiries::open(timing.hold, sent_until),
+            grant_expiries: GrantExpiries::open(
+                timing.grant_duration,
+                last_grant_at,
+            ),
             memos: MemoBook::default(),
             wishes: FastMap::default(),
             ended: FastSet::default(),
@@ -96,27 +99,27 @@
     }
 
     /// Takes the knowledge that the former planner sent its last grant
-    /// before `sent_until`.
-    pub fn inherit(&mut self, sent_until: LocalTime) {
-        self.holds.inherit(sent_until);
+    /// before `last_grant_at`.
+    pub fn inherit(&mut self, last_grant_at: LocalTime) {
+        self.grant_expiries.inherit(last_grant_at);
     }
 
     /// Takes a table that was committed; the orders follow it from here.
     pub fn committed(&mut self, table: AssignmentTable) {
         self.table = table;
-        self.memos.retain(&self.table.runs);
+        self.memos.retain(&self.table.ranges);
         let releasing: FastSet<SliceRange> = self
             .table
-            .runs
+            .ranges
             .iter()
             .filter(|run| run.phase == AssignmentPhase::Releasing)
             .map(|run| run.range)
             .collect();
         self.wishes.retain(|range, _target| releasing.contains(range));
-        let lives: FastSet<&ServerInstance> =
-            self.table.lives.iter().collect();
-        self.holds.retain(|life| lives.contains(life));
-        self.ended.retain(|life| self.table.lives.contains(life));
+        let instances: FastSet<&ServerInstance> =
+            self.table.instances.iter().collect();
+        self.grant_expiries.retain(|instance| instances.contains(instance));
+        self.ended.retain(|instance| self.table.instances.contains(instance));
     }
 
     /// The next table, if something is to change.
@@ -130,11 +133,11 @@
         wishes: &[MoveRequest],
         mut place: impl FnMut(SliceRange) -> Option<ServerInstance>,
     ) -> Option<AssignmentTable> {
-        let fate = |life: &ServerInstance| {
-            if self.ended.contains(life) {
+        let fate = |instance: &ServerInstance| {
+            if self.ended.contains(instance) {
                 HolderStatus::Ended
             } else {
-                fate(life)
+                fate(instance)
             }
         };
         let mut next = self.table.clone();
@@ -146,17 +149,18 @@
         changed |= begin_releases(&mut next, fate);
         changed |= self.regrant_outdated(&mut next);
         let freed: Vec<usize> = next
-            .runs
+            .ranges
             .iter()
             .enumerate()
             .filter(|(_, run)| self.is_free(now, run, fate))
             .map(|(position, _)| position)
             .collect();
         for position in freed {
-            let range = next.runs[position].range;
+            let range = next.ranges[position].range;
             let chosen = self.wishes.get(&range).cloned();
-            let usable =
-                |life: &ServerInstance| fate(life) == HolderStatus::Serving;
+            let usable = |instance: &ServerInstance| {
+                fate(instance) == HolderStatus::Serving
+            };
             let Some(target) = chosen.filter(usable).or_else(|| place(range))
             else {
                 continue;
@@ -177,25 +181,25 @@
     pub fn orders(&mut self, now: LocalTime) -> Vec<ServerOrder> {
         let emptied = self.emptied_lives();
         let mut orders = Vec::new();
-        for run in &self.table.runs {
-            let life = self.table.life(run.life);
+        for run in &self.table.ranges {
+            let instance = self.table.instance(run.instance);
             // One order empties a server: asked run by run, it would take
             // the time of the longest work on each.
             let whole = run.phase == AssignmentPhase::Releasing
-                && emptied.get(&run.life) == Some(&run.token);
+                && emptied.get(&run.instance) == Some(&run.token);
             let memo = self.memos.entry(run);
             if !memo.waits() || now < memo.due {
                 continue;
             }
-            if self.ended.contains(life) {
+            if self.ended.contains(instance) {
                 continue;
             }
             memo.in_flight = true;
             let kind = match run.phase {
                 AssignmentPhase::Granted => {
-                    self.holds.sending(life);
+                    self.grant_expiries.sending(instance);
                     OrderKind::Grant {
-                        hold: self.timing.hold,
+                        duration: self.timing.grant_duration,
                         handover: run.handover.clone(),
                     }
                 }
@@ -203,7 +207,7 @@
             };
             let range = if whole { SliceRange::ALL } else { run.range };
             let order = ServerOrder {
-                life: life.clone(),
+                instance: instance.clone(),
                 range,
                 token: run.token,
                 kind,
@@ -224,26 +228,26 @@
     ) {
         let grant = matches!(order.kind, OrderKind::Grant { .. });
         if grant {
-            self.holds.ended(now, &order.life, outcome);
+            self.grant_expiries.ended(now, &order.instance, outcome);
         }
         if *outcome == OrderOutcome::Ended {
-            self.ended.insert(order.life.clone());
+            self.ended.insert(order.instance.clone());
         }
         let timing = self.timing;
         let table = &self.table;
-        let runs = table.runs.iter().filter(|run| {
+        let ranges = table.ranges.iter().filter(|run| {
             run.token == order.token
                 && order.range.covers(run.range)
-                && *table.life(run.life) == order.life
+                && *table.instance(run.instance) == order.instance
         });
-        for run in runs {
+        for run in ranges {
             let memo = self.memos.entry(run);
             memo.in_flight = false;
-            memo.due = now + timing.retry_after;
+            memo.due = now + timing.retry_delay;
             match outcome {
                 OrderOutcome::Done { .. } if grant => {
                     memo.answer = RunAnswer::Granted;
-                    memo.due = now + timing.renew_after;
+                    memo.due = now + timing.renew_interval;
                 }
                 OrderOutcome::Done { handover } => {
                     memo.answer = RunAnswer::Released(handover.clone());
@@ -267,11 +271,13 @@
         run: &AssignedRange,
         fate: impl Fn(&ServerInstance) -> HolderStatus,
     ) -> bool {
-        let Some(life) = self.table.lives.get(usize::from(run.life.0)) else {
+        let Some(instance) =
+            self.table.instances.get(usize::from(run.instance.0))
+        else {
             return false;
         };
         // Only what was committed as releasing has had its grants stopped.
-        let committed = self.table.runs.iter().any(|known| {
+        let committed = self.table.ranges.iter().any(|known| {
             known.phase == AssignmentPhase::Releasing
                 && known.range == run.range
                 && known.token == run.token
@@ -279,7 +285,7 @@
         if run.phase != AssignmentPhase::Releasing {
             return false;
         }
-        let fate = fate(life);
+        let fate = fate(instance);
         if fate == HolderStatus::Ended {
             return true;
         }
@@ -289,7 +295,9 @@
         // One that is there will answer; only of one that is gone the end
         // of its holds is waited for.
         let gone = fate == HolderStatus::Missing;
-        committed && (released || gone && self.holds.are_over(now, life))
+        committed
+            && (released
+                || gone && self.grant_expiries.are_over(now, instance))
     }
 
     /// Gives a free run to a server.
@@ -301,13 +309,13 @@
     ) -> bool {
         let Some(place) = next.place_of(target) else { return false };
         let token = next.next_token();
-        let memo = self.memos.get(&next.runs[position]);
+        let memo = self.memos.get(&next.ranges[position]);
         let handover = memo.and_then(|memo| match &memo.answer {
             RunAnswer::Released(left) => left.clone(),
             _ => None,
         });
-        let run = &mut next.runs[position];
-        run.life = place;
+        let run = &mut next.ranges[position];
+        run.instance = place;
         run.token = token;
         run.phase = AssignmentPhase::Granted;
         run.handover = handover;
@@ -317,7 +325,7 @@
     /// Leaves out what holders have been given: it is of use once, and
     /// makes up two thirds of a table's bytes.
     fn drop_used_handovers(&self, next: &mut AssignmentTable) {
-        for run in &mut next.runs {
+        for run in &mut next.ranges {
             if self
                 .memos
                 .get(run)
@@ -331,7 +339,7 @@
     /// Grants anew, with a higher token, what a server calls outdated.
     fn regrant_outdated(&self, next: &mut AssignmentTable) -> bool {
         let outdated: Vec<usize> = next
-            .runs
+            .ranges
             .iter()
             .enumerate()
             .filter(|(_, run)| {
@@ -344,7 +352,7 @@
             .collect();
         for position in &outdated {
             let token = next.next_token();
-            next.runs[*position].token = token;
+            next.ranges[*position].token = token;
         }
         !outdated.is_empty()
     }
@@ -357,18 +365,18 @@
         let mut tokens = FastMap::default();
         let mut mixed = FastSet::default();
         let mut ids = FastMap::default();
-        for (key, life) in self.table.lives() {
-            if let Some(other) = ids.insert(&life.id, key) {
+        for (key, instance) in self.table.instances() {
+            if let Some(other) = ids.insert(&instance.id, key) {
                 mixed.extend([key, other]);
             }
         }
-        for run in &self.table.runs {
-            let first = *tokens.entry(run.life).or_insert(run.token);
+        for run in &self.table.ranges {
+            let first = *tokens.entry(run.instance).or_insert(run.token);
             if run.phase == AssignmentPhase::Granted || first != run.token {
-                mixed.insert(run.life);
+                mixed.insert(run.instance);
             }
         }
-        tokens.retain(|life, _token| !mixed.contains(life));
+        tokens.retain(|instance, _token| !mixed.contains(instance));
         tokens
     }
 }
--- a/goldcrestramp-assignment/src/table.rs
+++ b/goldcrestramp-assignment/src/table.rs
@@ -55,7 +55,7 @@
     /// The keys.
     pub range: SliceRange,
     /// The server that holds them, or held them last.
-    pub life: InstanceKey,
+    pub instance: InstanceKey,
     /// The fencing token of the grant, or of the release.
     pub token: u64,
     /// Where the run stands.
@@ -83,8 +83,8 @@
 pub struct AssignmentTable {
     /// The highest token that was ever written for the service.
     pub(crate) highest_token: u64,
-    pub(crate) lives: Vec<ServerInstance>,
-    pub(crate) runs: Vec<AssignedRange>,
+    pub(crate) instances: Vec<ServerInstance>,
+    pub(crate) ranges: Vec<AssignedRange>,
 }
 
 impl AssignmentTable {
@@ -94,25 +94,29 @@
     /// neighbours of a busy key fall to other servers from the start.
     /// Nothing if there is no server.
     #[must_use]
-    pub fn striped(lives: &[ServerInstance], stripes: u32) -> Option<Self> {
-        let servers = u32::try_from(lives.len()).ok()?;
-        let runs = servers.checked_mul(stripes).filter(|runs| *runs > 0)?;
+    pub fn striped(
+        instances: &[ServerInstance],
+        stripes: u32,
+    ) -> Option<Self> {
+        let servers = u32::try_from(instances.len()).ok()?;
+        let ranges =
+            servers.checked_mul(stripes).filter(|ranges| *ranges > 0)?;
         let total = u32::from(u16::MAX) + 1;
         let bound =
-            |run: u32| u64::from(run) * u64::from(total) / u64::from(runs);
-        let runs = (0..runs).filter_map(|run| {
+            |run: u32| u64::from(run) * u64::from(total) / u64::from(ranges);
+        let ranges = (0..ranges).filter_map(|run| {
             let first = u16::try_from(bound(run)).ok()?;
             let last = u16::try_from(bound(run + 1).checked_sub(1)?).ok()?;
             Some(AssignedRange {
                 range: SliceRange { first: first.into(), last: last.into() },
-                life: InstanceKey(u16::try_from(run % servers).ok()?),
+                instance: InstanceKey(u16::try_from(run % servers).ok()?),
                 token: 1,
                 phase: AssignmentPhase::Granted,
                 handover: None,
             })
         });
-        let runs = runs.collect();
-        Some(Self { highest_token: 1, lives: lives.to_vec(), runs })
+        let ranges = ranges.collect();
+        Some(Self { highest_token: 1, instances: instances.to_vec(), ranges })
     }
 
     /// Reads a table.
@@ -141,28 +145,28 @@
     /// The run in which a key lies.
     #[must_use]
     pub fn find(&self, slice: SliceIndex) -> &AssignedRange {
-        let next = self.runs.partition_point(|run| run.range.first <= slice);
-        &self.runs[next.saturating_sub(1)]
+        let next = self.ranges.partition_point(|run| run.range.first <= slice);
+        &self.ranges[next.saturating_sub(1)]
     }
 
     /// Every run, in the order of its keys.
     #[must_use]
-    pub fn runs(&self) -> &[AssignedRange] {
-        &self.runs
+    pub fn ranges(&self) -> &[AssignedRange] {
+        &self.ranges
     }
 
     /// Every server that holds a run, with its place.
-    pub fn lives(
+    pub fn instances(
         &self,
     ) -> impl Iterator<Item = (InstanceKey, &ServerInstance)> {
         let keys = 0..=u16::MAX;
-        keys.map(InstanceKey).zip(&self.lives)
+        keys.map(InstanceKey).zip(&self.instances)
     }
 
     /// The server at a place.
     #[must_use]
-    pub fn life(&self, key: InstanceKey) -> &ServerInstance {
-        &self.lives[usize::from(key.0)]
+    pub fn instance(&self, key: InstanceKey) -> &ServerInstance {
+        &self.instances[usize::from(key.0)]
     }
 
     /// The highest token that was ever written for the service.
@@ -174,10 +178,10 @@
     /// Whether the runs cover every key once and name known servers.
     pub(crate) fn is_whole(&self) -> bool {
         let mut next = 0_u32;
-        let ordered = self.runs.iter().all(|run| {
+        let ordered = self.ranges.iter().all(|run| {
             let here = u32::from(run.range.first.get()) == next
                 && run.range.first <= run.range.last
-                && usize::from(run.life.0) < self.lives.len()
+                && usize::from(run.instance.0) < self.instances.len()
                 && run.token <= self.highest_token;
             next = u32::from(run.range.last.get()) + 1;
             here
--- a/goldcrestramp-assignment/tests/ownership/world.rs
+++ b/goldcrestramp-assignment/tests/ownership/world.rs
@@ -130,9 +130,9 @@
 
 fn timing() -> PlannerTiming {
     PlannerTiming {
-        hold: HOLD,
-        renew_after: TimeSpan::from_millis(1_500),
-        retry_after: TimeSpan::from_millis(250),
+        grant_duration: HOLD,
+        renew_interval: TimeSpan::from_millis(1_500),
+        retry_delay: TimeSpan::from_millis(250),
     }
 }
 
@@ -141,13 +141,13 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-fn life(server: usize, started_ms: u64) -> ServerInstance {
+fn instance(server: usize, started_ms: u64) -> ServerInstance {
     let id = format!("server-{server}").into();
     ServerInstance { id, started_ms, address: address(server) }
 }
 
-fn number_of(life: &ServerInstance) -> usize {
-    usize::from(life.address.port() - 9_000)
+fn number_of(instance: &ServerInstance) -> usize {
+    usize::from(instance.address.port() - 9_000)
 }
 
 impl World {
@@ -163,8 +163,8 @@
             late: Vec::new(),
             waiting: Vec::new(),
         };
-        let lives: Vec<_> = (0..SERVERS).map(|n| life(n, 1)).collect();
-        let table = AssignmentTable::striped(&lives, 1).expect("servers");
+        let instances: Vec<_> = (0..SERVERS).map(|n| instance(n, 1)).collect();
+        let table = AssignmentTable::striped(&instances, 1).expect("servers");
         let planners = (0..PLANNERS).map(|_| WorldPlanner {
             planner: None,
             record: 0,
@@ -220,7 +220,7 @@
         } else {
             PreviousPlanner::MayRenew
         };
-        let sent_until = if self.guards.waits_for_predecessor {
+        let last_grant_at = if self.guards.waits_for_predecessor {
             last_grant_sent(now, known, PROOF_LIFE)
         } else {
             now
@@ -228,7 +228,7 @@
         let table = self.table.1.clone();
         let planner = &mut self.planners[number];
         planner.planner =
-            Some(TablePlanner::open(timing(), table, sent_until));
+            Some(TablePlanner::open(timing(), table, last_grant_at));
         planner.record = self.record;
         planner.table = self.table.0;
         planner.proof = now;
@@ -264,7 +264,7 @@
             turn += 1;
             listed.get(turn % listed.len().max(1)).cloned()
         };
-        let fate_of = |life: &ServerInstance| fates(life);
+        let fate_of = |instance: &ServerInstance| fates(instance);
         let Some(next) = plan.plan(now, fate_of, &wishes, place) else {
             return;
         };
@@ -334,7 +334,7 @@
         order: &ServerOrder,
         fate: OrderFate,
     ) -> OrderOutcome {
-        let target = number_of(&order.life);
+        let target = number_of(&order.instance);
         let server = &mut self.servers[target];
         let planner = &mut self.planners[planner];
         let connection = &mut planner.connections[target];
@@ -362,9 +362,9 @@
             OrderFate::Late => {
                 // Its time counts from its arrival all the same.
                 let mut late = order.clone();
-                if let OrderKind::Grant { hold, .. } = &mut late.kind {
-                    let until = self.now + hold.percent(102);
-                    *hold = until.since(LocalTime::default());
+                if let OrderKind::Grant { duration, .. } = &mut late.kind {
+                    let until = self.now + duration.percent(102);
+                    *duration = until.since(LocalTime::default());
                 }
                 server.late.push(late);
                 OrderOutcome::Unknown
@@ -398,7 +398,7 @@
         arrived: LocalTime,
     ) -> OrderOutcome {
         let checks = self.guards.servers_check_tokens;
-        let server = &mut self.servers[number_of(&order.life)];
+        let server = &mut self.servers[number_of(&order.instance)];
         let higher = server.seen.iter().any(|(range, token)| {
             overlap(*range, order.range) && *token > order.token
         });
@@ -410,10 +410,10 @@
         }
         server.seen.push((order.range, order.token));
         match &order.kind {
-            OrderKind::Grant { hold, .. } => {
+            OrderKind::Grant { duration, .. } => {
                 let late = arrived == LocalTime::default();
                 let percent = if late { 100 } else { 102 };
-                let until = arrived + hold.percent(percent);
+                let until = arrived + duration.percent(percent);
                 server.holds.push(ServerHold { range: order.range, until });
             }
             OrderKind::Release => {
@@ -464,18 +464,18 @@
         let servers = self.servers.iter().enumerate();
         servers
             .filter(|(_, server)| server.listed && !server.leaving)
-            .map(|(number, server)| life(number, server.started_ms))
+            .map(|(number, server)| instance(number, server.started_ms))
             .collect()
     }
 
     fn fates(&self) -> impl Fn(&ServerInstance) -> HolderStatus + use<> {
         let servers = self.servers.clone();
         let guards = self.guards;
-        move |life: &ServerInstance| {
-            let server = &servers[number_of(life)];
+        move |instance: &ServerInstance| {
+            let server = &servers[number_of(instance)];
             match server.listed {
                 false => HolderStatus::Missing,
-                true if server.started_ms != life.started_ms => {
+                true if server.started_ms != instance.started_ms => {
                     self_restarted(guards)
                 }
                 true if server.leaving => HolderStatus::Leaving,
--- a/goldcrestramp-assignment/tests/patch.rs
+++ b/goldcrestramp-assignment/tests/patch.rs
@@ -10,7 +10,7 @@
 use goldcrestramp_types::{LocalTime, SliceIndex, SliceRange, TimeSpan};
 use proptest::prelude::*;
 
-fn life(number: u16) -> ServerInstance {
+fn instance(number: u16) -> ServerInstance {
     ServerInstance {
         id: format!("server-{number}").into(),
         started_ms: 1,
@@ -19,21 +19,24 @@
 }
 
 fn table(servers: u16) -> AssignmentTable {
-    let lives: Vec<ServerInstance> = (0..servers).map(life).collect();
-    AssignmentTable::striped(&lives, 2).expect("servers")
+    let instances: Vec<ServerInstance> = (0..servers).map(instance).collect();
+    AssignmentTable::striped(&instances, 2).expect("servers")
 }
 
 fn planner(table: AssignmentTable) -> TablePlanner {
     let span = TimeSpan::from_millis(1_000);
-    let timing =
-        PlannerTiming { hold: span, renew_after: span, retry_after: span };
+    let timing = PlannerTiming {
+        grant_duration: span,
+        renew_interval: span,
+        retry_delay: span,
+    };
     TablePlanner::open(timing, table, LocalTime::default())
 }
 
 fn wish(first: u16, keys: u16, target: u16) -> MoveRequest {
     let last = first.saturating_add(keys);
     let (first, last) = (SliceIndex::from(first), SliceIndex::from(last));
-    MoveRequest { range: SliceRange { first, last }, target: life(target) }
+    MoveRequest { range: SliceRange { first, last }, target: instance(target) }
 }
 
 /// The table after a round of moves; nothing if none of them could begin.
@@ -43,11 +46,11 @@
     ended: Option<u16>,
 ) -> Option<AssignmentTable> {
     let fate = |holder: &ServerInstance| {
-        let gone = ended.is_some_and(|number| *holder == life(number));
+        let gone = ended.is_some_and(|number| *holder == instance(number));
         if gone { HolderStatus::Ended } else { HolderStatus::Serving }
     };
     let now = LocalTime::default() + TimeSpan::from_millis(60_000);
-    planner.plan(now, fate, wishes, |_range| Some(life(0)))
+    planner.plan(now, fate, wishes, |_range| Some(instance(0)))
 }
 
 /// A run with its owner, token, phase and handover.
@@ -55,9 +58,9 @@
 
 /// The owner of every run, whatever the numbering of lives.
 fn owners(table: &AssignmentTable) -> Vec<OwnedRun> {
-    let runs = table.runs().iter();
+    let runs = table.ranges().iter();
     runs.map(|run| {
-        let id = Arc::clone(&table.life(run.life).id);
+        let id = Arc::clone(&table.instance(run.instance).id);
         (run.range, id, run.token, run.phase, run.handover.clone())
     })
     .collect()
--- a/goldcrestramp-decisions/src/admission.rs
+++ b/goldcrestramp-decisions/src/admission.rs
@@ -20,7 +20,7 @@
     /// The rank, 0 first.
     pub priority: u8,
     /// The order of arrival; no two requests have the same.
-    pub turn: u64,
+    pub sequence: u64,
 }
 
 /// Requests that wait for the same thing, each with what wakes it.
@@ -31,8 +31,8 @@
 /// use goldcrestramp_decisions::{QueuePosition, AdmissionQueue};
 ///
 /// let mut queue = AdmissionQueue::default();
-/// queue.join(QueuePosition { priority: 2, turn: 1 }, "lookup");
-/// queue.join(QueuePosition { priority: 1, turn: 2 }, "order");
+/// queue.join(QueuePosition { priority: 2, sequence: 1 }, "lookup");
+/// queue.join(QueuePosition { priority: 1, sequence: 2 }, "order");
 /// assert_eq!(queue.wake(), Some("order"));
 /// ```
 #[derive(Debug)]
@@ -59,12 +59,12 @@
     /// While it does, one that could only be answered late is better told
     /// so at once: let in, every request is late, as each waits for those
     /// before it until the last moment of its deadline.
-    pub fn stands(&mut self, now: LocalTime) -> bool {
+    pub fn is_standing(&mut self, now: LocalTime) -> bool {
         now.since(*self.since.get_or_insert(now)) >= STANDING
     }
 
     /// Notes that a request did not have to wait.
-    pub const fn moves(&mut self) {
+    pub const fn record_progress(&mut self) {
         self.since = None;
     }
 
--- a/goldcrestramp-decisions/src/send_budget.rs
+++ b/goldcrestramp-decisions/src/attempt_budget.rs
@@ -29,11 +29,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct BudgetSettings {
     /// The length of the window.
-    pub span: TimeSpan,
+    pub window: TimeSpan,
     /// Sends beyond the first for each thousand requests.
     pub per_mille: u64,
     /// Sends beyond those, for all VMs together.
-    pub extra: u64,
+    pub constant: u64,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -53,11 +53,11 @@
 /// use goldcrestramp_decisions::{AttemptBudget, BudgetSettings};
 /// use goldcrestramp_types::{LocalTime, TimeSpan};
 ///
-/// let span = TimeSpan::from_millis(10_000);
-/// let settings = BudgetSettings { span, per_mille: 200, extra: 60 };
+/// let window = TimeSpan::from_millis(10_000);
+/// let settings = BudgetSettings { window, per_mille: 200, constant: 60 };
 /// let mut budget = AttemptBudget::new(settings);
 /// let now = LocalTime::from_micros(0);
-/// let granted = (0..100).filter(|_| budget.take(now, 10)).count();
+/// let granted = (0..100).filter(|_| budget.try_take(now, 10)).count();
 /// assert_eq!(granted, 4);
 /// ```
 #[derive(Clone, Debug)]
@@ -80,25 +80,25 @@
     /// has taken of the constant is forgotten, and other VMs may not be
     /// known yet.
     #[must_use]
-    pub fn started(self, started: LocalTime) -> Self {
-        Self { share_from: started + self.settings.span, ..self }
+    pub fn with_start(self, started: LocalTime) -> Self {
+        Self { share_from: started + self.settings.window, ..self }
     }
 
     /// Counts a request that came in.
-    pub fn request(&mut self, now: LocalTime) {
+    pub fn record_request(&mut self, now: LocalTime) {
         self.step(now).requests += 1;
     }
 
     /// Takes a send beyond the first, if one is left; `vms` share the
     /// constant.
-    pub fn take(&mut self, now: LocalTime, vms: usize) -> bool {
-        let left = self.has_room(now, vms);
+    pub fn try_take(&mut self, now: LocalTime, vms: usize) -> bool {
+        let left = self.has_remaining(now, vms);
         self.step(now).repeats += u64::from(left);
         left
     }
 
     /// Whether a send beyond the first is left.
-    pub fn has_room(&mut self, now: LocalTime, vms: usize) -> bool {
+    pub fn has_remaining(&mut self, now: LocalTime, vms: usize) -> bool {
         let step = self.step(now);
         step.vms = step.vms.max(vms as u64);
         let requests: u64 = self.steps.iter().map(|s| s.requests).sum();
@@ -111,7 +111,7 @@
     /// This VM's part of the constant.
     fn share(&self, now: LocalTime) -> u64 {
         let vms = self.steps.iter().map(|step| step.vms).max();
-        let share = self.settings.extra / vms.unwrap_or(1).max(1);
+        let share = self.settings.constant / vms.unwrap_or(1).max(1);
         if now < self.share_from {
             return share.min(START_SHARE);
         }
@@ -119,7 +119,7 @@
     }
 
     fn step(&mut self, now: LocalTime) -> &mut WindowStep {
-        let length = (self.settings.span.as_micros() / STEPS).max(1);
+        let length = (self.settings.window.as_micros() / STEPS).max(1);
         let number = now.as_micros() / length;
         while self
             .steps
--- a/goldcrestramp-decisions/src/attempt_timeout.rs
+++ b/goldcrestramp-decisions/src/attempt_timeout.rs
@@ -19,11 +19,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct TimeoutInputs {
     /// The usual time of this server's answers, once it has given some.
-    pub usual: Option<TimeSpan>,
+    pub typical: Option<TimeSpan>,
     /// The time within which the route's answers are worth most.
-    pub target: TimeSpan,
+    pub target_latency: TimeSpan,
     /// The time until nobody waits for an answer any more.
-    pub left: TimeSpan,
+    pub remaining: TimeSpan,
     /// Whether the request could go to another server: it may repeat, and
     /// there is one that was not tried. Whether it goes there then is
     /// looked at again when the wait is over: the budget for repeats may be
@@ -45,9 +45,9 @@
 /// use goldcrestramp_types::TimeSpan;
 ///
 /// let sight = TimeoutInputs {
-///     usual: Some(TimeSpan::from_millis(100)),
-///     target: TimeSpan::from_millis(400),
-///     left: TimeSpan::from_millis(900),
+///     typical: Some(TimeSpan::from_millis(100)),
+///     target_latency: TimeSpan::from_millis(400),
+///     remaining: TimeSpan::from_millis(900),
 ///     replaceable: true,
 /// };
 /// assert_eq!(attempt_timeout(sight), TimeSpan::from_millis(350));
@@ -57,8 +57,8 @@
 #[must_use]
 pub fn attempt_timeout(sight: TimeoutInputs) -> TimeSpan {
     if !sight.replaceable {
-        return sight.left;
+        return sight.remaining;
     }
-    let usual = sight.usual.map(|usual| usual.percent(USUAL_PERCENT));
-    usual.unwrap_or(sight.target).max(LEAST).min(sight.left)
+    let typical = sight.typical.map(|typical| typical.percent(USUAL_PERCENT));
+    typical.unwrap_or(sight.target_latency).max(LEAST).min(sight.remaining)
 }
--- a/goldcrestramp-decisions/src/deadline.rs
+++ b/goldcrestramp-decisions/src/deadline.rs
@@ -16,16 +16,16 @@
 /// # Example
 ///
 /// ```
-/// use goldcrestramp_decisions::span_to_send;
+/// use goldcrestramp_decisions::timeout_to_forward;
 /// use goldcrestramp_types::{LocalTime, TimeSpan};
 ///
 /// let deadline = LocalTime::from_micros(50_000);
 /// let now = LocalTime::from_micros(30_000);
-/// let left = span_to_send(now, deadline, TimeSpan::from_millis(12));
+/// let left = timeout_to_forward(now, deadline, TimeSpan::from_millis(12));
 /// assert_eq!(left, Some(TimeSpan::from_millis(8)));
 /// ```
 #[must_use]
-pub fn span_to_send(
+pub fn timeout_to_forward(
     now: LocalTime,
     deadline: LocalTime,
     transit: TimeSpan,
@@ -62,9 +62,9 @@
 /// for millis in [30, 24, 90] {
 ///     transit.record(now, TimeSpan::from_millis(millis));
 /// }
-/// let way = transit.one_way(now);
-/// assert!(way >= TimeSpan::from_millis(12));
-/// assert!(way < TimeSpan::from_millis(13));
+/// let proximity = transit.one_way(now);
+/// assert!(proximity >= TimeSpan::from_millis(12));
+/// assert!(proximity < TimeSpan::from_millis(13));
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TransitEstimate {
--- a/goldcrestramp-decisions/src/denial.rs
+++ b/goldcrestramp-decisions/src/denial.rs
@@ -41,17 +41,17 @@
 /// # Example
 ///
 /// ```
-/// use goldcrestramp_decisions::{OwnerDenial, DenialAction, owner_step};
+/// use goldcrestramp_decisions::{OwnerDenial, DenialAction, denial_action};
 /// use goldcrestramp_types::LocalTime;
 ///
 /// let at = |millis: u64| LocalTime::from_micros(millis * 1_000);
 /// let denial = OwnerDenial { token: 7, denied_at: at(5_000) };
-/// let step = |token| owner_step(Some(denial), token, at(0), at(5_000));
+/// let step = |token| denial_action(Some(denial), token, at(0), at(5_000));
 /// assert!(matches!(step(7), DenialAction::AwaitChange { .. }));
 /// assert_eq!(step(8), DenialAction::Retry);
 /// ```
 #[must_use]
-pub fn owner_step(
+pub fn denial_action(
     denial: Option<OwnerDenial>,
     token: u64,
     known_since: LocalTime,
--- a/goldcrestramp-decisions/src/lib.rs
+++ b/goldcrestramp-decisions/src/lib.rs
@@ -15,8 +15,8 @@
 - [`RefusalProof`]: whether a refusal proves that a request did not run.
 - [`LinkShare`]: the short link between two regions.
 - [`ServerLoad`]: what a server's slots were used for.
-- [`is_reader_lost`]: how long a stalled reader may hold a slot.
-- [`span_to_send`]: a deadline that crosses to another process.
+- [`is_reader_stalled`]: how long a stalled reader may hold a slot.
+- [`timeout_to_forward`]: a deadline that crosses to another process.
 - [`choose_server`]: which server of a service that any may serve.
 - [`ResponseTimes`]: how long a server's answers usually take.
 - [`AdmissionQueue`]: who is next when a slot becomes free.
@@ -27,7 +27,7 @@
 - [`AttemptBudget`]: how many sends beyond the first a VM may make.
 - [`server_share`]: what one VM may have under way at a server.
 - [`WorkEstimate`]: how long a server works on a request.
-- [`owner_step`]: whether an owner that denied a key is asked again.
+- [`denial_action`]: whether an owner that denied a key is asked again.
 - [`WeightedRoundRobin`]: the parts of a divided route.
 - [`rebalancing_moves`]: which runs of keys move between servers, and when.
 - [`baseline`]: two simple ways, kept to be measured against.
@@ -35,6 +35,7 @@
 
 mod admission;
 mod attempt;
+mod attempt_budget;
 mod attempt_timeout;
 pub mod baseline;
 mod deadline;
@@ -53,7 +54,6 @@
 mod rebalancing;
 mod retry;
 mod round_robin;
-mod send_budget;
 mod share;
 mod times;
 mod work;
@@ -65,9 +65,10 @@
         AttemptRecord, AttemptSent, AttemptVerdict, MAX_ANSWER_BYTES,
         MemorySettings, StoredAnswer,
     },
+    attempt_budget::{AttemptBudget, BudgetSettings},
     attempt_timeout::{TimeoutInputs, attempt_timeout},
-    deadline::{TransitEstimate, span_to_send},
-    denial::{DenialAction, OwnerDenial, owner_step},
+    deadline::{TransitEstimate, timeout_to_forward},
+    denial::{DenialAction, OwnerDenial, denial_action},
     gateway::GatewayLimit,
     limit::{LimitVerdict, OwnerAdvice, ServerLimit, ServerSignal},
     link::{LINK_CHUNK, LinkFlow, LinkSettings, LinkShare, LinkVolume},
@@ -86,17 +87,16 @@
     rate::{
         FleetPosition, PermitGrant, PermitRequest, RateAllowance, RateLedger,
     },
-    reader::is_reader_lost,
+    reader::is_reader_stalled,
     rebalancing::{
         PlacedRange, RangeLoad, RangeMove, RebalanceSettings, TargetLoad,
-        lightest_place, place_uses, rebalancing_moves,
+        least_loaded_target, rebalancing_moves, target_utilization,
     },
     retry::{
         AttemptStart, FailedAttempt, REDIRECT_LIMIT, RefusalProof, RefusedBy,
         RetryDecision, RetryPolicy,
     },
     round_robin::WeightedRoundRobin,
-    send_budget::{AttemptBudget, BudgetSettings},
     share::server_share,
     times::ResponseTimes,
     work::WorkEstimate,
--- a/goldcrestramp-decisions/src/pool.rs
+++ b/goldcrestramp-decisions/src/pool.rs
@@ -59,7 +59,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct PoolCandidate {
     /// How far away it is.
-    pub way: ServerProximity,
+    pub proximity: ServerProximity,
     /// What may be under way there at once, by this VM.
     pub limit: usize,
     /// What is under way there, by this VM; more than the limit if
@@ -92,12 +92,12 @@
 /// use goldcrestramp_types::TimeSpan;
 ///
 /// let near = PoolCandidate {
-///     way: ServerProximity::SameDomain,
+///     proximity: ServerProximity::SameDomain,
 ///     limit: 4,
 ///     in_flight: 3,
 ///     latency: TimeSpan::from_millis(100),
 /// };
-/// let next = PoolCandidate { way: ServerProximity::SameRegion, in_flight: 0, ..near };
+/// let next = PoolCandidate { proximity: ServerProximity::SameRegion, in_flight: 0, ..near };
 /// let left = TimeSpan::from_millis(1_000);
 /// let choice = choose_server(&[near, next], left, 1_500);
 /// assert_eq!(choice, PoolChoice::Send(1));
@@ -110,7 +110,7 @@
 ) -> PoolChoice {
     let mut best: Option<(TimeSpan, usize)> = None;
     for (position, candidate) in candidates.iter().enumerate() {
-        let expected = candidate.latency.plus(candidate.way.base());
+        let expected = candidate.latency.plus(candidate.proximity.base());
         // Nothing is sent to one that is held back, nor waited for.
         if expected > left || candidate.limit == 0 {
             continue;
@@ -143,5 +143,5 @@
     } else {
         200 + 100 * (busy - limit + 1) / limit
     };
-    candidate.latency.percent(percent).plus(candidate.way.cost(bytes))
+    candidate.latency.percent(percent).plus(candidate.proximity.cost(bytes))
 }
--- a/goldcrestramp-decisions/src/rate.rs
+++ b/goldcrestramp-decisions/src/rate.rs
@@ -142,9 +142,9 @@
 /// let asked =
 ///     PermitRequest { per_s: Some(4.0), age: TimeSpan::ZERO, wanted: 9 };
 /// let mut ledger = RateLedger::default();
-/// assert_eq!(ledger.ask(start, &"a", asked), PermitGrant::Permits(0));
+/// assert_eq!(ledger.request_permits(start, &"a", asked), PermitGrant::Permits(0));
 /// let later = start + TimeSpan::from_millis(500);
-/// assert_eq!(ledger.ask(later, &"a", asked), PermitGrant::Permits(2));
+/// assert_eq!(ledger.request_permits(later, &"a", asked), PermitGrant::Permits(2));
 /// ```
 #[derive(Clone, Debug)]
 pub struct RateLedger<Key>(FastMap<Key, ServerAccount>);
@@ -158,7 +158,7 @@
 impl<Key: Clone + Eq + Hash> RateLedger<Key> {
     /// Takes what a VM tells of a server, and gives it what permits there
     /// are.
-    pub fn ask(
+    pub fn request_permits(
         &mut self,
         now: LocalTime,
         server: &Key,
@@ -210,9 +210,9 @@
 /// let place = FleetPosition { vms: 10, rank: 3 };
 /// let mut allowance = RateAllowance::default();
 /// assert!(allowance.has_permit(now, place));
-/// allowance.stated(now, Some(3.0));
+/// allowance.record_limit(now, Some(3.0));
 /// assert!(!allowance.has_permit(now, place));
-/// allowance.granted(now, PermitGrant::Permits(1));
+/// allowance.record_grant(now, PermitGrant::Permits(1));
 /// assert!(allowance.has_permit(now, place));
 /// ```
 #[derive(Clone, Debug, Default)]
@@ -230,7 +230,11 @@
 impl RateAllowance {
     /// Takes what an answer says of the server's limit; whether that is
     /// another one than before.
-    pub fn stated(&mut self, now: LocalTime, per_s: Option<f64>) -> bool {
+    pub fn record_limit(
+        &mut self,
+        now: LocalTime,
+        per_s: Option<f64>,
+    ) -> bool {
         if self.per_s.is_none() && per_s.is_some() {
             self.permits.clear();
             self.heard_at = now;
@@ -243,7 +247,7 @@
     }
 
     /// Takes the answer to a request for permits, which came at `came_at`.
-    pub fn granted(&mut self, came_at: LocalTime, grant: PermitGrant) {
+    pub fn record_grant(&mut self, came_at: LocalTime, grant: PermitGrant) {
         self.heard_at = self.heard_at.max(came_at);
         self.own = None;
         match grant {
@@ -265,7 +269,11 @@
 
     /// What is told of the server to ask for so many permits.
     #[must_use]
-    pub fn request(&self, now: LocalTime, wanted: u32) -> PermitRequest {
+    pub fn permit_request(
+        &self,
+        now: LocalTime,
+        wanted: u32,
+    ) -> PermitRequest {
         let age = now.since(self.stated_at);
         PermitRequest { per_s: self.per_s, age, wanted }
     }
@@ -273,7 +281,7 @@
     /// How many requests may wait for a permit in a fleet of `vms`: more
     /// would wait in vain.
     #[must_use]
-    pub fn waiting_most(&self, vms: usize) -> usize {
+    pub fn max_waiting(&self, vms: usize) -> usize {
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
@@ -307,7 +315,7 @@
     }
 
     /// Uses a permit for a send, if there is one.
-    pub fn take(&mut self, now: LocalTime, place: FleetPosition) -> bool {
+    pub fn try_take(&mut self, now: LocalTime, place: FleetPosition) -> bool {
         if !self.has_permit(now, place) {
             return false;
         }
--- a/goldcrestramp-decisions/src/reader.rs
+++ b/goldcrestramp-decisions/src/reader.rs
@@ -28,16 +28,16 @@
 /// # Example
 ///
 /// ```
-/// use goldcrestramp_decisions::is_reader_lost;
+/// use goldcrestramp_decisions::is_reader_stalled;
 /// use goldcrestramp_types::LocalTime;
 ///
 /// let since = LocalTime::from_micros(0);
 /// let now = LocalTime::from_micros(6_000_000);
-/// assert!(is_reader_lost(now, since, true));
-/// assert!(!is_reader_lost(now, since, false));
+/// assert!(is_reader_stalled(now, since, true));
+/// assert!(!is_reader_stalled(now, since, false));
 /// ```
 #[must_use]
-pub fn is_reader_lost(
+pub fn is_reader_stalled(
     now: LocalTime,
     stalled_since: LocalTime,
     others_wait: bool,
--- a/goldcrestramp-decisions/src/rebalancing/load.rs
+++ b/goldcrestramp-decisions/src/rebalancing/load.rs
@@ -49,7 +49,7 @@
     }
 
     /// Counts requests for a key.
-    pub fn count(&mut self, slice: SliceIndex, requests: u32) {
+    pub fn record(&mut self, slice: SliceIndex, requests: u32) {
         self.counted[slice.position()] += requests;
     }
 
@@ -58,7 +58,7 @@
     /// A planner that has just begun knows nothing. Blended with the zero
     /// that it began with, the first counts would make a full server look
     /// idle, and its keys would stay with it.
-    pub fn settle(&mut self, now: LocalTime) {
+    pub fn decay(&mut self, now: LocalTime) {
         let passed = seconds(now.since(self.since));
         if passed <= 0.0 {
             return;
@@ -77,7 +77,7 @@
 
     /// The requests a second of a run.
     #[must_use]
-    pub fn of(&self, range: SliceRange) -> f32 {
+    pub fn load_of(&self, range: SliceRange) -> f32 {
         let (first, last) = (range.first.position(), range.last.position());
         let rates = &self.rates[first..=last];
         rates.iter().sum::<f32>() + RATE_FLOOR * count(rates.len())
@@ -95,7 +95,7 @@
         if self.rates[busiest] > wanted * HOT_FACTOR {
             return None;
         }
-        let average = self.of(range) / count(end - begin + 1);
+        let average = self.load_of(range) / count(end - begin + 1);
         let cold = (wanted * DENSE_PART).min(average * count(GROWTH) / 2.0);
         let (first, last) =
             self.dense_part((begin, end), busiest, cold, wanted);
--- a/goldcrestramp-decisions/src/rebalancing/mod.rs
+++ b/goldcrestramp-decisions/src/rebalancing/mod.rs
@@ -21,7 +21,9 @@
 
 pub use self::{
     load::RangeLoad,
-    place::{PlacedRange, TargetLoad, lightest_place, place_uses},
+    place::{
+        PlacedRange, TargetLoad, least_loaded_target, target_utilization,
+    },
 };
 
 /// A dense part is moved if it has this part of what is to move; a run
@@ -67,11 +69,11 @@
 pub struct RebalanceSettings {
     /// A move has to save the callers so much: requests that are at the
     /// servers at any moment.
-    pub gain_least: f32,
+    pub min_gain: f32,
     /// The most moves of one round.
-    pub moves: usize,
+    pub max_moves: usize,
     /// The most runs of a service: each is renewed on its own.
-    pub runs_most: usize,
+    pub max_ranges: usize,
 }
 
 impl RebalanceSettings {
@@ -84,8 +86,8 @@
     #[must_use]
     pub const fn for_servers(servers: usize) -> Self {
         let part = servers / SERVERS_A_MOVE;
-        let moves = if part > MIN_MOVES { part } else { MIN_MOVES };
-        Self { gain_least: MIN_GAIN, moves, runs_most: MAX_RANGES }
+        let max_moves = if part > MIN_MOVES { part } else { MIN_MOVES };
+        Self { min_gain: MIN_GAIN, max_moves, max_ranges: MAX_RANGES }
     }
 }
 
@@ -108,7 +110,7 @@
 ) -> Vec<RangeMove> {
     let mut round = RebalanceRound::new(runs, places, load, settings);
     let mut moves = Vec::new();
-    while moves.len() < settings.moves {
+    while moves.len() < settings.max_moves {
         let Some(chosen) = round.next_move() else { break };
         moves.push(chosen);
     }
@@ -139,8 +141,8 @@
         load: &'a RangeLoad,
         settings: &'a RebalanceSettings,
     ) -> Self {
-        let uses = place_uses(runs, places, load);
-        let open = places.iter().filter(|place| place.open).count();
+        let uses = target_utilization(runs, places, load);
+        let open = places.iter().filter(|place| place.accepts_keys).count();
         #[expect(clippy::cast_precision_loss, reason = "a few servers")]
         let mean = uses.iter().sum::<f32>() / open.max(1) as f32;
         let pairs = places.iter().zip(&uses);
@@ -184,7 +186,7 @@
 
     fn lightest(&self) -> Option<usize> {
         (0..self.places.len())
-            .filter(|place| self.places[*place].open)
+            .filter(|place| self.places[*place].accepts_keys)
             .min_by(|a, b| self.marginals[*a].total_cmp(&self.marginals[*b]))
     }
 
@@ -203,7 +205,7 @@
                 Some((gain, position, range, target))
             })
             .max_by(|a, b| a.0.total_cmp(&b.0))?;
-        let rate = self.load.of(range);
+        let rate = self.load.load_of(range);
         self.add_rate(source, -rate);
         self.add_rate(target, rate);
         self.cut(position, range, target);
@@ -218,7 +220,7 @@
         let rate = self.places[source].rate_by(self.uses[source]);
         let most = rate * (self.marginals[source] - self.marginals[target]);
         let mut places = 0..self.places.len();
-        most > self.settings.gain_least
+        most > self.settings.min_gain
             || places.any(|place| self.has_joined(source, place))
     }
 
@@ -248,8 +250,8 @@
         source: usize,
         range: SliceRange,
     ) -> Option<(f32, usize)> {
-        let rate = self.load.of(range);
-        let open = |place: &usize| self.places[*place].open;
+        let rate = self.load.load_of(range);
+        let open = |place: &usize| self.places[*place].accepts_keys;
         let others = (0..self.places.len()).filter(|place| *place != source);
         let costs = others.filter(open).map(|place| {
             let (to, used) = (&self.places[place], self.uses[place]);
@@ -263,7 +265,7 @@
         let saved = from.delay().cost(used) - from.delay().cost(left) - cost;
         let gain = saved - KEY_COST * count(range.slices() as usize);
         let least = GAIN_PART * rate * from.work_s;
-        let worth_it = gain > least.max(self.settings.gain_least);
+        let worth_it = gain > least.max(self.settings.min_gain);
         let joined = saved > 0.0 && self.has_joined(source, target);
         (worth_it || joined).then_some((gain, target))
     }
@@ -271,7 +273,7 @@
     /// Whether the target has joined and the source has keys to spare: it
     /// gets its part also when nobody is busy.
     fn has_joined(&self, source: usize, target: usize) -> bool {
-        self.places[target].open
+        self.places[target].accepts_keys
             && self.uses[target] < self.mean * JOINED_PART
             && self.uses[source] > self.mean * GIVING_PART
     }
@@ -283,20 +285,20 @@
     fn parts(&self, source: usize, wanted: f32) -> Vec<(usize, SliceRange)> {
         let own = self.runs.iter().enumerate();
         let mut rated: Vec<(usize, f32)> = own
-            .filter(|(_, run)| run.place == source && run.movable)
-            .map(|(position, run)| (position, self.load.of(run.range)))
+            .filter(|(_, run)| run.target == source && run.movable)
+            .map(|(position, run)| (position, self.load.load_of(run.range)))
             .collect();
         rated.sort_by(|a, b| b.1.total_cmp(&a.1));
         let Some((busiest, _most)) = rated.first().copied() else {
             return Vec::new();
         };
         let range = self.runs[busiest].range;
-        let room = self.runs.len() + 2 <= self.settings.runs_most;
+        let room = self.runs.len() + 2 <= self.settings.max_ranges;
         let mut parts = Vec::new();
         if room {
             let dense = self.load.part(range, wanted);
             let enough = |part: &SliceRange| {
-                self.load.of(*part) > wanted * MIN_DENSE_FRACTION
+                self.load.load_of(*part) > wanted * MIN_DENSE_FRACTION
             };
             parts.extend(dense.filter(enough).map(|part| (busiest, part)));
             parts.extend(
@@ -319,7 +321,7 @@
     fn trimmed(&self, position: usize, rate: f32, room: bool) -> SliceRange {
         let range = self.runs[position].range;
         let dense = self.load.part(range, rate * 2.0).filter(|part| {
-            room && self.load.of(*part) > rate * MIN_TRIMMED_FRACTION
+            room && self.load.load_of(*part) > rate * MIN_TRIMMED_FRACTION
         });
         dense.unwrap_or(range)
     }
@@ -327,8 +329,7 @@
     /// Notes a move among the runs.
     fn cut(&mut self, position: usize, range: SliceRange, target: usize) {
         let whole = self.runs[position];
-        self.runs[position] =
-            PlacedRange { range, place: target, movable: false };
+        self.runs[position] = PlacedRange { range, target, movable: false };
         if whole.range.first < range.first {
             let last = SliceIndex::from(range.first.get() - 1);
             let first = whole.range.first;
--- a/goldcrestramp-decisions/src/rebalancing/place.rs
+++ b/goldcrestramp-decisions/src/rebalancing/place.rs
@@ -15,7 +15,7 @@
     /// Its work on a request, in seconds.
     pub work_s: f32,
     /// Whether it may be given keys.
-    pub open: bool,
+    pub accepts_keys: bool,
 }
 
 /// A run of keys with the position of its holder.
@@ -24,21 +24,21 @@
     /// The keys.
     pub range: SliceRange,
     /// The holder's position among the places.
-    pub place: usize,
+    pub target: usize,
     /// Whether it may move now.
     pub movable: bool,
 }
 
 /// The use of each place: slots busy for each slot it has.
 #[must_use]
-pub fn place_uses(
+pub fn target_utilization(
     runs: &[PlacedRange],
     places: &[TargetLoad],
     load: &RangeLoad,
 ) -> Vec<f32> {
     let mut uses = vec![0.0; places.len()];
     for run in runs {
-        uses[run.place] += places[run.place].use_by(load.of(run.range));
+        uses[run.target] += places[run.target].use_by(load.load_of(run.range));
     }
     uses
 }
@@ -65,24 +65,24 @@
 ///
 /// `given` counts what was placed in this round already.
 #[must_use]
-pub fn lightest_place(
+pub fn least_loaded_target(
     runs: &[PlacedRange],
     places: &[TargetLoad],
     load: &RangeLoad,
     given: &mut Vec<(usize, f32)>,
     range: SliceRange,
 ) -> Option<usize> {
-    let mut uses = place_uses(runs, places, load);
+    let mut uses = target_utilization(runs, places, load);
     for (place, rate) in given.iter() {
         uses[*place] += places[*place].use_by(*rate);
     }
-    let rate = load.of(range);
+    let rate = load.load_of(range);
     let cost = |place: usize| {
         let to = &places[place];
         to.delay().marginal(uses[place] + to.use_by(rate))
     };
     let chosen = (0..places.len())
-        .filter(|place| places[*place].open)
+        .filter(|place| places[*place].accepts_keys)
         .min_by(|a, b| cost(*a).total_cmp(&cost(*b)))?;
     given.push((chosen, rate));
     Some(chosen)
@@ -96,7 +96,7 @@
     const MAX_LEVEL: f32 = 32.0;
     let rates = places.iter().zip(uses);
     let asked: f32 = rates.map(|(place, used)| place.rate_by(*used)).sum();
-    let open = || places.iter().filter(|place| place.open);
+    let open = || places.iter().filter(|place| place.accepts_keys);
     bisect(MAX_LEVEL, |level| {
         let served =
             open().map(|place| place.rate_by(place.delay().use_at(level)));
--- a/goldcrestramp-decisions/src/times.rs
+++ b/goldcrestramp-decisions/src/times.rs
@@ -28,9 +28,9 @@
 ///
 /// let mut times = ResponseTimes::default();
 /// let (list, check) = (Arc::from("list"), Arc::from("check"));
-/// times.note(&list, TimeSpan::from_millis(50));
-/// times.note(&check, TimeSpan::from_millis(300));
-/// assert_eq!(times.of(&check), Some(TimeSpan::from_millis(300)));
+/// times.record(&list, TimeSpan::from_millis(50));
+/// times.record(&check, TimeSpan::from_millis(300));
+/// assert_eq!(times.typical_for(&check), Some(TimeSpan::from_millis(300)));
 /// let other = ResponseTimes::default();
 /// assert_eq!(other.expected("check", &times), TimeSpan::from_millis(300));
 /// ```
@@ -42,7 +42,7 @@
 
 impl ResponseTimes {
     /// Takes the time of an answer on a route.
-    pub fn note(&mut self, route: &Arc<str>, span: TimeSpan) {
+    pub fn record(&mut self, route: &Arc<str>, span: TimeSpan) {
         self.any = Some(blend(self.mean(), span));
         let usual = self.routes.entry(Arc::clone(route)).or_insert(span);
         *usual = blend(*usual, span);
@@ -50,7 +50,7 @@
 
     /// The usual time of an answer on a route, once one has come.
     #[must_use]
-    pub fn of(&self, route: &str) -> Option<TimeSpan> {
+    pub fn typical_for(&self, route: &str) -> Option<TimeSpan> {
         self.routes.get(route).copied()
     }
 
@@ -60,7 +60,8 @@
     /// far server would be tried once.
     #[must_use]
     pub fn expected(&self, route: &str, service: &Self) -> TimeSpan {
-        let usual = self.of(route).or_else(|| service.of(route));
+        let usual =
+            self.typical_for(route).or_else(|| service.typical_for(route));
         usual.unwrap_or(self.mean())
     }
 
--- a/goldcrestramp-decisions/src/work.rs
+++ b/goldcrestramp-decisions/src/work.rs
@@ -36,8 +36,8 @@
 /// let mut work = WorkEstimate::open(start);
 /// // A server of four slots with twenty requests at any time: its answers
 /// // take 500 ms, four fifths of which they wait.
-/// work.answered(40, 20.0);
-/// work.settle(start + TimeSpan::from_millis(1_000));
+/// work.record(40, 20.0);
+/// work.decay(start + TimeSpan::from_millis(1_000));
 /// let seconds = work.seconds(4).expect("it has answered");
 /// assert!((0.09..0.11).contains(&seconds));
 /// ```
@@ -67,7 +67,7 @@
     }
 
     /// Counts answers with the sum of their times.
-    pub fn answered(&mut self, answers: u32, seconds: f32) {
+    pub fn record(&mut self, answers: u32, seconds: f32) {
         #[expect(clippy::cast_precision_loss, reason = "small counts")]
         let answers = answers as f32;
         self.fresh_answers += answers;
@@ -75,7 +75,7 @@
     }
 
     /// Takes what was counted since the last call.
-    pub fn settle(&mut self, now: LocalTime) {
+    pub fn decay(&mut self, now: LocalTime) {
         let passed = now.since(self.since).to_std().as_secs_f32();
         let half_life = HALF_LIFE.to_std().as_secs_f32();
         let kept = 0.5_f32.powf(passed / half_life);
--- a/goldcrestramp-decisions/tests/denial.rs
+++ b/goldcrestramp-decisions/tests/denial.rs
@@ -1,6 +1,6 @@
 //! Owners that deny a key are not asked for it over and over.
 
-use goldcrestramp_decisions::{DenialAction, OwnerDenial, owner_step};
+use goldcrestramp_decisions::{DenialAction, OwnerDenial, denial_action};
 use goldcrestramp_types::{LocalTime, TimeSpan};
 
 fn at(millis: u64) -> LocalTime {
@@ -15,7 +15,7 @@
     let mut denial = None;
     let mut sends = 0;
     for millis in (10_000..12_000).step_by(PAUSE_MS) {
-        if owner_step(denial, 7, known_since, at(millis))
+        if denial_action(denial, 7, known_since, at(millis))
             == DenialAction::Retry
         {
             sends += 1;
@@ -41,7 +41,7 @@
 fn another_assignment_ends_the_wait() {
     let denial = OwnerDenial { token: 7, denied_at: at(5_000) };
 
-    let step = owner_step(Some(denial), 8, at(5_100), at(5_100));
+    let step = denial_action(Some(denial), 8, at(5_100), at(5_100));
 
     assert_eq!(step, DenialAction::Retry);
 }
@@ -50,7 +50,7 @@
 fn the_wait_counts_from_the_denial() {
     let denial = OwnerDenial { token: 7, denied_at: at(5_000) };
 
-    let step = owner_step(Some(denial), 7, at(0), at(5_300));
+    let step = denial_action(Some(denial), 7, at(0), at(5_300));
 
     let denied_for = TimeSpan::from_millis(300);
     assert_eq!(step, DenialAction::AwaitChange { denied_for });
--- a/goldcrestramp-decisions/tests/direct.rs
+++ b/goldcrestramp-decisions/tests/direct.rs
@@ -6,7 +6,7 @@
     AdmissionQueue, AttemptBudget, BudgetSettings, PlacedRange, PoolCandidate,
     PoolChoice, QueuePosition, RangeLoad, RebalanceSettings, ResponseTimes,
     ServerProximity, TargetLoad, TimeoutInputs, WeightedRoundRobin,
-    attempt_timeout, choose_server, place_uses, rebalancing_moves,
+    attempt_timeout, choose_server, rebalancing_moves, target_utilization,
 };
 use goldcrestramp_types::{LocalTime, SliceIndex, SliceRange, TimeSpan};
 
@@ -17,12 +17,12 @@
 }
 
 fn candidate(
-    way: ServerProximity,
+    proximity: ServerProximity,
     in_flight: usize,
     millis: u64,
 ) -> PoolCandidate {
     let latency = TimeSpan::from_millis(millis);
-    PoolCandidate { way, limit: 4, in_flight, latency }
+    PoolCandidate { proximity, limit: 4, in_flight, latency }
 }
 
 #[test]
@@ -80,15 +80,16 @@
 fn vms_together_stay_within_the_budget_of_repeats() {
     const VMS: usize = 10;
     let span = TimeSpan::from_millis(10_000);
-    let settings = BudgetSettings { span, per_mille: 200, extra: 60 };
+    let settings =
+        BudgetSettings { window: span, per_mille: 200, constant: 60 };
     let mut windows = vec![AttemptBudget::new(settings); VMS];
     let mut sent = Vec::new();
     let mut asked = Vec::new();
     for millis in (0..60_000).step_by(10) {
         let vm = usize::try_from(millis / 10).expect("small") % VMS;
-        windows[vm].request(at(millis));
+        windows[vm].record_request(at(millis));
         asked.push(millis);
-        if windows[vm].take(at(millis), VMS) {
+        if windows[vm].try_take(at(millis), VMS) {
             sent.push(millis);
         }
     }
@@ -111,17 +112,18 @@
     const WINDOW_MS: u64 = 10_000;
     const END_MS: u64 = 40_000;
     let span = TimeSpan::from_millis(WINDOW_MS);
-    let settings = BudgetSettings { span, per_mille: 200, extra: 222 };
-    let fresh = AttemptBudget::new(settings).started(at(0));
+    let settings =
+        BudgetSettings { window: span, per_mille: 200, constant: 222 };
+    let fresh = AttemptBudget::new(settings).with_start(at(0));
     let mut windows = vec![fresh; VMS];
     let mut sent = Vec::new();
     let mut asked = Vec::new();
     for millis in 0..END_MS {
         let vm = usize::try_from(millis).expect("small") % VMS;
-        windows[vm].request(at(millis));
+        windows[vm].record_request(at(millis));
         asked.push(millis);
         let repeats =
-            (0..5).filter(|_| windows[vm].take(at(millis), known(millis)));
+            (0..5).filter(|_| windows[vm].try_take(at(millis), known(millis)));
         sent.extend(repeats.map(|_| millis));
     }
     let inside = |list: &[u64], begin: u64| {
@@ -160,9 +162,9 @@
 
 fn timeout_sight() -> TimeoutInputs {
     TimeoutInputs {
-        usual: Some(TimeSpan::from_millis(250)),
-        target: TimeSpan::from_millis(1_200),
-        left: TimeSpan::from_millis(3_000),
+        typical: Some(TimeSpan::from_millis(250)),
+        target_latency: TimeSpan::from_millis(1_200),
+        remaining: TimeSpan::from_millis(3_000),
         replaceable: true,
     }
 }
@@ -172,7 +174,7 @@
 /// budget, answered as a failure while its server is at work.
 #[test]
 fn a_server_that_has_not_answered_yet_gets_the_time_of_its_route() {
-    let sight = TimeoutInputs { usual: None, ..timeout_sight() };
+    let sight = TimeoutInputs { typical: None, ..timeout_sight() };
 
     assert_eq!(attempt_timeout(sight), TimeSpan::from_millis(1_200));
 }
@@ -190,8 +192,10 @@
 /// and never more than what is left.
 #[test]
 fn a_silent_server_is_left_after_a_few_usual_times() {
-    let late =
-        TimeoutInputs { left: TimeSpan::from_millis(300), ..timeout_sight() };
+    let late = TimeoutInputs {
+        remaining: TimeSpan::from_millis(300),
+        ..timeout_sight()
+    };
 
     assert_eq!(attempt_timeout(timeout_sight()), TimeSpan::from_millis(875));
     assert_eq!(attempt_timeout(late), TimeSpan::from_millis(300));
@@ -208,11 +212,11 @@
     for turn in 0..200 {
         let long = turn % 10 == 0;
         let (route, millis) = if long { (&check, 300) } else { (&lookup, 50) };
-        times.note(route, TimeSpan::from_millis(millis));
+        times.record(route, TimeSpan::from_millis(millis));
     }
     let wait = |route: &str| {
         attempt_timeout(TimeoutInputs {
-            usual: times.of(route),
+            typical: times.typical_for(route),
             ..timeout_sight()
         })
     };
@@ -220,7 +224,7 @@
     assert!(wait("check") > TimeSpan::from_millis(900));
     assert!(wait("lookup") <= TimeSpan::from_millis(250));
     let together =
-        TimeoutInputs { usual: Some(times.mean()), ..timeout_sight() };
+        TimeoutInputs { typical: Some(times.mean()), ..timeout_sight() };
     assert!(attempt_timeout(together) < TimeSpan::from_millis(400));
 }
 
@@ -228,13 +232,14 @@
 #[test]
 fn looking_at_the_budget_uses_nothing_of_it() {
     let span = TimeSpan::from_millis(10_000);
-    let settings = BudgetSettings { span, per_mille: 200, extra: 10 };
+    let settings =
+        BudgetSettings { window: span, per_mille: 200, constant: 10 };
     let mut window = AttemptBudget::new(settings);
-    let looks = (0..50).filter(|_| window.has_room(at(0), 1)).count();
-    let taken = (0..50).filter(|_| window.take(at(0), 1)).count();
+    let looks = (0..50).filter(|_| window.has_remaining(at(0), 1)).count();
+    let taken = (0..50).filter(|_| window.try_take(at(0), 1)).count();
 
     assert_eq!((looks, taken), (50, 7));
-    assert!(!window.has_room(at(0), 1));
+    assert!(!window.has_remaining(at(0), 1));
 }
 
 #[test]
@@ -257,8 +262,8 @@
 #[test]
 fn rank_goes_before_arrival_and_a_place_is_kept() {
     let mut line = AdmissionQueue::default();
-    let low = QueuePosition { priority: 2, turn: 1 };
-    let high = QueuePosition { priority: 1, turn: 2 };
+    let low = QueuePosition { priority: 2, sequence: 1 };
+    let high = QueuePosition { priority: 1, sequence: 2 };
     line.join(low, "low");
     line.join(high, "high");
 
@@ -274,7 +279,7 @@
 const SETTINGS: RebalanceSettings = RebalanceSettings::for_servers(20);
 
 fn places(servers: usize) -> Vec<TargetLoad> {
-    vec![TargetLoad { slots: 2, work_s: 0.1, open: true }; servers]
+    vec![TargetLoad { slots: 2, work_s: 0.1, accepts_keys: true }; servers]
 }
 
 /// One run a server, in order.
@@ -286,7 +291,7 @@
             let last =
                 if place + 1 == servers { u16::MAX } else { first + size - 1 };
             let range = SliceRange { first: first.into(), last: last.into() };
-            PlacedRange { range, place: usize::from(place), movable: true }
+            PlacedRange { range, target: usize::from(place), movable: true }
         })
         .collect()
 }
@@ -309,7 +314,7 @@
         }
         runs.push(PlacedRange {
             range: *range,
-            place: *target,
+            target: *target,
             movable: true,
         });
     }
@@ -331,9 +336,9 @@
         now += 500;
         let usual = (0..u16::MAX).step_by(1_000);
         for key in usual.chain(hot.clone().step_by(2)) {
-            load.count(key.into(), 1);
+            load.record(key.into(), 1);
         }
-        load.settle(at(now));
+        load.decay(at(now));
         let moves = rebalancing_moves(&runs, &places, &load, &SETTINGS);
         let chosen: Vec<_> =
             moves.iter().map(|m| (m.range, m.target)).collect();
@@ -342,9 +347,9 @@
         follow(&mut runs, &chosen);
     }
 
-    let uses = place_uses(&runs, &places, &load);
+    let uses = target_utilization(&runs, &places, &load);
     let most = uses.iter().copied().fold(0.0, f32::max);
-    let still = place_uses(&even_runs(20), &places, &load);
+    let still = target_utilization(&even_runs(20), &places, &load);
     let unmoved = still.iter().copied().fold(0.0, f32::max);
     assert!(most < 1.0, "busiest {most}");
     assert!(unmoved > 2.0, "without moves {unmoved}");
@@ -362,16 +367,16 @@
     for round in 1..=8 {
         for rank in 0..60_u16 {
             let requests = 12 / (u32::from(rank) / 2 + 1);
-            load.count((10_000 + rank).into(), requests.max(1));
+            load.record((10_000 + rank).into(), requests.max(1));
         }
-        load.settle(at(round * 1_000));
+        load.decay(at(round * 1_000));
         let moves = rebalancing_moves(&runs, &places, &load, &SETTINGS);
         let chosen: Vec<_> =
             moves.iter().map(|m| (m.range, m.target)).collect();
         follow(&mut runs, &chosen);
     }
 
-    let uses = place_uses(&runs, &places, &load);
+    let uses = target_utilization(&runs, &places, &load);
     let most = uses.iter().copied().fold(0.0, f32::max);
     assert!(most < 1.0, "busiest {most}");
 }
@@ -382,9 +387,9 @@
     let runs = even_runs(4);
     let mut load = RangeLoad::open(at(0));
     for key in (0..u16::MAX).step_by(64) {
-        load.count(key.into(), 1);
+        load.record(key.into(), 1);
     }
-    load.settle(at(60_000));
+    load.decay(at(60_000));
 
     let moves = rebalancing_moves(&runs, &places, &load, &SETTINGS);
 
@@ -402,7 +407,7 @@
     const CHANGES_A_MOVE: usize = 2;
     const ROUNDS_A_SECOND: usize = 2;
 
-    let moves = RebalanceSettings::for_servers(208).moves;
+    let moves = RebalanceSettings::for_servers(208).max_moves;
 
     let told = moves * CHANGES_A_MOVE * ROUNDS_A_SECOND * BYTES_A_CHANGE;
     assert!(told <= 16_000 / 2, "{told} bytes a second");
@@ -414,9 +419,9 @@
     let runs = even_runs(4);
     let mut load = RangeLoad::open(at(0));
     for key in (0..u16::MAX).step_by(8) {
-        load.count(key.into(), 1);
+        load.record(key.into(), 1);
     }
-    load.settle(at(2_000));
+    load.decay(at(2_000));
 
     assert_eq!(rebalancing_moves(&runs, &places, &load, &SETTINGS), []);
 }
--- a/goldcrestramp-decisions/tests/load.rs
+++ b/goldcrestramp-decisions/tests/load.rs
@@ -1,6 +1,8 @@
 //! What is reported of a server's slots, and who may hold them.
 
-use goldcrestramp_decisions::{REPORTED_SLICES, ServerLoad, is_reader_lost};
+use goldcrestramp_decisions::{
+    REPORTED_SLICES, ServerLoad, is_reader_stalled,
+};
 use goldcrestramp_types::{LocalTime, SliceIndex, TimeSpan};
 
 fn slice(number: u32) -> SliceIndex {
@@ -57,7 +59,7 @@
     for (millis, others_wait, expected) in cases {
         let since = LocalTime::from_micros(1);
         let now = since + TimeSpan::from_millis(millis);
-        let lost = is_reader_lost(now, since, others_wait);
+        let lost = is_reader_stalled(now, since, others_wait);
         assert_eq!(lost, expected, "{millis} ms, others {others_wait}");
     }
 }
--- a/goldcrestramp-decisions/tests/rate.rs
+++ b/goldcrestramp-decisions/tests/rate.rs
@@ -141,8 +141,8 @@
                 }
                 PlayEvent::Answered(number, limit) => {
                     let vm = &mut vms[number];
-                    if vm.allowance.stated(now, limit) {
-                        let request = vm.allowance.request(now, 0);
+                    if vm.allowance.record_limit(now, limit) {
+                        let request = vm.allowance.permit_request(now, 0);
                         let asked = PlayEvent::Asked(number, request);
                         later.push((ASK_MS / 2 + WAY_MS, asked));
                     }
@@ -151,12 +151,12 @@
                     }
                 }
                 PlayEvent::Asked(vm, request) if kept => {
-                    let grant = ledger.ask(now, &SERVER, request);
+                    let grant = ledger.request_permits(now, &SERVER, request);
                     later.push((WAY_MS, PlayEvent::Granted(vm, grant)));
                 }
                 PlayEvent::Asked(..) => {}
                 PlayEvent::Granted(vm, grant) => {
-                    vms[vm].allowance.granted(now, grant);
+                    vms[vm].allowance.record_grant(now, grant);
                 }
             }
         }
@@ -174,12 +174,12 @@
                 continue;
             }
             let place = FleetPosition { vms: plan.vms, rank: number };
-            if vm.allowance.take(now, place) {
+            if vm.allowance.try_take(now, place) {
                 vm.waiting.pop_front();
                 later.push((WAY_MS, PlayEvent::Arrives(number)));
             } else if (millis + number as u64).is_multiple_of(ASK_MS) {
                 let wanted = u32::try_from(vm.waiting.len()).expect("small");
-                let request = vm.allowance.request(now, wanted);
+                let request = vm.allowance.permit_request(now, wanted);
                 later.push((WAY_MS, PlayEvent::Asked(number, request)));
             }
         }
@@ -272,12 +272,12 @@
 fn a_permit_that_was_not_used_lapses() {
     let place = FleetPosition { vms: 91, rank: 40 };
     let mut allowance = RateAllowance::default();
-    allowance.stated(at(0), Some(3.0));
+    allowance.record_limit(at(0), Some(3.0));
 
-    allowance.granted(at(0), PermitGrant::Permits(5));
+    allowance.record_grant(at(0), PermitGrant::Permits(5));
 
-    assert!(allowance.take(at(700), place));
-    assert!(!allowance.take(at(1_000), place));
+    assert!(allowance.try_take(at(700), place));
+    assert!(!allowance.try_take(at(1_000), place));
 }
 
 /// Guards against an old answer that ends a limit named since.
@@ -285,9 +285,9 @@
 fn an_answer_from_before_a_statement_ends_no_limit() {
     let place = FleetPosition { vms: 91, rank: 40 };
     let mut allowance = RateAllowance::default();
-    allowance.stated(at(500), Some(3.0));
+    allowance.record_limit(at(500), Some(3.0));
 
-    allowance.granted(at(400), PermitGrant::Unlimited);
+    allowance.record_grant(at(400), PermitGrant::Unlimited);
 
     assert!(!allowance.has_permit(at(600), place));
 }
--- a/goldcrestramp-decisions/tests/rebalancing/world.rs
+++ b/goldcrestramp-decisions/tests/rebalancing/world.rs
@@ -83,7 +83,7 @@
                 SliceIndex::from(u16::try_from(key).expect("a key"))
             };
             let range = SliceRange { first: slice(first), last: slice(last) };
-            PlacedRange { range, place: number % speeds.len(), movable: true }
+            PlacedRange { range, target: number % speeds.len(), movable: true }
         });
         Self {
             servers: servers.collect(),
@@ -128,11 +128,11 @@
         let first = if hot { 30_000.0 } else { 0.0 };
         let key = first + self.unit() * spread;
         let key = SliceIndex::from(key.min(65_535.0) as u16);
-        self.load.count(key, 1);
+        self.load.record(key, 1);
         self.sum.asked += 1;
         let alone = SliceRange { first: key, last: key };
         let run = self.runs.iter().find(|run| run.range.covers(alone));
-        let place = run.expect("each key has a run").place;
+        let place = run.expect("each key has a run").target;
         let work = -shape.work_ms * 0.5 * self.unit().max(1e-9).ln();
         let left_ms = shape.work_ms * 0.5 + work;
         let server = &mut self.servers[place];
@@ -156,7 +156,7 @@
             for job in server.running.extract_if(.., |job| job.left_ms <= 0.0)
             {
                 let took = now - job.arrived;
-                server.work.answered(1, took as f32 / 1_000.0);
+                server.work.record(1, took as f32 / 1_000.0);
                 if took <= self.target_ms {
                     self.sum.in_time += 1;
                 } else {
@@ -167,9 +167,9 @@
     }
 
     fn round(&mut self, moves: bool) {
-        self.load.settle(at(self.now));
+        self.load.decay(at(self.now));
         for server in &mut self.servers {
-            server.work.settle(at(self.now));
+            server.work.decay(at(self.now));
         }
         if !moves {
             return;
@@ -180,7 +180,7 @@
             .map(|server| TargetLoad {
                 slots: SLOTS,
                 work_s: server.work.seconds(SLOTS).unwrap_or(0.12),
-                open: true,
+                accepts_keys: true,
             })
             .collect();
         let moves =
@@ -205,7 +205,7 @@
             let range = SliceRange { first, last: whole.range.last };
             self.runs.push(PlacedRange { range, ..whole });
         }
-        self.runs.push(PlacedRange { range, place: target, movable: true });
+        self.runs.push(PlacedRange { range, target, movable: true });
     }
 
     /// A number from 0 to 1, the same in every run.
--- a/goldcrestramp-decisions/tests/retry.rs
+++ b/goldcrestramp-decisions/tests/retry.rs
@@ -2,7 +2,7 @@
 
 use goldcrestramp_decisions::{
     AttemptStart, FailedAttempt, REDIRECT_LIMIT, RefusalProof, RefusedBy,
-    RetryDecision, RetryPolicy, TransitEstimate, span_to_send,
+    RetryDecision, RetryPolicy, TransitEstimate, timeout_to_forward,
 };
 use goldcrestramp_types::{
     CallerName, LocalTime, NotRunReason, RequestEffect, RetryReason,
@@ -149,7 +149,7 @@
 #[test]
 fn a_hop_takes_its_own_time_off_the_deadline() {
     let transit = TimeSpan::from_millis(12);
-    let left = |now| span_to_send(at(now), at(100), transit);
+    let left = |now| timeout_to_forward(at(now), at(100), transit);
     assert_eq!(left(50), Some(TimeSpan::from_millis(38)));
     assert_eq!(left(88), None);
     assert_eq!(left(200), None);
--- a/goldcrestramp-entry/src/configuration.rs
+++ b/goldcrestramp-entry/src/configuration.rs
@@ -176,7 +176,7 @@
     /// The newest version, for a VM that knows so much; nothing if it knows
     /// that one.
     #[must_use]
-    pub fn news_for(
+    pub fn update_for(
         &self,
         known: ConfigurationRevision,
     ) -> Option<ConfigurationUpdate> {
@@ -204,14 +204,14 @@
     /// # Errors
     ///
     /// [`BaseMismatch`] if they were made for another version.
-    pub fn take_news(
+    pub fn apply_update(
         &mut self,
-        news: ConfigurationUpdate,
+        update: ConfigurationUpdate,
     ) -> Result<bool, BaseMismatch> {
-        if news.revision <= self.mark().read_until {
+        if update.revision <= self.mark().read_until {
             return Ok(false);
         }
-        let configuration = match news.body {
+        let configuration = match update.body {
             ConfigurationPayload::Full(whole) => Arc::unwrap_or_clone(whole),
             ConfigurationPayload::Patch { base, patch } => {
                 let former = self.newest().filter(|v| v.revision == base);
@@ -225,7 +225,7 @@
                 patch.apply(&former.configuration)
             }
         };
-        Ok(self.push(news.revision, configuration))
+        Ok(self.push(update.revision, configuration))
     }
 
     /// Adds a version; one that is not above the newest is refused, as what
--- a/goldcrestramp-entry/src/control/actor.rs
+++ b/goldcrestramp-entry/src/control/actor.rs
@@ -11,14 +11,14 @@
 use crate::{
     configuration::ConfigurationHistory,
     control::{
-        claim::{claim, stop_former},
+        claim::{claim, stop_previous_planner},
         lease::LeaseTerms,
         load::{LoadRecorder, LoadReport},
         message::{ClaimEnded, LeaseProof},
-        news::SyncState,
         order::OrderGate,
         permits::PermitMailbox,
         ranking::is_large,
+        sync::SyncState,
         tables::ReplicaTracker,
         term::PlannerTerm,
     },
@@ -65,7 +65,7 @@
     /// The region of each failure domain.
     pub(crate) regions: FastMap<Arc<str>, Arc<str>>,
     /// How long a grant holds.
-    pub(crate) hold: TimeSpan,
+    pub(crate) grant_duration: TimeSpan,
     pub(crate) store: Arc<StoreClient>,
     pub(crate) orders: Arc<CallPool>,
     pub(crate) peers: PeerClient,
@@ -78,7 +78,7 @@
     pub(crate) view: Arc<FleetView>,
     views: watch::Sender<Arc<FleetView>>,
     revision_out: watch::Sender<u64>,
-    pub(crate) news: SyncState,
+    pub(crate) sync: SyncState,
     loads: LoadRecorder,
     pub(crate) permits: PermitMailbox,
     pub(crate) metrics: Arc<EntryMetrics>,
@@ -107,7 +107,7 @@
     pub(crate) fn new(
         me: VmInstance,
         regions: FastMap<Arc<str>, Arc<str>>,
-        hold: TimeSpan,
+        grant_duration: TimeSpan,
         store: Arc<StoreClient>,
         shared: SharedState,
         views: watch::Sender<Arc<FleetView>>,
@@ -123,7 +123,7 @@
         Self {
             me,
             regions,
-            hold,
+            grant_duration,
             store,
             orders: Arc::new(orders),
             peers: PeerClient::open(),
@@ -136,7 +136,7 @@
             view: Arc::default(),
             views,
             revision_out: watch::channel(0).0,
-            news: SyncState::open(shared.clock),
+            sync: SyncState::open(shared.clock),
             loads: shared.loads,
             permits: shared.permits,
             metrics: shared.metrics,
@@ -161,7 +161,7 @@
         if let Some(item) = self.mirror.extract(CONFIGURATION_KEY) {
             self.configurations.take_value(&item);
         }
-        let since = self.news.changed_since(now);
+        let since = self.sync.changed_since(now);
         let newest = self.configurations.newest();
         let view = self.builder.build(now, since, &self.mirror, newest);
         if let Some(view) = view {
@@ -216,7 +216,7 @@
 
     /// Notes how old this VM's knowledge of the store is.
     pub(crate) fn note_news_age(&self, now: LocalTime) {
-        let age = self.news.age(now).as_millis();
+        let age = self.sync.age(now).as_millis();
         self.metrics.news_age.set(age.cast_signed());
     }
 
@@ -328,16 +328,16 @@
             }
             _ => PreviousPlanner::MayRenew,
         };
-        let sent_until = last_grant_sent(now, known, PROOF_LIFE);
+        let last_grant_at = last_grant_sent(now, known, PROOF_LIFE);
         self.term = Some(PlannerTerm::open(
             revision,
             ended.lease,
             ended.sent_at,
-            sent_until,
+            last_grant_at,
         ));
         let other = former.filter(|(vm, _at)| vm.vm != self.me.vm);
         if let Some((former, planned_by)) = other {
-            tokio::spawn(stop_former(
+            tokio::spawn(stop_previous_planner(
                 self.peers.clone(),
                 former,
                 planned_by,
--- a/goldcrestramp-entry/src/control/claim.rs
+++ b/goldcrestramp-entry/src/control/claim.rs
@@ -50,7 +50,7 @@
 }
 
 /// Asks the former planner to stop, until it has or can't be asked.
-pub(crate) async fn stop_former(
+pub(crate) async fn stop_previous_planner(
     peers: PeerClient,
     former: VmInstance,
     planned_by: LocalTime,
--- a/goldcrestramp-entry/src/control/follow.rs
+++ b/goldcrestramp-entry/src/control/follow.rs
@@ -21,7 +21,7 @@
             HistoryLost, NextSource, NextStep, PeerTimedOut, PeerUpdate,
             StoreChanges, StoreSnapshot, StoreTimedOut, VmPage,
         },
-        told_as_of,
+        update_as_of,
     },
     metrics::EntryMetrics,
     peers::{KnownRevisions, PeerCall, PeerClient, PeerReply},
@@ -88,13 +88,14 @@
             Some(limit) => peers.call_within(address, &call, limit).await,
             None => peers.call(address, &call).await,
         };
-        let Some(PeerReply::Update { news, age, held, fresh }) = reply else {
+        let Some(PeerReply::Update { update, age, held, fresh }) = reply
+        else {
             return false;
         };
-        let as_of = told_as_of(sent_at, held, age);
+        let as_of = update_as_of(sent_at, held, age);
         let source = Some(address);
-        let news = PeerUpdate { news, as_of, fresh, source };
-        control.send(news).await.is_ok()
+        let update = PeerUpdate { update, as_of, fresh, source };
+        control.send(update).await.is_ok()
     }
 }
 
@@ -226,11 +227,11 @@
         }
     }
 
-    async fn tell<News>(&self, news: News) -> Result<(), ActorGone>
+    async fn tell<News>(&self, update: News) -> Result<(), ActorGone>
     where
         ControlActor: xtra::Handler<News, Return = ()>,
         News: Send + 'static,
     {
-        self.control.send(news).await.map_err(|_gone| ActorGone)
+        self.control.send(update).await.map_err(|_gone| ActorGone)
     }
 }
--- a/goldcrestramp-entry/src/control/handlers.rs
+++ b/goldcrestramp-entry/src/control/handlers.rs
@@ -35,12 +35,12 @@
 
     async fn handle(&mut self, message: StoreChanges, _: &mut Context<Self>) {
         let now = now();
-        self.news.answered(now);
+        self.sync.answered(now);
         let any = self.mirror.apply(message.events, message.revision);
         if any {
             self.refresh(now);
         }
-        self.news.was_current(message.sent_at);
+        self.sync.was_current(message.sent_at);
         if any {
             self.work(now);
         }
@@ -52,12 +52,12 @@
 
     async fn handle(&mut self, message: StoreSnapshot, _: &mut Context<Self>) {
         let now = now();
-        self.news.answered(now);
+        self.sync.answered(now);
         let StoreSnapshot { sent_at, page } = message;
-        self.news.was_read();
+        self.sync.was_read();
         if self.mirror.replace(page.items, page.revision) {
             self.refresh(now);
-            self.news.was_current(sent_at);
+            self.sync.was_current(sent_at);
             self.work(now);
         }
     }
@@ -68,8 +68,8 @@
 
     async fn handle(&mut self, VmPage(page): VmPage, _: &mut Context<Self>) {
         let now = now();
-        self.news.answered(now);
-        self.news.was_read();
+        self.sync.answered(now);
+        self.sync.was_read();
         for item in page.items {
             self.mirror.write(item);
         }
@@ -86,7 +86,7 @@
         _: &mut Context<Self>,
     ) -> NextStep {
         let source = self.next_source(now());
-        NextStep { source, known: self.marks() }
+        NextStep { source, known: self.known_revisions() }
     }
 }
 
@@ -94,7 +94,7 @@
     type Return = ();
 
     async fn handle(&mut self, _: StoreTimedOut, _: &mut Context<Self>) {
-        self.news.failed();
+        self.sync.failed();
     }
 }
 
@@ -102,7 +102,7 @@
     type Return = ();
 
     async fn handle(&mut self, _: HistoryLost, _: &mut Context<Self>) {
-        self.news.history_lost();
+        self.sync.history_lost();
     }
 }
 
@@ -122,7 +122,7 @@
         PeerTimedOut(peer): PeerTimedOut,
         _: &mut Context<Self>,
     ) {
-        self.news.peer_failed(now(), peer);
+        self.sync.peer_failed(now(), peer);
     }
 }
 
@@ -132,17 +132,17 @@
     async fn handle(&mut self, message: PeerUpdate, _: &mut Context<Self>) {
         let now = now();
         if message.fresh {
-            self.news.answered(now);
+            self.sync.answered(now);
         }
         if let Some(source) = message.source {
-            self.news.peer_answered(now, source, message.fresh);
+            self.sync.peer_answered(now, source, message.fresh);
         }
-        let taken = self.take_news(now, message.news);
+        let taken = self.apply_update(now, message.update);
         if taken.changed {
             self.refresh(now);
         }
         if taken.whole {
-            self.news.was_current(message.as_of);
+            self.sync.was_current(message.as_of);
         }
         if taken.changed {
             self.work(now);
@@ -224,7 +224,7 @@
         message: TablesReplicated,
         _: &mut Context<Self>,
     ) {
-        self.tables_told(message);
+        self.tables_replicated(message);
     }
 }
 
@@ -259,7 +259,7 @@
         // stops renewing at once, every key is without an owner when its
         // hold ends; it renews until the process ends, like one whose lease
         // can't be kept, and a successor asks it to stop.
-        if self.term.is_some() && !self.news.is_fresh(now(), self.proof) {
+        if self.term.is_some() && !self.sync.is_fresh(now(), self.proof) {
             log::warn!("[control] The store is silent: holds are renewed on.");
             return;
         }
@@ -284,20 +284,20 @@
         let now = now();
         match message {
             PeerCall::Sync { known, .. } => {
-                let fresh = self.news.may_be_followed(now, self.proof);
-                let news = self.news_since(&known);
-                let age = self.news.age(now);
-                PeerReply::Update { news, age, held: TimeSpan::ZERO, fresh }
+                let fresh = self.sync.may_be_followed(now, self.proof);
+                let update = self.update_since(&known);
+                let age = self.sync.age(now);
+                PeerReply::Update { update, age, held: TimeSpan::ZERO, fresh }
             }
-            PeerCall::Tables(news) => {
-                self.take_tables(now, news);
-                PeerReply::Tables(self.history.marks())
+            PeerCall::Tables(update) => {
+                self.apply_tables(now, update);
+                PeerReply::Tables(self.history.known_revisions())
             }
             PeerCall::Load(report) => {
                 self.take_load(now, &report);
                 PeerReply::Accepted
             }
-            PeerCall::StepDown { start } => self.stand_down(start),
+            PeerCall::StepDown { start } => self.step_down(start),
             PeerCall::Permits(_) if self.term.is_none() => PeerReply::Accepted,
             PeerCall::Permits(requests) => {
                 PeerReply::Permits(self.grant_permits(now, requests))
--- a/goldcrestramp-entry/src/control/load.rs
+++ b/goldcrestramp-entry/src/control/load.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct ResponseTotals {
     /// How many came.
-    pub answers: u32,
+    pub responses: u32,
     /// The time that they took, in milliseconds.
     pub millis: u32,
 }
@@ -49,7 +49,7 @@
         let load = report.entry(Arc::clone(service)).or_default();
         let sum = load.servers.entry(Arc::clone(server)).or_default();
         let millis = u32::try_from(span.as_millis()).unwrap_or(u32::MAX);
-        sum.answers += 1;
+        sum.responses += 1;
         sum.millis = sum.millis.saturating_add(millis);
     }
 
--- a/goldcrestramp-entry/src/control/message.rs
+++ b/goldcrestramp-entry/src/control/message.rs
@@ -58,7 +58,7 @@
 /// Another VM's news of the store.
 #[derive(Debug)]
 pub(crate) struct PeerUpdate {
-    pub(crate) news: StoreUpdate,
+    pub(crate) update: StoreUpdate,
     /// The moment up to which these tell the store's changes.
     pub(crate) as_of: LocalTime,
     pub(crate) fresh: bool,
--- a/goldcrestramp-entry/src/control/mod.rs
+++ b/goldcrestramp-entry/src/control/mod.rs
@@ -10,13 +10,13 @@
 mod lease;
 mod load;
 mod message;
-mod news;
 mod order;
 mod permits;
 mod ranking;
 mod service;
 mod source;
 mod speed;
+mod sync;
 mod tables;
 mod term;
 
@@ -30,9 +30,9 @@
     actor::ControlActor,
     lease::LeaseTerms,
     load::{LoadRecorder, LoadReport, ResponseTotals, ServiceLoad},
-    news::{FreshnessClock, SyncState, UpdateSource, told_as_of},
     permits::{PermitGrants, PermitMailbox, PermitRequests},
     ranking::{advising_vms, is_large, source_vms},
+    sync::{FreshnessClock, SyncState, UpdateSource, update_as_of},
 };
 use crate::{
     control::{
@@ -76,7 +76,7 @@
     let actor = ControlActor::new(
         me.clone(),
         settings.regions.clone(),
-        HOLD.min(settings.hold_most),
+        HOLD.min(settings.max_grant_duration),
         Arc::clone(&store),
         shared.clone(),
         views,
@@ -94,7 +94,7 @@
         slow_answer: None,
     };
     tokio::spawn(follower.run());
-    let least = settings.lease_least;
+    let least = settings.min_lease_ttl;
     tokio::spawn(keep_lease(store, me, least, terms, address.clone()));
     let source = PeerSource { control: address.clone(), revisions };
     tokio::spawn(serve_peers(peers, source));
--- a/goldcrestramp-entry/src/control/order.rs
+++ b/goldcrestramp-entry/src/control/order.rs
@@ -69,7 +69,7 @@
         for order in orders {
             match order.kind {
                 OrderKind::Grant { .. } => {
-                    let id = Arc::clone(&order.life.id);
+                    let id = Arc::clone(&order.instance.id);
                     rounds.entry(id).or_default().push(order);
                 }
                 OrderKind::Release => alone.push(vec![order]),
@@ -127,9 +127,9 @@
     let (first, last) = (order.range.first.get(), order.range.last.get());
     let token = order.token;
     let (path, body, limit) = match &order.kind {
-        OrderKind::Grant { hold, handover } => {
-            let (hold, handover) = (*hold, handover.clone());
-            let order = GrantOrder { first, last, token, hold, handover };
+        OrderKind::Grant { duration, handover } => {
+            let (duration, handover) = (*duration, handover.clone());
+            let order = GrantOrder { first, last, token, duration, handover };
             (GrantOrder::PATH, order.encode(), GRANT_LIMIT)
         }
         OrderKind::Release => {
@@ -138,10 +138,10 @@
         }
     };
     let request = CallRequest {
-        address: order.life.address,
+        address: order.instance.address,
         method: Method::POST,
         path: path.into(),
-        headers: order_headers(&order.life.id),
+        headers: order_headers(&order.instance.id),
         body,
     };
     match pool.call(request, reach, limit).await {
--- a/goldcrestramp-entry/src/control/permits.rs
+++ b/goldcrestramp-entry/src/control/permits.rs
@@ -107,7 +107,7 @@
     ) -> PermitGrants {
         let Some(term) = &mut self.term else { return Vec::new() };
         let grant = |(server, request)| {
-            let grant = term.rates.ask(now, &server, request);
+            let grant = term.rates.request_permits(now, &server, request);
             (server, grant)
         };
         requests.into_iter().map(grant).collect()
--- a/goldcrestramp-entry/src/control/service.rs
+++ b/goldcrestramp-entry/src/control/service.rs
@@ -9,12 +9,12 @@
 };
 use goldcrestramp_decisions::{
     PlacedRange, RangeLoad, RangeMove, RateLedger, RebalanceSettings,
-    TargetLoad, lightest_place, place_uses, rebalancing_moves,
+    TargetLoad, least_loaded_target, rebalancing_moves, target_utilization,
 };
 use goldcrestramp_types::{FastMap, LocalTime, SliceRange, TimeSpan};
 
 use crate::control::{
-    load::ServiceLoad, speed::SpeedEstimates, term::life_of,
+    load::ServiceLoad, speed::SpeedEstimates, term::instance_of,
 };
 
 /// How long a grant holds. A server that can't be reached and is gone
@@ -54,16 +54,16 @@
         now: LocalTime,
         table: AssignmentTable,
         revision: u64,
-        hold: TimeSpan,
-        sent_until: LocalTime,
+        grant_duration: TimeSpan,
+        last_grant_at: LocalTime,
     ) -> Self {
         let timing = PlannerTiming {
-            hold,
-            renew_after: hold.percent(RENEW_PERCENT),
-            retry_after: RETRY_AFTER,
+            grant_duration,
+            renew_interval: grant_duration.percent(RENEW_PERCENT),
+            retry_delay: RETRY_AFTER,
         };
         Self {
-            planner: TablePlanner::open(timing, table, sent_until),
+            planner: TablePlanner::open(timing, table, last_grant_at),
             revision,
             committing: false,
             load: RangeLoad::open(now),
@@ -76,10 +76,10 @@
     /// Takes what a VM was asked for.
     pub(crate) fn take_load(&mut self, now: LocalTime, load: &ServiceLoad) {
         for (key, requests) in &load.keys {
-            self.load.count((*key).into(), *requests);
+            self.load.record((*key).into(), *requests);
         }
         for (server, sum) in &load.servers {
-            self.speeds.answered(now, server, *sum);
+            self.speeds.record(now, server, *sum);
         }
     }
 
@@ -94,7 +94,7 @@
         if revision < self.revision {
             return;
         }
-        for run in table.runs() {
+        for run in table.ranges() {
             if run.phase == AssignmentPhase::Releasing {
                 self.resting.push((run.range, now + REST));
             }
@@ -118,8 +118,8 @@
         let weigh = now >= self.weigh_at;
         if weigh {
             self.weigh_at = now + WEIGH_PAUSE;
-            self.load.settle(now);
-            self.speeds.settle(now, ready);
+            self.load.decay(now);
+            self.speeds.decay(now, ready);
         }
         let board = PlaceBoard::new(self, ready, rates);
         let wishes = if weigh { self.wishes(&board) } else { Vec::new() };
@@ -127,8 +127,9 @@
         let load = &self.load;
         let place = |range| {
             let (runs, places) = (&board.runs, &board.places);
-            let place = lightest_place(runs, places, load, &mut given, range)?;
-            Some(board.lives[place].clone())
+            let place =
+                least_loaded_target(runs, places, load, &mut given, range)?;
+            Some(board.instances[place].clone())
         };
         self.planner.plan(now, fate, &wishes, place)
     }
@@ -142,7 +143,8 @@
             &settings,
         );
         if !moves.is_empty() {
-            let uses = place_uses(&board.runs, &board.places, &self.load);
+            let uses =
+                target_utilization(&board.runs, &board.places, &self.load);
             let most = uses.iter().copied().fold(0.0, f32::max);
             let slices: u32 = moves.iter().map(|m| m.range.slices()).sum();
             log::info!(
@@ -153,7 +155,7 @@
         }
         let wish = |chosen: &RangeMove| MoveRequest {
             range: chosen.range,
-            target: board.lives[chosen.target].clone(),
+            target: board.instances[chosen.target].clone(),
         };
         moves.iter().map(wish).collect()
     }
@@ -172,7 +174,7 @@
 
 /// The servers and runs of a service as the rebalancing sees them.
 struct PlaceBoard {
-    lives: Vec<ServerInstance>,
+    instances: Vec<ServerInstance>,
     places: Vec<TargetLoad>,
     runs: Vec<PlacedRange>,
 }
@@ -185,42 +187,46 @@
     ) -> Self {
         let speeds = &plan.speeds;
         let usual = speeds.usual_work_s(ready);
-        let mut lives: Vec<ServerInstance> =
-            ready.iter().map(|entry| life_of(entry)).collect();
-        let pairs = ready.iter().zip(&lives);
+        let mut instances: Vec<ServerInstance> =
+            ready.iter().map(|entry| instance_of(entry)).collect();
+        let pairs = ready.iter().zip(&instances);
         let mut places: Vec<TargetLoad> = pairs
-            .map(|(entry, life)| TargetLoad {
+            .map(|(entry, instance)| TargetLoad {
                 slots: entry.slots,
                 work_s: speeds
                     .work_s(entry, usual)
-                    .max(work_within(rates.limit_of(life), entry.slots)),
-                open: true,
+                    .max(work_within(rates.limit_of(instance), entry.slots)),
+                accepts_keys: true,
             })
             .collect();
         let table = plan.planner.table();
         // Holders that are no longer ready stand behind, closed.
-        let ready = lives.iter().cloned().zip(0..);
+        let ready = instances.iter().cloned().zip(0..);
         let ready: FastMap<ServerInstance, usize> = ready.collect();
         let mut positions = FastMap::default();
-        for (key, life) in table.lives() {
-            let known = ready.get(life).copied();
-            positions.insert(key, known.unwrap_or(lives.len()));
+        for (key, instance) in table.instances() {
+            let known = ready.get(instance).copied();
+            positions.insert(key, known.unwrap_or(instances.len()));
             if known.is_none() {
-                lives.push(life.clone());
-                let gone = TargetLoad { slots: 1, work_s: usual, open: false };
+                instances.push(instance.clone());
+                let gone = TargetLoad {
+                    slots: 1,
+                    work_s: usual,
+                    accepts_keys: false,
+                };
                 places.push(gone);
             }
         }
-        let runs = table.runs().iter().map(|run| PlacedRange {
+        let runs = table.ranges().iter().map(|run| PlacedRange {
             range: run.range,
-            place: positions[&run.life],
+            target: positions[&run.instance],
             movable: run.phase == AssignmentPhase::Granted
-                && places[positions[&run.life]].open
+                && places[positions[&run.instance]].accepts_keys
                 && !plan.resting.iter().any(|(range, _until)| {
                     range.covers(run.range) || run.range.covers(*range)
                 }),
         });
         let runs = runs.collect();
-        Self { lives, places, runs }
+        Self { instances, places, runs }
     }
 }
--- a/goldcrestramp-entry/src/control/source.rs
+++ b/goldcrestramp-entry/src/control/source.rs
@@ -7,8 +7,8 @@
     control::{
         ControlActor,
         message::{PeerQueryEnded, PeerUpdate},
-        news::{UpdateSource, told_as_of},
         ranking::{advising_vms, source_vms},
+        sync::{UpdateSource, update_as_of},
     },
     peers::{KnownRevisions, PeerCall, PeerReply, StoreUpdate},
 };
@@ -25,7 +25,7 @@
 impl ControlActor {
     /// Asks another VM while the store is silent to this one.
     pub(crate) fn ask_if_silent(&mut self, now: LocalTime) {
-        if self.news.ask_due(now, self.proof) {
+        if self.sync.ask_due(now, self.proof) {
             self.ask_peer();
         }
     }
@@ -42,22 +42,23 @@
             Vec::new()
         };
         let peers = sources.into_iter().map(|vm| vm.address);
-        self.news.next(now, revision, peers)
+        self.sync.next(now, revision, peers)
     }
 
     /// What this VM knows of the store.
-    pub(crate) fn marks(&self) -> KnownRevisions {
+    pub(crate) fn known_revisions(&self) -> KnownRevisions {
         KnownRevisions {
             revision: self.mirror.revision(),
-            tables: self.history.marks(),
+            tables: self.history.known_revisions(),
             configuration: self.configurations.mark(),
         }
     }
 
     /// What has changed in the store, for a VM that knows so much of it.
-    pub(crate) fn news_since(&self, known: &KnownRevisions) -> StoreUpdate {
-        let tables = self.history.news_for(&known.tables);
-        let configuration = self.configurations.news_for(known.configuration);
+    pub(crate) fn update_since(&self, known: &KnownRevisions) -> StoreUpdate {
+        let tables = self.history.update_for(&known.tables);
+        let configuration =
+            self.configurations.update_for(known.configuration);
         let is_known = self.mirror.revision() <= known.revision;
         if is_known && tables.is_empty() && configuration.is_none() {
             return StoreUpdate::Unchanged;
@@ -74,18 +75,18 @@
     /// Changes of a table or of the configuration that were made for another
     /// version are left aside. The revision then stays, so that what is
     /// missing is asked for again.
-    pub(crate) fn take_news(
+    pub(crate) fn apply_update(
         &mut self,
         now: LocalTime,
-        news: StoreUpdate,
+        update: StoreUpdate,
     ) -> AppliedUpdate {
-        match news {
+        match update {
             StoreUpdate::Unchanged => {
                 AppliedUpdate { changed: false, whole: true }
             }
             StoreUpdate::Delta { items, tables, configuration } => {
-                let tables = self.take_tables(now, tables);
-                let taken = self.take_configuration(configuration);
+                let tables = self.apply_tables(now, tables);
+                let taken = self.apply_configuration(configuration);
                 let whole = tables && taken.whole;
                 let changed = self.mirror.apply_delta(items, whole);
                 if taken.changed {
@@ -94,8 +95,8 @@
                 AppliedUpdate { changed: changed || taken.changed, whole }
             }
             StoreUpdate::Snapshot { items, tables, configuration } => {
-                let tables = self.take_tables(now, tables);
-                let taken = self.take_configuration(configuration);
+                let tables = self.apply_tables(now, tables);
+                let taken = self.apply_configuration(configuration);
                 let whole = tables && taken.whole;
                 // Adopted without them, what is missing would not be asked
                 // for.
@@ -105,14 +106,14 @@
         }
     }
 
-    fn take_configuration(
+    fn apply_configuration(
         &mut self,
-        news: Option<ConfigurationUpdate>,
+        update: Option<ConfigurationUpdate>,
     ) -> AppliedUpdate {
-        let Some(news) = news else {
+        let Some(update) = update else {
             return AppliedUpdate { changed: false, whole: true };
         };
-        match self.configurations.take_news(news) {
+        match self.configurations.apply_update(update) {
             Ok(changed) => AppliedUpdate { changed, whole: true },
             Err(error) => {
                 log::debug!("[control] News were left aside: {error}.");
@@ -135,20 +136,22 @@
         }
         let chosen = rand::random_range(0..others.len());
         let address = others[chosen].address;
-        let call = PeerCall::Sync { known: self.marks(), wait: false };
+        let call =
+            PeerCall::Sync { known: self.known_revisions(), wait: false };
         let (peers, control) = (self.peers.clone(), self.address.clone());
         self.asking = true;
         tokio::spawn(async move {
             let sent_at = MonotonicClock.now();
-            if let Some(PeerReply::Update { news, age, held, .. }) =
+            if let Some(PeerReply::Update { update, age, held, .. }) =
                 peers.call(address, &call).await
             {
-                let as_of = told_as_of(sent_at, held, age);
+                let as_of = update_as_of(sent_at, held, age);
                 // It says nothing of this VM's own way to the store.
                 let source = None;
-                let news = PeerUpdate { news, as_of, fresh: false, source };
+                let update =
+                    PeerUpdate { update, as_of, fresh: false, source };
                 // The actor is gone only when the process ends.
-                let _gone = control.send(news).await;
+                let _gone = control.send(update).await;
             }
             // As above.
             let _gone = control.send(PeerQueryEnded).await;
--- a/goldcrestramp-entry/src/control/speed.rs
+++ b/goldcrestramp-entry/src/control/speed.rs
@@ -29,7 +29,7 @@
 
 impl SpeedEstimates {
     /// Counts answers of a server.
-    pub(crate) fn answered(
+    pub(crate) fn record(
         &mut self,
         now: LocalTime,
         server: &Arc<str>,
@@ -39,12 +39,12 @@
             || ServerSpeed { estimate: WorkEstimate::open(now), work_s: None };
         let speed = self.0.entry(Arc::clone(server)).or_insert_with(unknown);
         let span = TimeSpan::from_millis(u64::from(sum.millis));
-        speed.estimate.answered(sum.answers, span.to_std().as_secs_f32());
+        speed.estimate.record(sum.responses, span.to_std().as_secs_f32());
     }
 
     /// Takes what was counted into what is known; servers that are no
     /// longer ready are forgotten.
-    pub(crate) fn settle(
+    pub(crate) fn decay(
         &mut self,
         now: LocalTime,
         ready: &[Arc<ServerEntry>],
@@ -52,7 +52,7 @@
         let mut known = std::mem::take(&mut self.0);
         for entry in ready {
             let Some(mut speed) = known.remove(&entry.id) else { continue };
-            speed.estimate.settle(now);
+            speed.estimate.decay(now);
             speed.work_s = speed.estimate.seconds(entry.slots);
             self.0.insert(Arc::clone(&entry.id), speed);
         }
@@ -70,7 +70,7 @@
     /// what is not known.
     pub(crate) fn work_s(&self, entry: &ServerEntry, usual: f32) -> f32 {
         let work = self.known_work_s(entry);
-        if entry.cold_left > TimeSpan::ZERO {
+        if entry.warmup_remaining > TimeSpan::ZERO {
             return work.unwrap_or(0.0).max(usual * COLD_FACTOR);
         }
         work.unwrap_or(usual)
--- a/goldcrestramp-entry/src/control/news.rs
+++ b/goldcrestramp-entry/src/control/sync.rs
@@ -105,7 +105,7 @@
 /// before. How long the answer was on the way is not known, and on a full
 /// link it is long, so the moment is counted from when the call was sent.
 #[must_use]
-pub fn told_as_of(
+pub fn update_as_of(
     sent_at: LocalTime,
     held: TimeSpan,
     age: TimeSpan,
--- a/goldcrestramp-entry/src/control/tables.rs
+++ b/goldcrestramp-entry/src/control/tables.rs
@@ -69,32 +69,32 @@
 
 impl ControlActor {
     /// Takes a table that this VM has committed, and tells all others.
-    pub(crate) fn tell_table(&mut self, now: LocalTime, item: StoreItem) {
-        let before = self.history.marks();
+    pub(crate) fn replicate_table(&mut self, now: LocalTime, item: StoreItem) {
+        let before = self.history.known_revisions();
         self.mirror.write(item);
         self.refresh(now);
         let view = Arc::clone(&self.view);
         self.told.retain(&view.vms);
         for vm in &view.vms {
             if vm.vm != self.me.vm {
-                self.tell_vm(vm, &before);
+                self.replicate_to(vm, &before);
             }
         }
     }
 
     /// Tells a VM what it does not have; of one that was never told, the
     /// `usual` versions are assumed.
-    fn tell_vm(&mut self, vm: &VmInstance, usual: &[TableRevision]) {
+    fn replicate_to(&mut self, vm: &VmInstance, usual: &[TableRevision]) {
         let Some(known) = self.told.begin(vm, usual) else { return };
-        let news = self.history.news_for(&known);
-        if news.is_empty() {
+        let update = self.history.update_for(&known);
+        if update.is_empty() {
             self.told.ended(vm, None);
             return;
         }
         let (peers, control) = (self.peers.clone(), self.address.clone());
         let vm = vm.clone();
         tokio::spawn(async move {
-            let call = PeerCall::Tables(news);
+            let call = PeerCall::Tables(update);
             let known = match peers.call(vm.address, &call).await {
                 Some(PeerReply::Tables(known)) => Some(known),
                 // Its own watch tells it too, only later.
@@ -106,26 +106,26 @@
     }
 
     /// Takes what a VM has after it was told of tables.
-    pub(crate) fn tables_told(&mut self, ended: TablesReplicated) {
+    pub(crate) fn tables_replicated(&mut self, ended: TablesReplicated) {
         let TablesReplicated { vm, known } = ended;
         let answered = known.is_some();
         self.told.ended(&vm, known);
         if answered && self.term.is_some() {
-            self.tell_vm(&vm, &[]);
+            self.replicate_to(&vm, &[]);
         }
     }
 
     /// Takes newer versions of tables; whether all of them are known now.
-    pub(crate) fn take_tables(
+    pub(crate) fn apply_tables(
         &mut self,
         now: LocalTime,
-        news: Vec<TableUpdate>,
+        update: Vec<TableUpdate>,
     ) -> bool {
         let mut all = true;
         let mut any = false;
-        for table_news in news {
-            let TableRevision { key, revision } = table_news.mark.clone();
-            match self.history.resolve(table_news) {
+        for table_update in update {
+            let TableRevision { key, revision } = table_update.mark.clone();
+            match self.history.resolve(table_update) {
                 Ok(Some(table)) => {
                     let value = table.encode().into();
                     self.mirror.write(StoreItem { key, value, revision });
--- a/goldcrestramp-entry/src/control/term.rs
+++ b/goldcrestramp-entry/src/control/term.rs
@@ -48,7 +48,7 @@
     /// When the last call was sent that proved the lease alive.
     pub(crate) proof: LocalTime,
     /// When a former planner may have sent its last grant.
-    sent_until: LocalTime,
+    last_grant_at: LocalTime,
     services: ByService<ServicePlan>,
     /// Services without a table: their servers, and since when.
     unsettled: ByService<(usize, LocalTime)>,
@@ -71,13 +71,13 @@
         revision: u64,
         lease: u64,
         proof: LocalTime,
-        sent_until: LocalTime,
+        last_grant_at: LocalTime,
     ) -> Self {
         Self {
             revision,
             lease,
             proof,
-            sent_until,
+            last_grant_at,
             services: ByService::default(),
             unsettled: ByService::default(),
             creating: FastSet::default(),
@@ -101,11 +101,11 @@
     }
 
     /// Takes the knowledge that the planners before this one sent their last
-    /// grants before `sent_until`.
-    pub(crate) fn inherit(&mut self, sent_until: LocalTime) {
-        self.sent_until = self.sent_until.min(sent_until);
+    /// grants before `last_grant_at`.
+    pub(crate) fn inherit(&mut self, last_grant_at: LocalTime) {
+        self.last_grant_at = self.last_grant_at.min(last_grant_at);
         for service in self.services.values_mut() {
-            service.planner.inherit(sent_until);
+            service.planner.inherit(last_grant_at);
         }
     }
 
@@ -126,21 +126,23 @@
 fn fate_of(
     view: &FleetView,
     returning: bool,
-    life: &ServerInstance,
+    instance: &ServerInstance,
 ) -> HolderStatus {
-    let own = view.servers.get(&life.id);
-    if let Some(entry) = own.filter(|entry| entry.address == life.address) {
+    let own = view.servers.get(&instance.id);
+    if let Some(entry) = own.filter(|entry| entry.address == instance.address)
+    {
         let drains = entry.phase == ServerPhase::Draining;
-        let leaving = drains || entry.started_ms != life.started_ms;
+        let leaving = drains || entry.started_ms != instance.started_ms;
         return if leaving {
             HolderStatus::Leaving
         } else {
             HolderStatus::Serving
         };
     }
-    let runs_anew = own.is_some_and(|own| own.started_ms > life.started_ms);
+    let runs_anew =
+        own.is_some_and(|own| own.started_ms > instance.started_ms);
     // Orders name the server that they are for: its successor takes none.
-    if runs_anew || view.has_successor(life) {
+    if runs_anew || view.has_successor(instance) {
         HolderStatus::Ended
     } else if returning {
         HolderStatus::Serving
@@ -150,7 +152,7 @@
 }
 
 /// The life of a server that has an entry.
-pub(crate) fn life_of(entry: &ServerEntry) -> ServerInstance {
+pub(crate) fn instance_of(entry: &ServerEntry) -> ServerInstance {
     ServerInstance {
         id: Arc::clone(&entry.id),
         started_ms: entry.started_ms,
@@ -163,12 +165,12 @@
     pub(crate) fn work(&mut self, now: LocalTime) {
         let view = Arc::clone(&self.view);
         let Some(routes) = &view.routes else { return };
-        let away = self.news.is_unsure(now);
+        let away = self.sync.is_unsure(now);
         let revision = self.mirror.revision();
         let term = self.term.as_mut().filter(|term| term.may_renew(now));
         let Some(term) = term else { return };
         let plans = term.knows_its_begin(revision);
-        term.rates.retain(|life| view.servers.contains_key(&life.id));
+        term.rates.retain(|instance| view.servers.contains_key(&instance.id));
         let mut commits = Vec::new();
         for name in routes.divided() {
             let key = table_key(name);
@@ -189,13 +191,14 @@
                     now,
                     table,
                     item.revision,
-                    self.hold,
-                    term.sent_until,
+                    self.grant_duration,
+                    term.last_grant_at,
                 );
                 term.services.insert(Arc::clone(name), plan);
             }
             let Some(service) = term.services.get_mut(name) else { continue };
-            let fate = |life: &ServerInstance| fate_of(&view, away, life);
+            let fate =
+                |instance: &ServerInstance| fate_of(&view, away, instance);
             let ready = view.ready.get(name).map_or(&[][..], Vec::as_slice);
             if plans
                 && let Some(next) = service.plan(now, fate, ready, &term.rates)
@@ -293,7 +296,7 @@
     ) {
         let key = table_key(service);
         let value = table.encode().into();
-        self.tell_table(now, StoreItem { key, value, revision });
+        self.replicate_table(now, StoreItem { key, value, revision });
         if let Some(term) = &mut self.term {
             term.creating.remove(service);
             if let Some(plan) = term.services.get_mut(service) {
@@ -322,7 +325,7 @@
     }
 
     /// Ends the term of the run that is meant, if it is this one.
-    pub(crate) fn stand_down(&mut self, start: u64) -> PeerReply {
+    pub(crate) fn step_down(&mut self, start: u64) -> PeerReply {
         // Another run answers: the one that is meant is over.
         if start != self.me.start {
             return PeerReply::SteppedDown;
@@ -350,7 +353,7 @@
     }
     log::info!(
         service = &**service,
-        server = &*order.life.id,
+        server = &*order.instance.id,
         grant = grant,
         first = order.range.first.get(),
         last = order.range.last.get(),
@@ -376,12 +379,12 @@
     if now.since(settled.1) < SETTLE || term.creating.contains(name) {
         return None;
     }
-    let mut lives: Vec<ServerInstance> =
-        ready.iter().map(|entry| life_of(entry)).collect();
-    lives.sort_by(|a, b| a.id.cmp(&b.id));
-    let servers = u32::try_from(lives.len()).unwrap_or(u32::MAX);
+    let mut instances: Vec<ServerInstance> =
+        ready.iter().map(|entry| instance_of(entry)).collect();
+    instances.sort_by(|a, b| a.id.cmp(&b.id));
+    let servers = u32::try_from(instances.len()).unwrap_or(u32::MAX);
     let stripes = (FIRST_RUNS / servers.max(1)).clamp(1, MAX_INITIAL_STRIPES);
-    let table = AssignmentTable::striped(&lives, stripes)?;
+    let table = AssignmentTable::striped(&instances, stripes)?;
     log::info!("[control] {name} gets its first table.");
     term.creating.insert(Arc::clone(name));
     Some((Arc::clone(name), 0, table))
--- a/goldcrestramp-entry/src/history.rs
+++ b/goldcrestramp-entry/src/history.rs
@@ -86,7 +86,7 @@
 
     /// The newest version of each table.
     #[must_use]
-    pub fn marks(&self) -> Vec<TableRevision> {
+    pub fn known_revisions(&self) -> Vec<TableRevision> {
         let newest = |(key, versions): (&Arc<str>, &VecDeque<_>)| {
             let last: &TableVersion = versions.back()?;
             let key = Arc::clone(key);
@@ -97,8 +97,8 @@
 
     /// The newest versions, for a VM that has `known` ones.
     #[must_use]
-    pub fn news_for(&self, known: &[TableRevision]) -> Vec<TableUpdate> {
-        let mut news = Vec::new();
+    pub fn update_for(&self, known: &[TableRevision]) -> Vec<TableUpdate> {
+        let mut update = Vec::new();
         for (key, versions) in &self.versions {
             let Some(last) = versions.back() else { continue };
             let base = known.iter().find(|mark| mark.key == *key);
@@ -116,9 +116,9 @@
             };
             let key = Arc::clone(key);
             let mark = TableRevision { key, revision: last.revision };
-            news.push(TableUpdate { mark, body });
+            update.push(TableUpdate { mark, body });
         }
-        news
+        update
     }
 
     /// The table that news make of the known version; nothing if that one
@@ -129,14 +129,14 @@
     /// [`TableError`] if they were made for another version.
     pub fn resolve(
         &self,
-        news: TableUpdate,
+        update: TableUpdate,
     ) -> Result<Option<AssignmentTable>, TableError> {
-        let versions = self.versions.get(&news.mark.key);
+        let versions = self.versions.get(&update.mark.key);
         let last = versions.and_then(VecDeque::back);
-        if last.is_some_and(|last| last.revision >= news.mark.revision) {
+        if last.is_some_and(|last| last.revision >= update.mark.revision) {
             return Ok(None);
         }
-        match news.body {
+        match update.body {
             TablePayload::Full(table) => Ok(Some(table)),
             TablePayload::Patch { base, patch } => last
                 .filter(|last| last.revision == base)
--- a/goldcrestramp-entry/src/peers/message.rs
+++ b/goldcrestramp-entry/src/peers/message.rs
@@ -82,7 +82,7 @@
     /// What has changed in the store.
     Update {
         /// The changes.
-        news: StoreUpdate,
+        update: StoreUpdate,
         /// How long ago the store was as these tell.
         age: TimeSpan,
         /// For how long the call had waited for news by then.
--- a/goldcrestramp-entry/src/traffic/attempt.rs
+++ b/goldcrestramp-entry/src/traffic/attempt.rs
@@ -15,13 +15,13 @@
 use crate::{
     http::ConnectionSender,
     traffic::{
-        answer::{
-            ReadResponse, ResponseBody, read_answer, streamed_answer,
-            whole_answer,
-        },
         choose::has_other_owner,
         headers::text,
         request::RoutedRequest,
+        response::{
+            ReadResponse, ResponseBody, read_answer, streamed_answer,
+            whole_answer,
+        },
         server::{ServerSlot, ServerState},
         state::TrafficState,
     },
@@ -75,7 +75,7 @@
 /// How long a send may take, and where it goes.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptPlan {
-    pub(crate) way: ServerProximity,
+    pub(crate) proximity: ServerProximity,
     /// How long the begin of an answer is waited for.
     pub(crate) answer_timeout: TimeSpan,
     /// Whether the request goes to the key's next owner when it changes.
@@ -97,7 +97,7 @@
         return AttemptOutcome::NotSent;
     };
     let now = MonotonicClock.now();
-    let Some(outgoing) = outgoing(request, &slot, plan.way, now) else {
+    let Some(outgoing) = outgoing(request, &slot, plan.proximity, now) else {
         slot.end(now, ServerSignal::Cancelled);
         return AttemptOutcome::NotSent;
     };
@@ -203,7 +203,7 @@
             return std::future::pending().await;
         }
         let view = state.view();
-        let moved = has_other_owner(&view, request, &server.life.id);
+        let moved = has_other_owner(&view, request, &server.instance.id);
         if moved && state.may_replace(request) {
             return;
         }
@@ -284,7 +284,7 @@
             let span = state.note_answer(request, &slot, now);
             slot.server.keep(link, keep_alive(&headers));
             if request.slice.is_some() {
-                let id = &slot.server.life.id;
+                let id = &slot.server.instance.id;
                 state.loads.answered(&request.service, id, span);
             }
             let sent = request.body.held_bytes();
@@ -320,10 +320,10 @@
 fn outgoing(
     request: &mut RoutedRequest,
     slot: &ServerSlot,
-    way: ServerProximity,
+    proximity: ServerProximity,
     now: LocalTime,
 ) -> Option<Request<crate::http::SendBody>> {
-    let left = request.left(now).minus(transit(way)).as_millis();
+    let left = request.left(now).minus(transit(proximity)).as_millis();
     let body = (left > 0).then(|| request.body.for_send())??;
     let mut sent = Request::new(body);
     *sent.method_mut() = request.method.clone();
@@ -331,15 +331,15 @@
     let headers = sent.headers_mut();
     headers.clone_from(&request.headers);
     headers.insert(names::DEADLINE_MS, HeaderValue::from(left));
-    let id = HeaderValue::from_str(&slot.server.life.id).ok()?;
+    let id = HeaderValue::from_str(&slot.server.instance.id).ok()?;
     headers.insert(names::EXPECT_INSTANCE, id);
     Some(sent)
 }
 
 /// The time on the way to a server and back, which is taken off the
 /// deadline that the server is given.
-const fn transit(way: ServerProximity) -> TimeSpan {
-    match way {
+const fn transit(proximity: ServerProximity) -> TimeSpan {
+    match proximity {
         ServerProximity::SameDomain => TimeSpan::from_millis(1),
         ServerProximity::SameRegion => TimeSpan::from_millis(3),
         ServerProximity::Remote => TimeSpan::from_millis(26),
--- a/goldcrestramp-entry/src/traffic/choose.rs
+++ b/goldcrestramp-entry/src/traffic/choose.rs
@@ -6,7 +6,7 @@
 use goldcrestramp_assignment::{AssignmentPhase, ServerInstance};
 use goldcrestramp_decisions::{
     DenialAction, OwnerDenial, PoolCandidate, PoolChoice, ResponseTimes,
-    ServerProximity, choose_server, owner_step,
+    ServerProximity, choose_server, denial_action,
 };
 use goldcrestramp_types::{LocalTime, SliceIndex, TimeSpan};
 
@@ -38,7 +38,7 @@
 #[derive(Debug)]
 pub(crate) struct ChosenServer {
     pub(crate) server: Rc<ServerState>,
-    pub(crate) way: ServerProximity,
+    pub(crate) proximity: ServerProximity,
     /// Whether another server could answer too.
     pub(crate) replaceable: bool,
     /// The token of the assignment by which it owns the request's key.
@@ -127,27 +127,27 @@
         return Destination::Refused(EndReason::NoOwner);
     };
     let run = table.find(slice);
-    let life = table.life(run.life);
+    let instance = table.instance(run.instance);
     let since = state.token_since(service, run.token).unwrap_or(now);
     if run.phase == AssignmentPhase::Releasing {
         return unavailable(now.since(since));
     }
-    let step = owner_step(denial, run.token, since, now);
+    let step = denial_action(denial, run.token, since, now);
     if let DenialAction::AwaitChange { denied_for } = step {
         return unavailable(denied_for);
     }
-    if let Some(wait) = wait_for_life(state, view, now, life, since) {
+    if let Some(wait) = wait_for_instance(state, view, now, instance, since) {
         return wait;
     }
-    let entry = view.servers.get(&life.id);
+    let entry = view.servers.get(&instance.id);
     let entry = entry.map(|entry| &**entry);
-    let way =
-        entry.map_or(ServerProximity::Remote, |entry| state.way_to(entry));
-    let server = state.server(now, life, entry, view.vms.len());
+    let proximity = entry
+        .map_or(ServerProximity::Remote, |entry| state.proximity_to(entry));
+    let server = state.server(now, instance, entry, view.vms.len());
     let limit = owner_limit(server.limit(now), &server, request);
     if server.in_flight() < limit {
         if server.queue.borrow().is_empty() {
-            server.queue.borrow_mut().moves();
+            server.queue.borrow_mut().record_progress();
         }
         if !state.has_permit(now, &server) {
             return Destination::Permit(server);
@@ -155,7 +155,7 @@
         let token = Some(run.token);
         return Destination::Server(ChosenServer {
             server,
-            way,
+            proximity,
             replaceable: false,
             token,
         });
@@ -169,20 +169,20 @@
 }
 
 /// Why nothing is sent to an owner that the table has named `since`, if so.
-fn wait_for_life(
+fn wait_for_instance(
     state: &TrafficState,
     view: &FleetView,
     now: LocalTime,
-    life: &ServerInstance,
+    instance: &ServerInstance,
     since: LocalTime,
 ) -> Option<Destination> {
     let known = now.since(since);
     if known < GRANT_WAY {
         return Some(Destination::Hold(GRANT_WAY.minus(known)));
     }
-    let leaving = view.leaving.get(&life.id);
+    let leaving = view.leaving.get(&instance.id);
     let left = leaving.map(|leaving| now.since(*leaving));
-    if view.has_successor(life) {
+    if view.has_successor(instance) {
         return Some(unavailable(left.unwrap_or(TimeSpan::ZERO)));
     }
     let served = state.settings.drain_limit.percent(LEAVING_PERCENT);
@@ -200,7 +200,7 @@
     view.tables.get(&request.service).is_some_and(|table| {
         let run = table.find(slice);
         run.phase == AssignmentPhase::Granted
-            && *table.life(run.life).id != *server
+            && *table.instance(run.instance).id != *server
     })
 }
 
@@ -251,7 +251,8 @@
     let seen =
         ready.iter().map(|entry| see(state, view, now, entry, route, &times));
     let seen: Vec<SeenServer> = seen.collect();
-    let fresh = |server: &SeenServer| !tried.contains(&server.server.life.id);
+    let fresh =
+        |server: &SeenServer| !tried.contains(&server.server.instance.id);
     let any_fresh = seen.iter().any(fresh);
     let usable: Vec<&SeenServer> =
         seen.iter().filter(|server| fresh(server) || !any_fresh).collect();
@@ -261,12 +262,12 @@
     match choose_server(&candidates, request.left(now), bytes) {
         PoolChoice::Send(position) => {
             if waiting == 0 {
-                service.queue.borrow_mut().moves();
+                service.queue.borrow_mut().record_progress();
             }
             let chosen = usable[position];
             Destination::Server(ChosenServer {
                 server: Rc::clone(&chosen.server),
-                way: chosen.candidate.way,
+                proximity: chosen.candidate.proximity,
                 replaceable: usable.len() > 1,
                 token: None,
             })
@@ -295,26 +296,26 @@
     route: &str,
     service_times: &ResponseTimes,
 ) -> SeenServer {
-    let life = ServerInstance {
+    let instance = ServerInstance {
         id: Arc::clone(&entry.id),
         started_ms: entry.started_ms,
         address: entry.address,
     };
-    let way = state.way_to(entry);
-    let sharers = match way {
+    let proximity = state.proximity_to(entry);
+    let sharers = match proximity {
         ServerProximity::SameDomain => view.vms_in(&entry.domain),
         ServerProximity::SameRegion | ServerProximity::Remote => {
             view.vms.len()
         }
     };
-    let server = state.server(now, &life, Some(entry), sharers);
+    let server = state.server(now, &instance, Some(entry), sharers);
     let latency = server.times.borrow().expected(route, service_times);
     let permitted = state.has_permit(now, &server);
     if !permitted {
         state.want_permits(now, &server, 1);
     }
     let candidate = PoolCandidate {
-        way,
+        proximity,
         limit: if permitted { server.limit(now) } else { 0 },
         in_flight: server.in_flight(),
         latency,
--- a/goldcrestramp-entry/src/traffic/lane.rs
+++ b/goldcrestramp-entry/src/traffic/connection.rs
@@ -31,9 +31,9 @@
 use crate::{
     framing::{FrameStep, FramedRequest, frame_request},
     traffic::{
-        answer::{ResponseBody, own_answer},
         reason::EndReason,
         request::find_route,
+        response::{ResponseBody, own_answer},
         serve::serve,
         state::TrafficState,
         wait::RETURN_USUAL,
--- a/goldcrestramp-entry/src/traffic/listener.rs
+++ b/goldcrestramp-entry/src/traffic/listener.rs
@@ -20,7 +20,7 @@
     run::StopPhase,
     traffic::{
         ConnectionCount, ConnectionGuard,
-        lane::{CallerConnection, ConnectionReader},
+        connection::{CallerConnection, ConnectionReader},
         state::TrafficState,
     },
 };
@@ -83,9 +83,9 @@
     let view = state.view();
     let limits = view.routes.as_ref().map(|book| book.limits);
     let idle = limits.map_or(IDLE_UNKNOWN, |limits| {
-        limits.idle_time.to_std() * IDLE_FACTOR
+        limits.idle_timeout.to_std() * IDLE_FACTOR
     });
-    let head = limits.map_or(MIN_HEAD_BYTES, |limits| limits.head_bytes);
+    let head = limits.map_or(MIN_HEAD_BYTES, |limits| limits.max_head_bytes);
     let (reader, writer) = stream.into_split();
     let lane = CallerConnection::open(state);
     let answering = Rc::clone(&lane);
--- a/goldcrestramp-entry/src/traffic/mod.rs
+++ b/goldcrestramp-entry/src/traffic/mod.rs
@@ -4,15 +4,15 @@
 //! a key, so no VM has to stand between. What a VM may have under way at a
 //! server is its share of the server's slots, learnt from its answers.
 
-mod answer;
 mod attempt;
 mod choose;
+mod connection;
 mod headers;
-mod lane;
 mod listener;
 mod permit;
 mod reason;
 mod request;
+mod response;
 mod serve;
 mod server;
 mod state;
--- a/goldcrestramp-entry/src/traffic/permit.rs
+++ b/goldcrestramp-entry/src/traffic/permit.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use goldcrestramp_adapter::named_rate;
+use goldcrestramp_adapter::stated_rate;
 use goldcrestramp_decisions::FleetPosition;
 use goldcrestramp_types::{ClockSource, LocalTime, MonotonicClock, TimeSpan};
 use http::HeaderMap;
@@ -51,8 +51,8 @@
         server: &ServerState,
         headers: &HeaderMap,
     ) {
-        let id = &server.life.id;
-        let rate = match named_rate(headers) {
+        let id = &server.instance.id;
+        let rate = match stated_rate(headers) {
             Ok(rate) => rate,
             Err(error) => {
                 log::warn!("[limit] Server {id}: {error}.");
@@ -60,15 +60,15 @@
             }
         };
         let mut allowance = server.allowance.borrow_mut();
-        if allowance.stated(now, rate) {
+        if allowance.record_limit(now, rate) {
             match rate {
                 Some(per_s) => log::info!(
                     "[limit] Server {id} takes {per_s} requests a second."
                 ),
                 None => log::info!("[limit] Server {id} names no limit."),
             }
-            let request = allowance.request(now, 0);
-            self.permits.request(now, &server.life, request);
+            let request = allowance.permit_request(now, 0);
+            self.permits.request(now, &server.instance, request);
         }
     }
 
@@ -90,14 +90,14 @@
         server: &ServerState,
     ) -> bool {
         let Some(place) = self.limited_place(server) else { return true };
-        server.allowance.borrow_mut().take(now, place)
+        server.allowance.borrow_mut().try_take(now, place)
     }
 
     /// This VM's place among those that send to a server that names a limit,
     /// in an order that differs from server to server.
     fn limited_place(&self, server: &ServerState) -> Option<FleetPosition> {
         server.allowance.borrow().limit()?;
-        let seed = xxh3_64(server.life.id.as_bytes());
+        let seed = xxh3_64(server.instance.id.as_bytes());
         let weight = |vm: &str| xxh3_64_with_seed(vm.as_bytes(), seed);
         let own = weight(&self.settings.vm);
         let view = self.view();
@@ -114,16 +114,16 @@
         wanted: usize,
     ) {
         let wanted = u32::try_from(wanted).unwrap_or(u32::MAX);
-        let request = server.allowance.borrow().request(now, wanted);
-        self.permits.request(now, &server.life, request);
+        let request = server.allowance.borrow().permit_request(now, wanted);
+        self.permits.request(now, &server.instance, request);
     }
 
     fn take_grants(&self) {
         let servers = self.servers.borrow();
         for (came_at, grants) in self.permits.take_grants() {
-            for (life, grant) in grants {
-                let Some(server) = servers.get(&life) else { continue };
-                server.allowance.borrow_mut().granted(came_at, grant);
+            for (instance, grant) in grants {
+                let Some(server) = servers.get(&instance) else { continue };
+                server.allowance.borrow_mut().record_grant(came_at, grant);
             }
         }
     }
@@ -138,7 +138,7 @@
 ) -> Result<(), RequestEnd> {
     let now = MonotonicClock.now();
     let vms = state.view().vms.len();
-    let most = server.allowance.borrow().waiting_most(vms);
+    let most = server.allowance.borrow().max_waiting(vms);
     let is_crowded = server.permit_waits.get() >= most;
     let begun = *since.get_or_insert(now);
     let left = PERMIT_WAIT.minus(now.since(begun));
--- a/goldcrestramp-entry/src/traffic/serve.rs
+++ b/goldcrestramp-entry/src/traffic/serve.rs
@@ -12,7 +12,6 @@
 use tokio::time::timeout;
 
 use crate::traffic::{
-    answer::{ResponseBody, own_answer},
     attempt::{AttemptOutcome, AttemptPlan, full_timeout, send},
     choose::{AttemptHistory, ChosenServer, Destination, choose},
     permit::wait_for_permit,
@@ -21,6 +20,7 @@
         RequestBody, RoutedRequest, deadline_of, find_route,
         forwarded_headers, read_body, slice_of,
     },
+    response::{ResponseBody, own_answer},
     server::{ServerSlot, ServerState},
     state::TrafficState,
     wait::{RETURN_USUAL, RequestEnd, hold, pause, wait_in_queue},
@@ -144,16 +144,18 @@
         None
     };
     let deadline = deadline_of(arrived, &parts.headers, &route);
-    let bytes_most = book.limits.body_bytes;
+    let bytes_most = book.limits.max_body_bytes;
     let left = deadline.since(arrived).to_std();
     let body = timeout(left, read_body(body, bytes_most)).await;
     let body = body.map_err(|_elapsed| EndReason::BodyBroken)??;
-    state.service(&service).budget.borrow_mut().request(arrived);
+    state.service(&service).budget.borrow_mut().record_request(arrived);
     if let Some(slice) = slice {
         state.loads.asked(&service, slice);
     }
-    let place =
-        QueuePosition { priority: route.priority, turn: state.next_turn() };
+    let place = QueuePosition {
+        priority: route.priority,
+        sequence: state.next_turn(),
+    };
     Ok(RoutedRequest {
         place,
         route,
@@ -214,10 +216,10 @@
     progress: &mut RequestProgress,
     chosen: ChosenServer,
 ) -> Result<Option<Response<ResponseBody>>, RequestEnd> {
-    let ChosenServer { server, way, replaceable, token } = chosen;
+    let ChosenServer { server, proximity, replaceable, token } = chosen;
     let now = MonotonicClock.now();
-    let known = progress.history.tried.contains(&server.life.id);
-    let most = request.route.attempts_most as usize;
+    let known = progress.history.tried.contains(&server.instance.id);
+    let most = request.route.max_attempts as usize;
     if !known && progress.history.tried.len() >= most {
         return Err(EndReason::AttemptsUsed.into());
     }
@@ -235,9 +237,9 @@
     let queue = request.slice.is_none().then(|| Rc::clone(&service.queue));
     let slot = server.enter(now, request, queue);
     let answer_timeout = attempt_timeout(TimeoutInputs {
-        usual: server.times.borrow().of(&request.route.name),
-        target: request.route.target_latency,
-        left: full_timeout(request, now),
+        typical: server.times.borrow().typical_for(&request.route.name),
+        target_latency: request.route.target_latency,
+        remaining: full_timeout(request, now),
         replaceable: request.may_repeat()
             && replaceable
             && progress.history.tried.len() + 1 < most,
@@ -252,11 +254,11 @@
     let follows_owner = request.may_repeat()
         && used < most
         && progress.sends < MAX_NOT_RUN_ATTEMPTS;
-    let plan = AttemptPlan { way, answer_timeout, follows_owner };
+    let plan = AttemptPlan { proximity, answer_timeout, follows_owner };
     let end = send(state, request, slot, plan).await;
     note_send(state, request, &server, now, &end);
     if !matches!(end, AttemptOutcome::NotSent) && !known {
-        progress.history.tried.push(Arc::clone(&server.life.id));
+        progress.history.tried.push(Arc::clone(&server.instance.id));
     }
     if matches!(end, AttemptOutcome::Misdirected) {
         let denied_at = MonotonicClock.now();
@@ -290,7 +292,7 @@
     log::info!(
         request = request.attempt_id(),
         service = &*request.service,
-        server = &*server.life.id,
+        server = &*server.instance.id,
         outcome = end.code(),
         took_ms = span.as_millis(),
         in_flight = server.in_flight();
@@ -372,12 +374,12 @@
 
     /// Whether the budget has a send beyond the first left.
     fn has_repeat(&self, request: &RoutedRequest) -> bool {
-        self.ask_budget(request, AttemptBudget::has_room)
+        self.ask_budget(request, AttemptBudget::has_remaining)
     }
 
     /// Takes a send beyond the first from the budget, if one is left.
     fn take_repeat(&self, request: &RoutedRequest) -> bool {
-        self.ask_budget(request, AttemptBudget::take)
+        self.ask_budget(request, AttemptBudget::try_take)
     }
 
     fn ask_budget(
@@ -399,7 +401,7 @@
     ) -> TimeSpan {
         let span = slot.answered(now);
         let service = self.service(&request.service);
-        service.times.borrow_mut().note(&request.route.name, span);
+        service.times.borrow_mut().record(&request.route.name, span);
         span
     }
 
--- a/goldcrestramp-entry/src/traffic/server.rs
+++ b/goldcrestramp-entry/src/traffic/server.rs
@@ -43,7 +43,7 @@
 /// One run of a backend server.
 #[derive(Debug)]
 pub(crate) struct ServerState {
-    pub(crate) life: ServerInstance,
+    pub(crate) instance: ServerInstance,
     limit: RefCell<ServerLimit>,
     in_flight: Cell<usize>,
     pub(crate) times: RefCell<ResponseTimes>,
@@ -60,12 +60,12 @@
 
 impl ServerState {
     pub(crate) fn open(
-        life: ServerInstance,
+        instance: ServerInstance,
         limit: ServerLimit,
         share: usize,
     ) -> Self {
         Self {
-            life,
+            instance,
             limit: RefCell::new(limit),
             in_flight: Cell::new(0),
             times: RefCell::default(),
@@ -119,7 +119,7 @@
                 return Ok(sender);
             }
         }
-        dial(self.life.address, CloseMode::Close).await
+        dial(self.instance.address, CloseMode::Close).await
     }
 
     /// Keeps a connection whose answer was read whole.
@@ -181,7 +181,7 @@
     /// Notes an answer of the server.
     pub(crate) fn answered(&self, now: LocalTime) -> TimeSpan {
         let span = now.since(self.since);
-        self.server.times.borrow_mut().note(&self.route, span);
+        self.server.times.borrow_mut().record(&self.route, span);
         self.end(now, ServerSignal::Answered(self.class, span));
         span
     }
--- a/goldcrestramp-entry/src/traffic/state.rs
+++ b/goldcrestramp-entry/src/traffic/state.rs
@@ -122,7 +122,7 @@
         for (service, table) in &view.tables {
             let known = all.entry(Arc::clone(service)).or_default();
             let mut kept = FastMap::default();
-            for run in table.runs() {
+            for run in table.ranges() {
                 let since = known.get(&run.token).copied();
                 kept.insert(run.token, since.unwrap_or(now));
             }
@@ -132,17 +132,17 @@
 
     /// Leaves out servers that are gone and have nothing under way.
     fn forget_servers(&self, view: &FleetView) {
-        let held = |life: &ServerInstance| {
+        let held = |instance: &ServerInstance| {
             let mut tables = view.tables.values();
             tables.any(|table| {
-                let mut lives = table.lives();
-                lives.any(|(_key, holder)| holder == life)
+                let mut instances = table.instances();
+                instances.any(|(_key, holder)| holder == instance)
             })
         };
-        self.servers.borrow_mut().retain(|life, server| {
+        self.servers.borrow_mut().retain(|instance, server| {
             server.in_flight() > 0
-                || view.servers.contains_key(&life.id)
-                || held(life)
+                || view.servers.contains_key(&instance.id)
+                || held(instance)
         });
     }
 
@@ -150,22 +150,23 @@
     pub(crate) fn server(
         &self,
         now: LocalTime,
-        life: &ServerInstance,
+        instance: &ServerInstance,
         entry: Option<&ServerEntry>,
         sharers: usize,
     ) -> Rc<ServerState> {
         let slots = entry.map_or(1, |entry| entry.slots as usize);
         let share = server_share(slots, sharers);
         let mut servers = self.servers.borrow_mut();
-        let server = servers.entry(life.clone()).or_insert_with(|| {
+        let server = servers.entry(instance.clone()).or_insert_with(|| {
             let most = server_share(slots, 1);
-            let warm = entry.is_some_and(|e| e.cold_left == TimeSpan::ZERO);
+            let warm =
+                entry.is_some_and(|e| e.warmup_remaining == TimeSpan::ZERO);
             let limit = if warm {
                 ServerLimit::warm(now, most)
             } else {
                 ServerLimit::open(now, most)
             };
-            Rc::new(ServerState::open(life.clone(), limit, most))
+            Rc::new(ServerState::open(instance.clone(), limit, most))
         });
         server.share.set(share);
         Rc::clone(server)
@@ -183,13 +184,13 @@
             )]
             let per_mille = (settings.retry_ratio * 1_000.0) as u64;
             let budget = AttemptBudget::new(BudgetSettings {
-                span: settings.retry_window,
+                window: settings.retry_window,
                 per_mille,
-                extra: u64::from(settings.retry_extra),
+                constant: u64::from(settings.retry_constant),
             });
             Rc::new(ServiceState {
                 queue: Rc::default(),
-                budget: RefCell::new(budget.started(self.started)),
+                budget: RefCell::new(budget.with_start(self.started)),
                 times: RefCell::default(),
                 bytes: Default::default(),
             })
@@ -214,7 +215,7 @@
     }
 
     /// How far a server is.
-    pub(crate) fn way_to(&self, entry: &ServerEntry) -> ServerProximity {
+    pub(crate) fn proximity_to(&self, entry: &ServerEntry) -> ServerProximity {
         let settings = &self.settings;
         if entry.domain == settings.domain {
             return ServerProximity::SameDomain;
--- a/goldcrestramp-entry/src/traffic/wait.rs
+++ b/goldcrestramp-entry/src/traffic/wait.rs
@@ -65,7 +65,7 @@
     let place = request.place;
     let ahead = queue.with(|queue| queue.ahead_of(place)) as u64;
     let expected = latency.percent(100 * (ahead + 1) / slots as u64);
-    let standing = queue.with(|queue| queue.stands(now));
+    let standing = queue.with(|queue| queue.is_standing(now));
     let left = if standing {
         least(request.left(now), request.target_left(now))
     } else {
--- a/goldcrestramp-entry/src/view.rs
+++ b/goldcrestramp-entry/src/view.rs
@@ -146,8 +146,8 @@
 impl FleetView {
     /// Whether another server has started at the address of this one since.
     #[must_use]
-    pub fn has_successor(&self, life: &ServerInstance) -> bool {
-        let ServerInstance { id, started_ms, address } = life;
+    pub fn has_successor(&self, instance: &ServerInstance) -> bool {
+        let ServerInstance { id, started_ms, address } = instance;
         is_succeeded(&self.occupants, *address, id, *started_ms)
     }
 
--- a/goldcrestramp-entry/tests/configurations.rs
+++ b/goldcrestramp-entry/tests/configurations.rs
@@ -42,8 +42,8 @@
 }
 
 /// News as they come out at the other end of a link.
-fn sent(news: &ConfigurationUpdate) -> ConfigurationUpdate {
-    let bytes = postcard::to_allocvec(news).expect("bytes");
+fn sent(update: &ConfigurationUpdate) -> ConfigurationUpdate {
+    let bytes = postcard::to_allocvec(update).expect("bytes");
     postcard::from_bytes(&bytes).expect("news")
 }
 
@@ -52,15 +52,16 @@
     let mut routes: Routes = (0..200).map(|name| (name, 0)).collect();
     let mut source = ConfigurationHistory::default();
     source.take_value(&value(1, &routes));
-    let whole =
-        source.news_for(ConfigurationRevision::default()).expect("all of it");
+    let whole = source
+        .update_for(ConfigurationRevision::default())
+        .expect("all of it");
 
     let mark = source.mark();
     routes.insert(7, 1);
     source.take_value(&value(2, &routes));
-    let change = source.news_for(mark).expect("a change");
+    let change = source.update_for(mark).expect("a change");
 
-    let bytes = |news| postcard::to_allocvec(news).expect("bytes").len();
+    let bytes = |update| postcard::to_allocvec(update).expect("bytes").len();
     assert!(bytes(&change) * 20 < bytes(&whole));
 }
 
@@ -71,9 +72,9 @@
     source.take_value(&value(1, &Routes::from([(1, 0)])));
     let mark = source.mark();
     source.take_value(&value(2, &Routes::from([(1, 1)])));
-    let change = source.news_for(mark).expect("a change");
+    let change = source.update_for(mark).expect("a change");
 
-    assert_eq!(follower.take_news(change), Err(BaseMismatch));
+    assert_eq!(follower.apply_update(change), Err(BaseMismatch));
     assert!(follower.newest().is_none());
 }
 
@@ -86,9 +87,9 @@
     other.take_value(&older);
 
     assert!(!history.take_value(&older));
-    let news =
-        other.news_for(ConfigurationRevision::default()).expect("all of it");
-    assert_eq!(history.take_news(news), Ok(false));
+    let update =
+        other.update_for(ConfigurationRevision::default()).expect("all of it");
+    assert_eq!(history.apply_update(update), Ok(false));
     assert_eq!(newest(&history).version, 7);
 }
 
@@ -101,14 +102,14 @@
     follower.take_value(&value(7, &routes));
     source.take_value(&MirrorValue { revision: 90, ..value(7, &routes) });
 
-    let news = source.news_for(follower.mark()).expect("a later revision");
+    let update = source.update_for(follower.mark()).expect("a later revision");
 
-    assert_eq!(follower.take_news(news), Ok(false));
-    assert!(source.news_for(follower.mark()).is_none());
+    assert_eq!(follower.apply_update(update), Ok(false));
+    assert!(source.update_for(follower.mark()).is_none());
     let next = MirrorValue { revision: 99, ..value(8, &routes) };
     source.take_value(&next);
-    let news = source.news_for(follower.mark()).expect("a newer version");
-    assert_eq!(follower.take_news(news), Ok(true));
+    let update = source.update_for(follower.mark()).expect("a newer version");
+    assert_eq!(follower.apply_update(update), Ok(true));
 }
 
 #[test]
@@ -120,9 +121,9 @@
         source.take_value(&value(version, &Routes::from([(1, 0)])));
     }
 
-    let news = source.news_for(follower.mark()).expect("news");
+    let update = source.update_for(follower.mark()).expect("news");
 
-    assert_eq!(follower.take_news(news), Ok(true));
+    assert_eq!(follower.apply_update(update), Ok(true));
     assert_eq!(newest(&follower), newest(&source));
 }
 
@@ -142,10 +143,10 @@
             if !told {
                 continue;
             }
-            let news = source.news_for(follower.mark()).expect("news");
-            prop_assert_eq!(follower.take_news(sent(&news)), Ok(true));
+            let update = source.update_for(follower.mark()).expect("news");
+            prop_assert_eq!(follower.apply_update(sent(&update)), Ok(true));
             prop_assert_eq!(newest(&follower), newest(&source));
-            prop_assert!(source.news_for(follower.mark()).is_none());
+            prop_assert!(source.update_for(follower.mark()).is_none());
         }
     }
 }
--- a/goldcrestramp-entry/tests/knowledge.rs
+++ b/goldcrestramp-entry/tests/knowledge.rs
@@ -6,7 +6,7 @@
 use goldcrestramp_adapter::{StoreEvent, StoreItem};
 use goldcrestramp_entry::{
     configuration::ConfigurationHistory,
-    control::{SyncState, UpdateSource, told_as_of},
+    control::{SyncState, UpdateSource, update_as_of},
     mirror::{MirrorValue, StoreMirror},
     view::ViewBuilder,
 };
@@ -252,13 +252,13 @@
 /// after the time that is allowed; counted from the last news, they don't.
 #[test]
 fn a_late_change_counts_from_the_news_before_it() {
-    let mut news = SyncState::default();
-    news.answered(at(0));
-    news.was_current(at(100));
+    let mut sync = SyncState::default();
+    sync.answered(at(0));
+    sync.was_current(at(100));
 
-    assert_eq!(news.changed_since(at(1_000)), at(100));
-    assert_eq!(news.age(at(1_000)), TimeSpan::from_millis(900));
-    let long = news.changed_since(at(9_000));
+    assert_eq!(sync.changed_since(at(1_000)), at(100));
+    assert_eq!(sync.age(at(1_000)), TimeSpan::from_millis(900));
+    let long = sync.changed_since(at(9_000));
     assert_eq!(long, at(7_500), "the store itself was away");
 }
 
@@ -266,13 +266,13 @@
 /// them return: they count from when they are missed.
 #[test]
 fn what_is_missing_after_an_outage_counts_from_now() {
-    let mut news = SyncState::default();
-    news.answered(at(0));
-    news.was_current(at(0));
-    news.failed();
-    news.answered(at(5_000));
+    let mut sync = SyncState::default();
+    sync.answered(at(0));
+    sync.was_current(at(0));
+    sync.failed();
+    sync.answered(at(5_000));
 
-    assert_eq!(news.changed_since(at(5_100)), at(5_100));
+    assert_eq!(sync.changed_since(at(5_100)), at(5_100));
 }
 
 fn peer() -> SocketAddr {
@@ -285,12 +285,12 @@
 /// callers' requests.
 #[test]
 fn a_vm_that_starts_has_the_store_s_contents_from_its_peer() {
-    let mut news = SyncState::default();
-    let first = news.next(at(0), 0, std::iter::empty());
-    news.was_read();
-    let second = news.next(at(0), 0, [peer()].into_iter());
-    news.peer_failed(at(10), peer());
-    let alone = news.next(at(10), 0, [peer()].into_iter());
+    let mut sync = SyncState::default();
+    let first = sync.next(at(0), 0, std::iter::empty());
+    sync.was_read();
+    let second = sync.next(at(0), 0, [peer()].into_iter());
+    sync.peer_failed(at(10), peer());
+    let alone = sync.next(at(10), 0, [peer()].into_iter());
 
     assert_eq!(first, UpdateSource::StoreVms);
     assert_eq!(second, UpdateSource::Peer(peer(), 0));
@@ -299,9 +299,9 @@
 
 #[test]
 fn a_vm_follows_its_peer_if_it_has_one() {
-    let mut news = SyncState::default();
-    let followed = news.next(at(0), 5, [peer()].into_iter());
-    let alone = news.next(at(0), 5, std::iter::empty());
+    let mut sync = SyncState::default();
+    let followed = sync.next(at(0), 5, [peer()].into_iter());
+    let alone = sync.next(at(0), 5, std::iter::empty());
 
     assert_eq!(followed, UpdateSource::Peer(peer(), 5));
     assert_eq!(alone, UpdateSource::StoreChanges(5));
@@ -316,15 +316,15 @@
     let second = SocketAddr::from(([10, 0, 0, 3], 7_540));
     let third = SocketAddr::from(([10, 0, 0, 4], 7_540));
     let peers = || [peer(), second, third].into_iter();
-    let mut news = SyncState::default();
+    let mut sync = SyncState::default();
 
-    news.peer_failed(at(0), peer());
-    let after_one = news.next(at(0), 5, peers());
-    news.peer_failed(at(100), second);
-    let after_two = news.next(at(100), 5, peers());
-    news.peer_failed(at(200), third);
-    let after_all = news.next(at(200), 5, peers());
-    let later = news.next(at(5_050), 5, peers());
+    sync.peer_failed(at(0), peer());
+    let after_one = sync.next(at(0), 5, peers());
+    sync.peer_failed(at(100), second);
+    let after_two = sync.next(at(100), 5, peers());
+    sync.peer_failed(at(200), third);
+    let after_all = sync.next(at(200), 5, peers());
+    let later = sync.next(at(5_050), 5, peers());
 
     assert_eq!(after_one, UpdateSource::Peer(second, 5));
     assert_eq!(after_two, UpdateSource::Peer(third, 5));
@@ -376,8 +376,8 @@
 fn the_time_on_the_way_makes_news_no_younger() {
     let ms = TimeSpan::from_millis;
 
-    assert_eq!(told_as_of(at(1_000), ms(400), ms(50)), at(1_350));
-    assert_eq!(told_as_of(at(1_000), ms(0), ms(700)), at(300));
+    assert_eq!(update_as_of(at(1_000), ms(400), ms(50)), at(1_350));
+    assert_eq!(update_as_of(at(1_000), ms(0), ms(700)), at(300));
 }
 
 /// Guards against a follower that waits for a source that has fallen silent.
@@ -423,14 +423,14 @@
 /// return. Until then a missing entry says nothing.
 #[test]
 fn a_missing_entry_says_nothing_while_the_store_returns() {
-    let mut news = SyncState::default();
-    news.answered(at(0));
-    assert!(!news.is_unsure(at(10)));
+    let mut sync = SyncState::default();
+    sync.answered(at(0));
+    assert!(!sync.is_unsure(at(10)));
 
-    news.failed();
-    assert!(news.is_unsure(at(4_000)));
-    news.answered(at(4_500));
+    sync.failed();
+    assert!(sync.is_unsure(at(4_000)));
+    sync.answered(at(4_500));
 
-    assert!(news.is_unsure(at(6_500)));
-    assert!(!news.is_unsure(at(7_000)));
+    assert!(sync.is_unsure(at(6_500)));
+    assert!(!sync.is_unsure(at(7_000)));
 }
--- a/goldcrestramp-entry/tests/tables.rs
+++ b/goldcrestramp-entry/tests/tables.rs
@@ -12,14 +12,14 @@
 
 /// A table of so many servers: each number makes another table.
 fn table(servers: u16) -> AssignmentTable {
-    let lives: Vec<ServerInstance> = (0..servers)
+    let instances: Vec<ServerInstance> = (0..servers)
         .map(|number| ServerInstance {
             id: format!("server-{number}").into(),
             started_ms: 1,
             address: ([127, 0, 0, 1], 9_000 + number).into(),
         })
         .collect();
-    AssignmentTable::striped(&lives, 8).expect("servers")
+    AssignmentTable::striped(&instances, 8).expect("servers")
 }
 
 fn commit(mirror: &mut StoreMirror, servers: u16, revision: u64) {
@@ -43,14 +43,14 @@
     TableRevision { key: table_key("stock"), revision }
 }
 
-fn only(news: Vec<TableUpdate>) -> TableUpdate {
-    let [news] = news.try_into().expect("one table");
-    news
+fn only(update: Vec<TableUpdate>) -> TableUpdate {
+    let [update] = update.try_into().expect("one table");
+    update
 }
 
 fn owner(table: &AssignmentTable, key: u16) -> String {
     let run = table.find(SliceIndex::from(key));
-    table.life(run.life).id.to_string()
+    table.instance(run.instance).id.to_string()
 }
 
 #[test]
@@ -58,10 +58,10 @@
     let ahead = history(4);
     let behind = history(2);
 
-    let news = only(ahead.news_for(&behind.marks()));
+    let update = only(ahead.update_for(&behind.known_revisions()));
 
-    assert!(matches!(news.body, TablePayload::Patch { base: 20, .. }));
-    let made = behind.resolve(news).expect("its version");
+    assert!(matches!(update.body, TablePayload::Patch { base: 20, .. }));
+    let made = behind.resolve(update).expect("its version");
     let made = made.expect("a newer one");
     for key in (0..u16::MAX).step_by(97) {
         assert_eq!(owner(&made, key), owner(&table(7), key));
@@ -72,7 +72,7 @@
 fn a_vm_with_the_newest_version_is_told_nothing() {
     let ahead = history(3);
 
-    assert!(ahead.news_for(&ahead.marks()).is_empty());
+    assert!(ahead.update_for(&ahead.known_revisions()).is_empty());
 }
 
 /// Two commits follow each other within the time of the way, and the later
@@ -83,12 +83,12 @@
 fn a_change_of_another_version_is_refused() {
     let planner = history(4);
     let behind = history(2);
-    let later = only(planner.news_for(&[mark(30)]));
+    let later = only(planner.update_for(&[mark(30)]));
 
     let refused = behind.resolve(later);
     assert_eq!(refused.err(), Some(TableError));
 
-    let again = only(planner.news_for(&behind.marks()));
+    let again = only(planner.update_for(&behind.known_revisions()));
     assert!(behind.resolve(again).expect("its version").is_some());
 }
 
@@ -98,9 +98,9 @@
 fn a_change_that_is_known_changes_nothing() {
     let planner = history(4);
     let known = history(4);
-    let news = only(planner.news_for(&[mark(20)]));
+    let update = only(planner.update_for(&[mark(20)]));
 
-    let made = known.resolve(news).expect("as new");
+    let made = known.resolve(update).expect("as new");
 
     assert!(made.is_none());
 }
@@ -111,9 +111,9 @@
     let ahead = history(40);
 
     for known in [vec![], vec![mark(10)]] {
-        let news = only(ahead.news_for(&known));
+        let update = only(ahead.update_for(&known));
 
-        assert!(matches!(news.body, TablePayload::Full(_)));
-        assert!(history(1).resolve(news).expect("whole").is_some());
+        assert!(matches!(update.body, TablePayload::Full(_)));
+        assert!(history(1).resolve(update).expect("whole").is_some());
     }
 }
--- a/goldcrestramp-node/src/gateway/attempt.rs
+++ b/goldcrestramp-node/src/gateway/attempt.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use goldcrestramp_decisions::{RefusedBy, span_to_send};
+use goldcrestramp_decisions::{RefusedBy, timeout_to_forward};
 use goldcrestramp_types::{
     NotRunReason, RequestEffect, RetryReason, ServerName, TimeSpan,
     UnknownReason, slice_of,
@@ -69,7 +69,7 @@
         let way = self.channels.one_way(address);
         // Sent without the time of the way, a request could start after its
         // caller has given it up, and hold a slot for nobody.
-        let Some(rest) = span_to_send(now, request.deadline, way) else {
+        let Some(rest) = timeout_to_forward(now, request.deadline, way) else {
             let reason = if left == TimeSpan::ZERO {
                 NotRunReason::DeadlinePassed
             } else {
--- a/goldcrestramp-node/src/keeper/pass_on.rs
+++ b/goldcrestramp-node/src/keeper/pass_on.rs
@@ -202,7 +202,7 @@
                 return true;
             }
             Ok(Err(_gone)) => return false,
-            Err(_elapsed) if slot.is_reader_lost(since) => return false,
+            Err(_elapsed) if slot.is_reader_stalled(since) => return false,
             Err(_elapsed) => {}
         }
     }
--- a/goldcrestramp-node/src/keeper/slot.rs
+++ b/goldcrestramp-node/src/keeper/slot.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use goldcrestramp_decisions::{RequestKey, is_reader_lost};
+use goldcrestramp_decisions::{RequestKey, is_reader_stalled};
 use goldcrestramp_types::{LocalTime, RequestClass, SliceIndex, TimeSpan};
 
 use crate::keeper::admission::ServerAdmission;
@@ -63,9 +63,9 @@
 
     /// Whether the answer is to be broken off, of which the caller has
     /// taken nothing since `stalled_since`.
-    pub(crate) fn is_reader_lost(&self, stalled_since: LocalTime) -> bool {
+    pub(crate) fn is_reader_stalled(&self, stalled_since: LocalTime) -> bool {
         let now = self.admission.now();
-        is_reader_lost(now, stalled_since, self.admission.has_waiting())
+        is_reader_stalled(now, stalled_since, self.admission.has_waiting())
     }
 
     /// The present moment.
