--- a/goldcrestramp-entry/src/traffic/connection.rs
+++ b/goldcrestramp-entry/src/traffic/connection.rs
@@ -46,7 +46,7 @@
 const MAX_RECEIVED_BYTES: usize = 24 * 1024;
 
 /// A head that is longer is left to the library's own limits.
-const MAX_HEAD_BYTES: usize = 16 * 1024;
+const MAX_HEAD: usize = 16 * 1024;
 
 /// The room for one read.
 const READ_BYTES: usize = 4 * 1024;
@@ -234,7 +234,7 @@
                 self.body_left = request.body_bytes;
                 return Some(request);
             }
-            FrameStep::Incomplete if rest.len() <= MAX_HEAD_BYTES => {
+            FrameStep::Incomplete if rest.len() <= MAX_HEAD => {
                 return None;
             }
             FrameStep::Incomplete | FrameStep::Opaque => {}
