--- a/goldcrestramp-assignment/src/previous_planner.rs
+++ b/goldcrestramp-assignment/src/previous_planner.rs
@@ -28,10 +28,10 @@
 /// use goldcrestramp_types::{LocalTime, TimeSpan};
 ///
 /// let at = |s: u64| LocalTime::from_micros(s * 1_000_000);
-/// let instance = TimeSpan::from_millis(12_000);
+/// let proof_life = TimeSpan::from_millis(12_000);
 /// let stopped = PreviousPlanner::Stopped { planned_by: at(5) };
-/// assert_eq!(last_grant_sent(at(8), stopped, instance), at(17));
-/// assert_eq!(last_grant_sent(at(90), stopped, instance), at(90));
+/// assert_eq!(last_grant_sent(at(8), stopped, proof_life), at(17));
+/// assert_eq!(last_grant_sent(at(90), stopped, proof_life), at(90));
 /// ```
 #[must_use]
 pub fn last_grant_sent(
--- a/goldcrestramp-decisions/src/deadline.rs
+++ b/goldcrestramp-decisions/src/deadline.rs
@@ -62,9 +62,9 @@
 /// for millis in [30, 24, 90] {
 ///     transit.record(now, TimeSpan::from_millis(millis));
 /// }
-/// let proximity = transit.one_way(now);
-/// assert!(proximity >= TimeSpan::from_millis(12));
-/// assert!(proximity < TimeSpan::from_millis(13));
+/// let one_way = transit.one_way(now);
+/// assert!(one_way >= TimeSpan::from_millis(12));
+/// assert!(one_way < TimeSpan::from_millis(13));
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TransitEstimate {
--- a/goldcrestramp-decisions/src/pool.rs
+++ b/goldcrestramp-decisions/src/pool.rs
@@ -97,7 +97,11 @@
 ///     in_flight: 3,
 ///     latency: TimeSpan::from_millis(100),
 /// };
-/// let next = PoolCandidate { proximity: ServerProximity::SameRegion, in_flight: 0, ..near };
+/// let next = PoolCandidate {
+///     proximity: ServerProximity::SameRegion,
+///     in_flight: 0,
+///     ..near
+/// };
 /// let left = TimeSpan::from_millis(1_000);
 /// let choice = choose_server(&[near, next], left, 1_500);
 /// assert_eq!(choice, PoolChoice::Send(1));
--- a/goldcrestramp-decisions/src/rate.rs
+++ b/goldcrestramp-decisions/src/rate.rs
@@ -142,9 +142,15 @@
 /// let asked =
 ///     PermitRequest { per_s: Some(4.0), age: TimeSpan::ZERO, wanted: 9 };
 /// let mut ledger = RateLedger::default();
-/// assert_eq!(ledger.request_permits(start, &"a", asked), PermitGrant::Permits(0));
+/// assert_eq!(
+///     ledger.request_permits(start, &"a", asked),
+///     PermitGrant::Permits(0)
+/// );
 /// let later = start + TimeSpan::from_millis(500);
-/// assert_eq!(ledger.request_permits(later, &"a", asked), PermitGrant::Permits(2));
+/// assert_eq!(
+///     ledger.request_permits(later, &"a", asked),
+///     PermitGrant::Permits(2)
+/// );
 /// ```
 #[derive(Clone, Debug)]
 pub struct RateLedger<Key>(FastMap<Key, ServerAccount>);
--- a/goldcrestramp-entry/src/traffic/connection.rs
+++ b/goldcrestramp-entry/src/traffic/connection.rs
@@ -234,9 +234,7 @@
                 self.body_left = request.body_bytes;
                 return Some(request);
             }
-            FrameStep::Incomplete if rest.len() <= MAX_HEAD => {
-                return None;
-            }
+            FrameStep::Incomplete if rest.len() <= MAX_HEAD => return None,
             FrameStep::Incomplete | FrameStep::Opaque => {}
         }
         self.opaque = true;
