--- a/goldcrestramp-entry/src/control/load.rs
+++ b/goldcrestramp-entry/src/control/load.rs
@@ -32,14 +32,14 @@
 
 impl LoadRecorder {
     /// Counts a request for a key.
-    pub fn asked(&self, service: &Arc<str>, slice: SliceIndex) {
+    pub fn record_request(&self, service: &Arc<str>, slice: SliceIndex) {
         let mut report = self.lock();
         let load = report.entry(Arc::clone(service)).or_default();
         *load.keys.entry(slice.get()).or_default() += 1;
     }
 
     /// Counts an answer of a server.
-    pub fn answered(
+    pub fn record_response(
         &self,
         service: &Arc<str>,
         server: &Arc<str>,
--- a/goldcrestramp-entry/src/traffic/attempt.rs
+++ b/goldcrestramp-entry/src/traffic/attempt.rs
@@ -285,7 +285,7 @@
             slot.server.keep(link, keep_alive(&headers));
             if request.slice.is_some() {
                 let id = &slot.server.instance.id;
-                state.loads.answered(&request.service, id, span);
+                state.loads.record_response(&request.service, id, span);
             }
             let sent = request.body.held_bytes();
             state.note_bytes(request, sent + body.len() as u64);
--- a/goldcrestramp-entry/src/traffic/serve.rs
+++ b/goldcrestramp-entry/src/traffic/serve.rs
@@ -150,7 +150,7 @@
     let body = body.map_err(|_elapsed| EndReason::BodyBroken)??;
     state.service(&service).budget.borrow_mut().record_request(arrived);
     if let Some(slice) = slice {
-        state.loads.asked(&service, slice);
+        state.loads.record_request(&service, slice);
     }
     let place = QueuePosition {
         priority: route.priority,
