--- a/goldcrestramp-entry/src/configuration.rs
+++ b/goldcrestramp-entry/src/configuration.rs
@@ -43,7 +43,7 @@
 pub struct ConfigurationUpdate {
     /// The store's revision of its write.
     revision: u64,
-    body: ConfigurationPayload,
+    payload: ConfigurationPayload,
 }
 
 /// What a newer version is.
@@ -68,27 +68,32 @@
 
 impl ConfigurationPatch {
     fn between(
-        former: &FleetConfiguration,
+        previous: &FleetConfiguration,
         newer: &FleetConfiguration,
     ) -> Self {
-        let is_gone = |name: &&Arc<str>| !newer.routes.contains_key(*name);
+        let is_removed = |name: &&Arc<str>| !newer.routes.contains_key(*name);
         let is_new = |route: &&Arc<RequestRoute>| {
-            let known = former.routes.get(&route.name);
+            let known = previous.routes.get(&route.name);
             !known.is_some_and(|known| is_same(known, route))
         };
-        let services = (former.services != newer.services)
+        let services = (previous.services != newer.services)
             .then(|| newer.services.clone());
         Self {
             version: newer.version,
             limits: newer.limits,
             services,
-            removed: former.routes.keys().filter(is_gone).cloned().collect(),
+            removed: previous
+                .routes
+                .keys()
+                .filter(is_removed)
+                .cloned()
+                .collect(),
             written: newer.routes.values().filter(is_new).cloned().collect(),
         }
     }
 
-    fn apply(self, former: &FleetConfiguration) -> FleetConfiguration {
-        let mut routes = former.routes.clone();
+    fn apply(self, previous: &FleetConfiguration) -> FleetConfiguration {
+        let mut routes = previous.routes.clone();
         for name in &self.removed {
             routes.remove(name);
         }
@@ -98,7 +103,9 @@
         FleetConfiguration {
             version: self.version,
             routes,
-            services: self.services.unwrap_or_else(|| former.services.clone()),
+            services: self
+                .services
+                .unwrap_or_else(|| previous.services.clone()),
             limits: self.limits,
         }
     }
@@ -125,7 +132,7 @@
 pub struct ConfigurationHistory {
     versions: VecDeque<ConfigurationVersion>,
     /// The revision of the last value that could not be used.
-    refused: u64,
+    rejected: u64,
 }
 
 impl ConfigurationHistory {
@@ -137,10 +144,10 @@
 
     /// How much is known.
     #[must_use]
-    pub fn mark(&self) -> ConfigurationRevision {
+    pub fn known_revision(&self) -> ConfigurationRevision {
         ConfigurationRevision {
             revision: self.revision(),
-            read_until: self.revision().max(self.refused),
+            read_until: self.revision().max(self.rejected),
         }
     }
 
@@ -150,23 +157,23 @@
 
     /// Takes the value that lies in the store; whether it is a newer
     /// version.
-    pub fn take_value(&mut self, item: &MirrorValue) -> bool {
-        if item.revision <= self.mark().read_until {
+    pub fn apply_value(&mut self, item: &MirrorValue) -> bool {
+        if item.revision <= self.known_revision().read_until {
             return false;
         }
-        let begin = MonotonicClock.now();
+        let started_at = MonotonicClock.now();
         let configuration = match FleetConfiguration::parse(&item.value) {
             Ok(configuration) => configuration,
             Err(error) => {
                 log::warn!("[control] {error}; the former stays in force.");
-                self.refused = item.revision;
+                self.rejected = item.revision;
                 return false;
             }
         };
         log::info!(
             bytes = item.value.len(),
             routes = configuration.routes.len(),
-            read_ms = MonotonicClock.now().since(begin).as_millis();
+            read_ms = MonotonicClock.now().since(started_at).as_millis();
             "[control] Configuration {} was read from the store.",
             configuration.version
         );
@@ -183,12 +190,12 @@
         let newest =
             self.newest().filter(|v| v.revision > known.read_until)?;
         let mut versions = self.versions.iter();
-        let former = versions.find(|v| v.revision == known.revision);
-        let body = match former {
-            Some(former) => ConfigurationPayload::Patch {
+        let previous = versions.find(|v| v.revision == known.revision);
+        let payload = match previous {
+            Some(previous) => ConfigurationPayload::Patch {
                 base: known.revision,
                 patch: Box::new(ConfigurationPatch::between(
-                    &former.configuration,
+                    &previous.configuration,
                     &newest.configuration,
                 )),
             },
@@ -196,7 +203,7 @@
                 ConfigurationPayload::Full(Arc::clone(&newest.configuration))
             }
         };
-        Some(ConfigurationUpdate { revision: newest.revision, body })
+        Some(ConfigurationUpdate { revision: newest.revision, payload })
     }
 
     /// Takes another VM's news; whether they are a newer version.
@@ -208,21 +215,21 @@
         &mut self,
         update: ConfigurationUpdate,
     ) -> Result<bool, BaseMismatch> {
-        if update.revision <= self.mark().read_until {
+        if update.revision <= self.known_revision().read_until {
             return Ok(false);
         }
-        let configuration = match update.body {
-            ConfigurationPayload::Full(whole) => Arc::unwrap_or_clone(whole),
+        let configuration = match update.payload {
+            ConfigurationPayload::Full(full) => Arc::unwrap_or_clone(full),
             ConfigurationPayload::Patch { base, patch } => {
-                let former = self.newest().filter(|v| v.revision == base);
-                let former = former.ok_or(BaseMismatch)?;
+                let previous = self.newest().filter(|v| v.revision == base);
+                let previous = previous.ok_or(BaseMismatch)?;
                 log::info!(
                     written = patch.written.len(),
                     removed = patch.removed.len();
                     "[control] A change to configuration {} was taken.",
                     patch.version
                 );
-                patch.apply(&former.configuration)
+                patch.apply(&previous.configuration)
             }
         };
         Ok(self.push(update.revision, configuration))
@@ -237,7 +244,7 @@
     ) -> bool {
         if let Some(newest) = self.versions.back() {
             if configuration.version <= newest.configuration.version {
-                self.refused = self.refused.max(revision);
+                self.rejected = self.rejected.max(revision);
                 return false;
             }
             share_routes(&newest.configuration, &mut configuration);
@@ -253,9 +260,12 @@
 }
 
 /// Has a newer version use the former one's routes where they are alike.
-fn share_routes(former: &FleetConfiguration, newer: &mut FleetConfiguration) {
+fn share_routes(
+    previous: &FleetConfiguration,
+    newer: &mut FleetConfiguration,
+) {
     for (name, route) in &mut newer.routes {
-        match former.routes.get(name) {
+        match previous.routes.get(name) {
             Some(known) if known == route => *route = Arc::clone(known),
             _ => {}
         }
--- a/goldcrestramp-entry/src/control/actor.rs
+++ b/goldcrestramp-entry/src/control/actor.rs
@@ -38,14 +38,14 @@
 /// without its owner. Renewing what the table grants can harm nobody, as a
 /// later planner takes keys back with a higher token; only for a server
 /// that it can't reach does it wait this out.
-pub(crate) const PROOF_LIFE: TimeSpan = TimeSpan::from_millis(12_000);
+pub(crate) const MAX_PROOF_AGE: TimeSpan = TimeSpan::from_millis(12_000);
 
 /// A VM waits this long for each VM of a better rank before it claims to
 /// plan: the best ranked live one is done by then, and no two write.
-const RANK_PAUSE: TimeSpan = TimeSpan::from_millis(150);
+const RANK_DELAY: TimeSpan = TimeSpan::from_millis(150);
 
 /// How often a VM reports what it was asked.
-const REPORT_PAUSE: TimeSpan = TimeSpan::from_millis(400);
+const REPORT_INTERVAL: TimeSpan = TimeSpan::from_millis(400);
 
 /// How far this VM is on its way to plan.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -53,9 +53,9 @@
     /// It makes no claim.
     None,
     /// A claim waits for a lease on short terms.
-    AwaitsLease,
+    AwaitingLease,
     /// The store is being asked.
-    UnderWay,
+    InFlight,
 }
 
 /// The control state of one VM.
@@ -73,11 +73,11 @@
     pub(crate) mirror: StoreMirror,
     pub(crate) history: TableHistory,
     pub(crate) configurations: ConfigurationHistory,
-    pub(crate) told: ReplicaTracker,
+    pub(crate) replicas: ReplicaTracker,
     builder: ViewBuilder,
     pub(crate) view: Arc<FleetView>,
-    views: watch::Sender<Arc<FleetView>>,
-    revision_out: watch::Sender<u64>,
+    view_sender: watch::Sender<Arc<FleetView>>,
+    revision_sender: watch::Sender<u64>,
     pub(crate) sync: SyncState,
     loads: LoadRecorder,
     pub(crate) permits: PermitMailbox,
@@ -92,14 +92,14 @@
     pub(crate) proof: LocalTime,
     /// The planner before this VM, as it was last known, with when it was
     /// first known to plan.
-    former: Option<(VmInstance, LocalTime)>,
+    previous_planner: Option<(VmInstance, LocalTime)>,
     vacant_since: Option<LocalTime>,
     claim: ClaimStage,
     /// Whether another VM is being asked while the store is silent.
-    pub(crate) asking: bool,
+    pub(crate) query_in_flight: bool,
     pub(crate) term: Option<PlannerTerm>,
     /// Permits of ended terms, held by the orders under way.
-    ending: Vec<Weak<OrderGate>>,
+    ending_gates: Vec<Weak<OrderGate>>,
     pub(crate) stopping: bool,
 }
 
@@ -110,7 +110,7 @@
         grant_duration: TimeSpan,
         store: Arc<StoreClient>,
         shared: SharedState,
-        views: watch::Sender<Arc<FleetView>>,
+        view_sender: watch::Sender<Arc<FleetView>>,
         address: Address<Self>,
     ) -> Self {
         /// A server's answer to an order is a few bytes.
@@ -131,11 +131,11 @@
             mirror: StoreMirror::default(),
             history: TableHistory::default(),
             configurations: ConfigurationHistory::default(),
-            told: ReplicaTracker::default(),
+            replicas: ReplicaTracker::default(),
             builder: ViewBuilder::default(),
             view: Arc::default(),
-            views,
-            revision_out: watch::channel(0).0,
+            view_sender,
+            revision_sender: watch::channel(0).0,
             sync: SyncState::open(shared.clock),
             loads: shared.loads,
             permits: shared.permits,
@@ -145,21 +145,21 @@
             lease_terms: LeaseTerms::SHORT,
             wanted_terms: watch::channel(None).0,
             proof: LocalTime::default(),
-            former: None,
+            previous_planner: None,
             vacant_since: None,
             claim: ClaimStage::None,
-            asking: false,
+            query_in_flight: false,
             term: None,
-            ending: Vec::new(),
+            ending_gates: Vec::new(),
             stopping: false,
         }
     }
 
     /// Takes what the mirror now holds, and tells the traffic thread.
     pub(crate) fn refresh(&mut self, now: LocalTime) {
-        self.history.note(&self.mirror);
+        self.history.record(&self.mirror);
         if let Some(item) = self.mirror.extract(CONFIGURATION_KEY) {
-            self.configurations.take_value(&item);
+            self.configurations.apply_value(&item);
         }
         let since = self.sync.changed_since(now);
         let newest = self.configurations.newest();
@@ -167,14 +167,14 @@
         if let Some(view) = view {
             let view = Arc::new(view);
             self.view = Arc::clone(&view);
-            self.views.send_replace(view);
+            self.view_sender.send_replace(view);
         }
         let revision = self.mirror.revision();
-        self.note_gauges(revision);
-        let news_at = self.mirror.news_at();
-        self.revision_out.send_if_modified(|known| {
-            let newer = news_at > *known;
-            *known = news_at.max(*known);
+        self.update_gauges(revision);
+        let last_change_revision = self.mirror.last_change_revision();
+        self.revision_sender.send_if_modified(|known| {
+            let newer = last_change_revision > *known;
+            *known = last_change_revision.max(*known);
             newer
         });
         self.check_term(now);
@@ -190,10 +190,10 @@
         } else {
             LeaseTerms::LONG
         };
-        self.want_terms(terms);
+        self.request_terms(terms);
     }
 
-    fn want_terms(&self, terms: LeaseTerms) {
+    fn request_terms(&self, terms: LeaseTerms) {
         self.wanted_terms
             .send_if_modified(|wanted| wanted.replace(terms) != Some(terms));
     }
@@ -203,10 +203,10 @@
         self.wanted_terms.subscribe()
     }
 
-    fn note_gauges(&self, revision: u64) {
+    fn update_gauges(&self, revision: u64) {
         let gauge = |count: usize| i64::try_from(count).unwrap_or(i64::MAX);
         let (metrics, view) = (&self.metrics, &self.view);
-        let version = view.routes.as_ref().map_or(0, |book| book.version);
+        let version = view.routes.as_ref().map_or(0, |routes| routes.version);
         metrics.configuration.set(version.cast_signed());
         metrics.revision.set(revision.cast_signed());
         metrics.vms.set(gauge(view.vms.len()));
@@ -215,7 +215,7 @@
     }
 
     /// Notes how old this VM's knowledge of the store is.
-    pub(crate) fn note_news_age(&self, now: LocalTime) {
+    pub(crate) fn record_update_age(&self, now: LocalTime) {
         let age = self.sync.age(now).as_millis();
         self.metrics.news_age.set(age.cast_signed());
     }
@@ -232,8 +232,10 @@
         if planner == self.me {
             return;
         }
-        let known = self.former.as_ref();
-        let is_known = known.is_some_and(|(former, _at)| *former == planner);
+        let known = self.previous_planner.as_ref();
+        let is_known = known.is_some_and(|(previous_planner, _at)| {
+            *previous_planner == planner
+        });
         if !is_known {
             log::info!("[control] VM {} plans now.", planner.vm);
         }
@@ -242,14 +244,14 @@
             self.end_term();
         }
         if !is_known {
-            self.former = Some((planner, now));
+            self.previous_planner = Some((planner, now));
         }
     }
 
     /// Claims to plan, if no other VM does.
     pub(crate) fn claim_if_vacant(&mut self, now: LocalTime) {
         let idle = self.term.is_none()
-            && self.claim != ClaimStage::UnderWay
+            && self.claim != ClaimStage::InFlight
             && !self.stopping;
         let Some(lease) = self.lease.filter(|_| idle) else { return };
         let known = self.planner();
@@ -267,17 +269,17 @@
         }
         let since = *self.vacant_since.get_or_insert(now);
         let rank = u64::try_from(self.rank()).unwrap_or(u64::MAX);
-        let pause = RANK_PAUSE.percent(rank.saturating_mul(100));
+        let pause = RANK_DELAY.percent(rank.saturating_mul(100));
         if !own && now.since(since) < pause {
             return;
         }
         // A planner's record has to end soon after its VM.
         if self.lease_terms != LeaseTerms::SHORT {
-            self.claim = ClaimStage::AwaitsLease;
-            self.want_terms(LeaseTerms::SHORT);
+            self.claim = ClaimStage::AwaitingLease;
+            self.request_terms(LeaseTerms::SHORT);
             return;
         }
-        self.claim = ClaimStage::UnderWay;
+        self.claim = ClaimStage::InFlight;
         let revision = known.map_or(0, |(_, revision)| revision);
         tokio::spawn(claim(
             Arc::clone(&self.store),
@@ -295,32 +297,34 @@
     }
 
     /// Takes the end of a claim.
-    pub(crate) fn claim_ended(&mut self, now: LocalTime, ended: ClaimEnded) {
+    pub(crate) fn claim_ended(&mut self, now: LocalTime, claim: ClaimEnded) {
         self.claim = ClaimStage::None;
         self.vacant_since = None;
-        let Some(revision) = ended.won else { return };
+        let Some(revision) = claim.won_revision else { return };
         if self.stopping
             || self.planner().is_some_and(|(_, known)| known > revision)
         {
             return;
         }
         // The lease has changed since: the record ends, or has ended.
-        if self.lease != Some(ended.lease) {
+        if self.lease != Some(claim.lease) {
             return;
         }
-        for item in ended.tables.items {
+        for item in claim.tables.items {
             self.mirror.write(item);
         }
-        let former = self.former.take();
+        let previous_planner = self.previous_planner.take();
         log::info!(
             "[control] This VM plans from revision {revision} on; before it \
              planned {}.",
-            former.as_ref().map_or("an unknown VM", |(vm, _at)| &vm.vm)
+            previous_planner
+                .as_ref()
+                .map_or("an unknown VM", |(vm, _at)| &vm.vm)
         );
         // An earlier run of this process is over. This run itself may have
         // had a successor since it lost its lease, and one that is unknown
         // may be cut off and renew grants.
-        let known = match &former {
+        let known = match &previous_planner {
             Some((vm, at))
                 if vm.vm == self.me.vm && vm.start != self.me.start =>
             {
@@ -328,18 +332,18 @@
             }
             _ => PreviousPlanner::MayRenew,
         };
-        let last_grant_at = last_grant_sent(now, known, PROOF_LIFE);
+        let last_grant_at = last_grant_sent(now, known, MAX_PROOF_AGE);
         self.term = Some(PlannerTerm::open(
             revision,
-            ended.lease,
-            ended.sent_at,
+            claim.lease,
+            claim.sent_at,
             last_grant_at,
         ));
-        let other = former.filter(|(vm, _at)| vm.vm != self.me.vm);
-        if let Some((former, planned_by)) = other {
+        let other = previous_planner.filter(|(vm, _at)| vm.vm != self.me.vm);
+        if let Some((previous_planner, planned_by)) = other {
             tokio::spawn(stop_previous_planner(
                 self.peers.clone(),
-                former,
+                previous_planner,
                 planned_by,
                 self.address.clone(),
             ));
@@ -350,18 +354,18 @@
     /// Ends the term; orders under way are the last.
     pub(crate) fn end_term(&mut self) {
         if let Some(term) = self.term.take() {
-            self.ending.push(Arc::downgrade(&term.permit));
+            self.ending_gates.push(Arc::downgrade(&term.gate));
         }
     }
 
     /// Whether an order of an ended term may still be under way.
-    pub(crate) fn has_orders_ending(&mut self) -> bool {
-        self.ending.retain(|permit| permit.strong_count() > 0);
-        !self.ending.is_empty()
+    pub(crate) fn has_orders_in_flight(&mut self) -> bool {
+        self.ending_gates.retain(|gate| gate.strong_count() > 0);
+        !self.ending_gates.is_empty()
     }
 
     /// Takes what became of the lease.
-    pub(crate) fn take_lease(&mut self, message: LeaseProof) {
+    pub(crate) fn record_lease_proof(&mut self, message: LeaseProof) {
         let LeaseProof { lease, terms, sent_at } = message;
         self.lease = lease;
         self.lease_terms = terms;
@@ -374,13 +378,13 @@
         } else {
             log::warn!("[control] The planner's lease has ended.");
             self.end_term();
-            self.former = Some((self.me.clone(), sent_at));
+            self.previous_planner = Some((self.me.clone(), sent_at));
         }
     }
 
     /// Tells the planning VM what was asked for.
     pub(crate) fn report_load(&mut self, now: LocalTime) {
-        if now.since(self.report_at) < REPORT_PAUSE {
+        if now.since(self.report_at) < REPORT_INTERVAL {
             return;
         }
         self.report_at = now;
@@ -389,7 +393,7 @@
             return;
         }
         if self.term.is_some() {
-            self.take_load(now, &report);
+            self.record_load(now, &report);
             return;
         }
         let Some((planner, _)) = self.planner() else { return };
@@ -402,15 +406,15 @@
     }
 
     /// Takes what a VM was asked for, while this one plans.
-    pub(crate) fn take_load(&mut self, now: LocalTime, report: &LoadReport) {
+    pub(crate) fn record_load(&mut self, now: LocalTime, report: &LoadReport) {
         if let Some(term) = &mut self.term {
-            term.take_load(now, report);
+            term.record_load(now, report);
         }
     }
 
     /// The revisions up to which this VM knows news of the store.
     pub(crate) fn revisions(&self) -> watch::Receiver<u64> {
-        self.revision_out.subscribe()
+        self.revision_sender.subscribe()
     }
 }
 
--- a/goldcrestramp-entry/src/control/claim.rs
+++ b/goldcrestramp-entry/src/control/claim.rs
@@ -14,7 +14,7 @@
         message::{ClaimEnded, PreviousPlannerStopped},
     },
     peers::{PeerCall, PeerClient, PeerReply},
-    records::{OWN_PREFIX, PLANNER_KEY, VmInstance, decode},
+    records::{PLANNER_KEY, ROUTER_PREFIX, VmInstance, decode},
     store::{StoreClient, StoreFailure, StorePage},
 };
 
@@ -35,34 +35,37 @@
     let reply = store.call(&StoreCall::Commit(transaction)).await;
     let read = match reply {
         Ok(StoreReply::Committed(_)) | Err(StoreFailure::Unknown) => {
-            store.read_all(OWN_PREFIX).await.ok()
+            store.read_all(ROUTER_PREFIX).await.ok()
         }
         _ => None,
     };
     let tables = read.unwrap_or(StorePage { items: Vec::new(), revision: 0 });
     // The record itself says who won, also when the answer was lost.
     let record = tables.items.iter().find(|item| *item.key == *PLANNER_KEY);
-    let won = record
+    let won_revision = record
         .filter(|item| decode::<VmInstance>(&item.value).as_ref() == Some(&me))
         .map(|item| item.revision);
     // The actor is gone only when the process ends.
-    let _gone = control.send(ClaimEnded { won, tables, lease, sent_at }).await;
+    let _gone = control
+        .send(ClaimEnded { won_revision, tables, lease, sent_at })
+        .await;
 }
 
 /// Asks the former planner to stop, until it has or can't be asked.
 pub(crate) async fn stop_previous_planner(
     peers: PeerClient,
-    former: VmInstance,
+    previous: VmInstance,
     planned_by: LocalTime,
     control: Address<ControlActor>,
 ) {
     /// By then what it may have sent has ended by itself.
-    const TRIES: u32 = 20;
+    const MAX_TRIES: u32 = 20;
     /// A stopped planner waits for orders under way, some 700 ms.
-    const PAUSE: std::time::Duration = std::time::Duration::from_millis(300);
-    let call = PeerCall::StepDown { start: former.start };
-    for _ in 0..TRIES {
-        let reply = peers.call(former.address, &call).await;
+    const RETRY_DELAY: std::time::Duration =
+        std::time::Duration::from_millis(300);
+    let call = PeerCall::StepDown { start: previous.start };
+    for _ in 0..MAX_TRIES {
+        let reply = peers.call(previous.address, &call).await;
         if matches!(reply, Some(PeerReply::SteppedDown)) {
             let at = MonotonicClock.now();
             // The actor is gone only when the process ends.
@@ -70,7 +73,7 @@
             let _gone = control.send(stopped).await;
             return;
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
-    log::info!("[control] VM {}, which planned, is silent.", former.vm);
+    log::info!("[control] VM {}, which planned, is silent.", previous.vm);
 }
--- a/goldcrestramp-entry/src/control/follow.rs
+++ b/goldcrestramp-entry/src/control/follow.rs
@@ -36,16 +36,16 @@
 /// force for as long. News count from when a watch was sent, so on a quiet
 /// store a long wait also makes them look old. Heartbeats end most watches
 /// sooner, so the short wait hardly makes more calls.
-const WATCH_WAIT: TimeSpan = TimeSpan::from_millis(500);
+const WATCH_TIMEOUT: TimeSpan = TimeSpan::from_millis(500);
 
 /// Changes that follow each other sooner are told together. It takes a
 /// quarter of the time in which a change has to be in force everywhere;
 /// tables reach all VMs without it.
-const WATCH_PAUSE: Duration = Duration::from_millis(450);
+const MIN_WATCH_INTERVAL: Duration = Duration::from_millis(450);
 
 /// A VM that is asked for the first time answers within this or is replaced
 /// by the next.
-const FIRST_ANSWER_TIMEOUT: Duration = Duration::from_millis(600);
+const FIRST_RESPONSE_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// If an answer has not come whole after this, the next source is asked as
 /// well: the link of the first may carry a few kilobytes a second.
@@ -66,7 +66,7 @@
     /// The VM that answered the last call.
     pub(crate) followed: Option<SocketAddr>,
     /// The call whose answer was not waited for to its end.
-    pub(crate) slow_answer: Option<JoinHandle<bool>>,
+    pub(crate) slow_response: Option<JoinHandle<bool>>,
 }
 
 /// A call for news to another VM.
@@ -76,16 +76,18 @@
     address: SocketAddr,
     call: PeerCall,
     /// Until when the answer begins; nothing: the usual time.
-    limit: Option<Duration>,
+    head_timeout: Option<Duration>,
 }
 
 impl UpdateFetch {
     /// Fetches, and tells the actor; whether there was an answer.
     async fn run(self) -> bool {
-        let Self { peers, control, address, call, limit } = self;
+        let Self { peers, control, address, call, head_timeout } = self;
         let sent_at = MonotonicClock.now();
-        let reply = match limit {
-            Some(limit) => peers.call_within(address, &call, limit).await,
+        let reply = match head_timeout {
+            Some(head_timeout) => {
+                peers.call_within(address, &call, head_timeout).await
+            }
             None => peers.call(address, &call).await,
         };
         let Some(PeerReply::Update { update, age, held, fresh }) = reply
@@ -100,7 +102,7 @@
 }
 
 /// The control actor is gone: the process ends.
-struct ActorGone;
+struct ActorStopped;
 
 impl StoreFollower {
     /// Follows the store until the actor is gone.
@@ -114,26 +116,26 @@
                     sleep(pause.mul_f64(jitter)).await;
                     pause = (pause * 2).min(MAX_RETRY_DELAY);
                 }
-                Err(ActorGone) => return,
+                Err(ActorStopped) => return,
             }
         }
     }
 
     /// Takes the next changes; false: the source failed.
-    async fn follow(&mut self, step: NextStep) -> Result<bool, ActorGone> {
-        let next = Instant::now() + WATCH_PAUSE;
-        let followed = match step.source {
+    async fn follow(&mut self, step: NextStep) -> Result<bool, ActorStopped> {
+        let next = Instant::now() + MIN_WATCH_INTERVAL;
+        let outcome = match step.source {
             UpdateSource::Peer(address, _revision) => {
                 return self.ask_peer(address, step.known).await;
             }
             UpdateSource::StoreVms => self.read_vms().await?,
-            UpdateSource::StoreWhole => self.read_all().await?,
+            UpdateSource::FullStore => self.read_all().await?,
             UpdateSource::StoreChanges(after) => self.watch(after).await?,
         };
-        if let Err(failure) = followed {
+        if let Err(failure) = outcome {
             self.metrics.news("store-failed");
             log::debug!("[store] Following failed: {failure}.");
-            self.tell(StoreTimedOut).await?;
+            self.notify(StoreTimedOut).await?;
             return Ok(false);
         }
         self.metrics.news("store");
@@ -149,58 +151,62 @@
         &mut self,
         address: SocketAddr,
         known: KnownRevisions,
-    ) -> Result<bool, ActorGone> {
+    ) -> Result<bool, ActorStopped> {
         // One that is asked for the first time answers at once, so that
         // several silent ones cost little time.
         let wait = self.followed == Some(address);
-        let limit =
-            (!wait && known.revision > 0).then_some(FIRST_ANSWER_TIMEOUT);
+        let head_timeout =
+            (!wait && known.revision > 0).then_some(FIRST_RESPONSE_TIMEOUT);
         let fetch = UpdateFetch {
             peers: self.peers.clone(),
             control: self.control.clone(),
             address,
             call: PeerCall::Sync { known, wait },
-            limit,
+            head_timeout,
         };
         self.followed = None;
-        let mut asked = tokio::spawn(fetch.run());
-        let answered = match timeout(HEDGE_DELAY, &mut asked).await {
-            Ok(answered) => answered,
-            Err(_elapsed) if self.has_slow_answer() => asked.await,
+        let mut task = tokio::spawn(fetch.run());
+        let responded = match timeout(HEDGE_DELAY, &mut task).await {
+            Ok(responded) => responded,
+            Err(_elapsed) if self.has_slow_response() => task.await,
             Err(_elapsed) => {
                 self.metrics.news("peer-slow");
-                self.slow_answer = Some(asked);
-                self.tell(PeerTimedOut(address)).await?;
+                self.slow_response = Some(task);
+                self.notify(PeerTimedOut(address)).await?;
                 return Ok(true);
             }
         };
-        if answered.unwrap_or(false) {
+        if responded.unwrap_or(false) {
             self.metrics.news("peer");
             self.followed = Some(address);
         } else {
             self.metrics.news("peer-failed");
-            self.tell(PeerTimedOut(address)).await?;
+            self.notify(PeerTimedOut(address)).await?;
         }
         Ok(true)
     }
 
     /// Whether an answer that was not waited for is still on its way.
-    fn has_slow_answer(&self) -> bool {
-        self.slow_answer.as_ref().is_some_and(|task| !task.is_finished())
+    fn has_slow_response(&self) -> bool {
+        self.slow_response.as_ref().is_some_and(|task| !task.is_finished())
     }
 
-    async fn read_vms(&self) -> Result<Result<(), StoreFailure>, ActorGone> {
+    async fn read_vms(
+        &self,
+    ) -> Result<Result<(), StoreFailure>, ActorStopped> {
         match self.store.read_all(VM_PREFIX).await {
-            Ok(page) => self.tell(VmPage(page)).await.map(Ok),
+            Ok(page) => self.notify(VmPage(page)).await.map(Ok),
             Err(failure) => Ok(Err(failure)),
         }
     }
 
-    async fn read_all(&self) -> Result<Result<(), StoreFailure>, ActorGone> {
+    async fn read_all(
+        &self,
+    ) -> Result<Result<(), StoreFailure>, ActorStopped> {
         let sent_at = MonotonicClock.now();
         match self.store.read_all("").await {
             Ok(page) => {
-                self.tell(StoreSnapshot { sent_at, page }).await.map(Ok)
+                self.notify(StoreSnapshot { sent_at, page }).await.map(Ok)
             }
             Err(failure) => Ok(Err(failure)),
         }
@@ -209,29 +215,32 @@
     async fn watch(
         &self,
         after: u64,
-    ) -> Result<Result<(), StoreFailure>, ActorGone> {
+    ) -> Result<Result<(), StoreFailure>, ActorStopped> {
         let prefix = "".into();
-        let call = StoreCall::Watch { prefix, after, wait: WATCH_WAIT };
+        let call = StoreCall::Watch { prefix, after, wait: WATCH_TIMEOUT };
         let sent_at = MonotonicClock.now();
         match self.store.call(&call).await {
             Ok(StoreReply::Changes { events, revision }) => {
                 let changes = StoreChanges { sent_at, events, revision };
-                self.tell(changes).await.map(Ok)
+                self.notify(changes).await.map(Ok)
             }
             Ok(StoreReply::HistoryLost) => {
                 log::info!("[store] History after {after} is lost.");
-                self.tell(HistoryLost).await.map(Ok)
+                self.notify(HistoryLost).await.map(Ok)
             }
             Ok(_) => Ok(Err(StoreFailure::Unknown)),
             Err(failure) => Ok(Err(failure)),
         }
     }
 
-    async fn tell<News>(&self, update: News) -> Result<(), ActorGone>
+    async fn notify<Message>(
+        &self,
+        message: Message,
+    ) -> Result<(), ActorStopped>
     where
-        ControlActor: xtra::Handler<News, Return = ()>,
-        News: Send + 'static,
+        ControlActor: xtra::Handler<Message, Return = ()>,
+        Message: Send + 'static,
     {
-        self.control.send(update).await.map_err(|_gone| ActorGone)
+        self.control.send(message).await.map_err(|_stopped| ActorStopped)
     }
 }
--- a/goldcrestramp-entry/src/control/handlers.rs
+++ b/goldcrestramp-entry/src/control/handlers.rs
@@ -8,7 +8,7 @@
 use crate::{
     control::{
         ControlActor,
-        actor::PROOF_LIFE,
+        actor::MAX_PROOF_AGE,
         message::{
             ClaimEnded, CommitEnded, ControlTick, HistoryLost, LeaseProof,
             NextSource, NextStep, OrderEnded, PeerQueryEnded, PeerTimedOut,
@@ -35,14 +35,14 @@
 
     async fn handle(&mut self, message: StoreChanges, _: &mut Context<Self>) {
         let now = now();
-        self.sync.answered(now);
+        self.sync.record_response(now);
         let any = self.mirror.apply(message.events, message.revision);
         if any {
             self.refresh(now);
         }
-        self.sync.was_current(message.sent_at);
+        self.sync.record_current_at(message.sent_at);
         if any {
-            self.work(now);
+            self.run_planner(now);
         }
     }
 }
@@ -52,13 +52,13 @@
 
     async fn handle(&mut self, message: StoreSnapshot, _: &mut Context<Self>) {
         let now = now();
-        self.sync.answered(now);
+        self.sync.record_response(now);
         let StoreSnapshot { sent_at, page } = message;
-        self.sync.was_read();
+        self.sync.record_read();
         if self.mirror.replace(page.items, page.revision) {
             self.refresh(now);
-            self.sync.was_current(sent_at);
-            self.work(now);
+            self.sync.record_current_at(sent_at);
+            self.run_planner(now);
         }
     }
 }
@@ -68,8 +68,8 @@
 
     async fn handle(&mut self, VmPage(page): VmPage, _: &mut Context<Self>) {
         let now = now();
-        self.sync.answered(now);
-        self.sync.was_read();
+        self.sync.record_response(now);
+        self.sync.record_read();
         for item in page.items {
             self.mirror.write(item);
         }
@@ -94,7 +94,7 @@
     type Return = ();
 
     async fn handle(&mut self, _: StoreTimedOut, _: &mut Context<Self>) {
-        self.sync.failed();
+        self.sync.record_failure();
     }
 }
 
@@ -102,7 +102,7 @@
     type Return = ();
 
     async fn handle(&mut self, _: HistoryLost, _: &mut Context<Self>) {
-        self.sync.history_lost();
+        self.sync.record_history_loss();
     }
 }
 
@@ -110,7 +110,7 @@
     type Return = ();
 
     async fn handle(&mut self, _: PeerQueryEnded, _: &mut Context<Self>) {
-        self.asking = false;
+        self.query_in_flight = false;
     }
 }
 
@@ -122,7 +122,7 @@
         PeerTimedOut(peer): PeerTimedOut,
         _: &mut Context<Self>,
     ) {
-        self.sync.peer_failed(now(), peer);
+        self.sync.record_peer_failure(now(), peer);
     }
 }
 
@@ -132,20 +132,20 @@
     async fn handle(&mut self, message: PeerUpdate, _: &mut Context<Self>) {
         let now = now();
         if message.fresh {
-            self.sync.answered(now);
+            self.sync.record_response(now);
         }
         if let Some(source) = message.source {
-            self.sync.peer_answered(now, source, message.fresh);
+            self.sync.record_peer_response(now, source, message.fresh);
         }
-        let taken = self.apply_update(now, message.update);
-        if taken.changed {
+        let applied = self.apply_update(now, message.update);
+        if applied.changed {
             self.refresh(now);
         }
-        if taken.whole {
-            self.sync.was_current(message.as_of);
+        if applied.complete {
+            self.sync.record_current_at(message.as_of);
         }
-        if taken.changed {
-            self.work(now);
+        if applied.changed {
+            self.run_planner(now);
         }
     }
 }
@@ -161,7 +161,7 @@
         if self.stopping {
             return false;
         }
-        self.take_lease(message);
+        self.record_lease_proof(message);
         true
     }
 }
@@ -172,11 +172,11 @@
     async fn handle(&mut self, _: ControlTick, _: &mut Context<Self>) {
         let now = now();
         self.claim_if_vacant(now);
-        self.note_news_age(now);
-        self.ask_if_silent(now);
+        self.record_update_age(now);
+        self.query_peer_if_stale(now);
         self.report_load(now);
-        self.ask_permits(now);
-        self.work(now);
+        self.fetch_permits(now);
+        self.run_planner(now);
     }
 }
 
@@ -186,7 +186,7 @@
     async fn handle(&mut self, message: ClaimEnded, _: &mut Context<Self>) {
         let now = now();
         self.claim_ended(now, message);
-        self.work(now);
+        self.run_planner(now);
     }
 }
 
@@ -201,7 +201,7 @@
         let PreviousPlannerStopped { at, planned_by } = message;
         let stopped = PreviousPlanner::Stopped { planned_by };
         if let Some(term) = &mut self.term {
-            term.inherit(last_grant_sent(at, stopped, PROOF_LIFE));
+            term.inherit(last_grant_sent(at, stopped, MAX_PROOF_AGE));
         }
     }
 }
@@ -212,7 +212,7 @@
     async fn handle(&mut self, message: CommitEnded, _: &mut Context<Self>) {
         let now = now();
         self.commit_ended(now, message);
-        self.work(now);
+        self.run_planner(now);
     }
 }
 
@@ -234,7 +234,7 @@
     async fn handle(&mut self, message: ReadBack, _: &mut Context<Self>) {
         let now = now();
         self.read_back(now, message);
-        self.work(now);
+        self.run_planner(now);
     }
 }
 
@@ -245,7 +245,7 @@
         let now = now();
         let release = self.order_ended(now, &message);
         if release {
-            self.work(now);
+            self.run_planner(now);
         }
     }
 }
@@ -294,7 +294,7 @@
                 PeerReply::Tables(self.history.known_revisions())
             }
             PeerCall::Load(report) => {
-                self.take_load(now, &report);
+                self.record_load(now, &report);
                 PeerReply::Accepted
             }
             PeerCall::StepDown { start } => self.step_down(start),
--- a/goldcrestramp-entry/src/control/lease.rs
+++ b/goldcrestramp-entry/src/control/lease.rs
@@ -21,7 +21,7 @@
 /// How long a planner's record outlives it. Its loss stops renewals of
 /// grants for this long, so it is well below a grant's hold; three renewals
 /// may be lost before it ends.
-pub(crate) const LEASE_SPAN: TimeSpan = TimeSpan::from_millis(2_500);
+pub(crate) const LEASE_TTL: TimeSpan = TimeSpan::from_millis(2_500);
 
 /// How long a VM's entry outlives it, and how often its lease is renewed.
 ///
@@ -30,20 +30,20 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LeaseTerms {
     /// How long the lease lasts without a renewal.
-    pub span: TimeSpan,
+    pub ttl: TimeSpan,
     /// How long after a renewal the next is sent.
-    pub renew_pause: TimeSpan,
+    pub renew_interval: TimeSpan,
 }
 
 impl LeaseTerms {
     /// The terms of a VM that plans or may be followed.
     pub const SHORT: Self =
-        Self { span: LEASE_SPAN, renew_pause: TimeSpan::from_millis(500) };
+        Self { ttl: LEASE_TTL, renew_interval: TimeSpan::from_millis(500) };
 
     /// The terms of the others. Two renewals may be lost before it ends.
     pub const LONG: Self = Self {
-        span: TimeSpan::from_millis(6_000),
-        renew_pause: TimeSpan::from_millis(2_000),
+        ttl: TimeSpan::from_millis(6_000),
+        renew_interval: TimeSpan::from_millis(2_000),
     };
 }
 
@@ -52,42 +52,42 @@
 const TERMS_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// The pause after a failure.
-const RETRY_PAUSE: Duration = Duration::from_millis(300);
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// Keeps a lease and this VM's entry until the actor is gone.
 pub(crate) async fn keep_lease(
     store: Arc<StoreClient>,
     me: VmInstance,
-    span_least: TimeSpan,
+    min_ttl: TimeSpan,
     mut wanted: watch::Receiver<Option<LeaseTerms>>,
     control: Address<ControlActor>,
 ) {
     // Without a list in time the short terms hold.
     let known = wanted.wait_for(Option::is_some);
     let _in_time = timeout(TERMS_TIMEOUT, known).await.is_ok();
-    let mut kept = None;
+    let mut current = None;
     while control.is_connected() {
         let terms = wanted.borrow_and_update().unwrap_or(LeaseTerms::SHORT);
         let sent_at = MonotonicClock.now();
-        let reply = match kept {
+        let reply = match current {
             Some((lease, known)) if known == terms => {
                 renew(&store, lease).await
             }
             // The entry goes over to the new lease; a former one just ends.
             _ => {
-                let span = terms.span.max(span_least);
-                announce(&store, &me, span).await.map(Some)
+                let ttl = terms.ttl.max(min_ttl);
+                register(&store, &me, ttl).await.map(Some)
             }
         };
         match reply {
             Ok(lease) => {
-                kept = lease.map(|lease| (lease, terms));
+                current = lease.map(|lease| (lease, terms));
                 let proof = LeaseProof { lease, terms, sent_at };
                 if !control.send(proof).await.unwrap_or(false) {
                     return;
                 }
                 if lease.is_some() {
-                    let pause = terms.renew_pause.to_std();
+                    let pause = terms.renew_interval.to_std();
                     // Other terms are taken up at once.
                     let _changed = timeout(pause, wanted.changed()).await;
                 }
@@ -95,19 +95,19 @@
             Err(failure) => {
                 log::debug!("[store] The lease was not kept: {failure}.");
                 let jitter = rand::random_range(0.5..1.5);
-                sleep(RETRY_PAUSE.mul_f64(jitter)).await;
+                sleep(RETRY_DELAY.mul_f64(jitter)).await;
             }
         }
     }
 }
 
 /// Takes a lease and writes this VM's entry with it.
-async fn announce(
+async fn register(
     store: &StoreClient,
     me: &VmInstance,
-    span: TimeSpan,
+    ttl: TimeSpan,
 ) -> Result<u64, StoreFailure> {
-    let reply = store.call(&StoreCall::OpenLease { span }).await?;
+    let reply = store.call(&StoreCall::OpenLease { span: ttl }).await?;
     let StoreReply::Leased { lease, .. } = reply else {
         return Err(StoreFailure::Unknown);
     };
--- a/goldcrestramp-entry/src/control/load.rs
+++ b/goldcrestramp-entry/src/control/load.rs
@@ -47,10 +47,10 @@
     ) {
         let mut report = self.lock();
         let load = report.entry(Arc::clone(service)).or_default();
-        let sum = load.servers.entry(Arc::clone(server)).or_default();
+        let totals = load.servers.entry(Arc::clone(server)).or_default();
         let millis = u32::try_from(span.as_millis()).unwrap_or(u32::MAX);
-        sum.responses += 1;
-        sum.millis = sum.millis.saturating_add(millis);
+        totals.responses += 1;
+        totals.millis = totals.millis.saturating_add(millis);
     }
 
     /// Takes what was counted.
--- a/goldcrestramp-entry/src/control/message.rs
+++ b/goldcrestramp-entry/src/control/message.rs
@@ -100,7 +100,7 @@
 #[derive(Debug)]
 pub(crate) struct ClaimEnded {
     /// The revision of this VM's record, if it plans now.
-    pub(crate) won: Option<u64>,
+    pub(crate) won_revision: Option<u64>,
     /// The tables as they were read after the claim.
     pub(crate) tables: StorePage,
     /// The lease with which the record ends.
--- a/goldcrestramp-entry/src/control/mod.rs
+++ b/goldcrestramp-entry/src/control/mod.rs
@@ -31,13 +31,13 @@
     lease::LeaseTerms,
     load::{LoadRecorder, LoadReport, ResponseTotals, ServiceLoad},
     permits::{PermitGrants, PermitMailbox, PermitRequests},
-    ranking::{advising_vms, is_large, source_vms},
+    ranking::{fallback_vms, is_large, source_vms},
     sync::{FreshnessClock, SyncState, UpdateSource, update_as_of},
 };
 use crate::{
     control::{
         follow::StoreFollower, lease::keep_lease, message::ControlTick,
-        message::StopControl, service::HOLD,
+        message::StopControl, service::GRANT_DURATION,
     },
     peers::{PeerClient, PeerSource, serve_peers},
     records::VmInstance,
@@ -76,7 +76,7 @@
     let actor = ControlActor::new(
         me.clone(),
         settings.regions.clone(),
-        HOLD.min(settings.max_grant_duration),
+        GRANT_DURATION.min(settings.max_grant_duration),
         Arc::clone(&store),
         shared.clone(),
         views,
@@ -91,11 +91,11 @@
         control: address.clone(),
         metrics: shared.metrics,
         followed: None,
-        slow_answer: None,
+        slow_response: None,
     };
     tokio::spawn(follower.run());
-    let least = settings.min_lease_ttl;
-    tokio::spawn(keep_lease(store, me, least, terms, address.clone()));
+    let min_ttl = settings.min_lease_ttl;
+    tokio::spawn(keep_lease(store, me, min_ttl, terms, address.clone()));
     let source = PeerSource { control: address.clone(), revisions };
     tokio::spawn(serve_peers(peers, source));
     tokio::spawn(tick(address.clone()));
--- a/goldcrestramp-entry/src/control/order.rs
+++ b/goldcrestramp-entry/src/control/order.rs
@@ -20,11 +20,11 @@
 };
 
 /// A grant is answered at once; one without an answer is sent again.
-const GRANT_LIMIT: Duration = Duration::from_millis(700);
+const GRANT_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// A release is answered when the work on its keys has ended, which takes
 /// as long as the longest request.
-const RELEASE_LIMIT: Duration = Duration::from_secs(3);
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Whether orders of a term may be sent; held by those under way.
 ///
@@ -52,9 +52,9 @@
     pub(crate) pool: Arc<CallPool>,
     pub(crate) control: Address<ControlActor>,
     pub(crate) service: Arc<str>,
-    pub(crate) permit: Arc<OrderGate>,
+    pub(crate) gate: Arc<OrderGate>,
     /// Until when no other VM can be planning.
-    pub(crate) sure_until: LocalTime,
+    pub(crate) sole_planner_until: LocalTime,
 }
 
 impl OrderSender {
@@ -63,21 +63,21 @@
     /// The grants of one server go one after the other on one connection;
     /// the first that fails ends the round, as the others would fail too.
     pub(crate) fn send(&self, orders: Vec<ServerOrder>) {
-        let mut rounds: FastMap<Arc<str>, Vec<ServerOrder>> =
+        let mut batches: FastMap<Arc<str>, Vec<ServerOrder>> =
             FastMap::default();
-        let mut alone = Vec::new();
+        let mut releases = Vec::new();
         for order in orders {
             match order.kind {
                 OrderKind::Grant { .. } => {
                     let id = Arc::clone(&order.instance.id);
-                    rounds.entry(id).or_default().push(order);
+                    batches.entry(id).or_default().push(order);
                 }
-                OrderKind::Release => alone.push(vec![order]),
+                OrderKind::Release => releases.push(vec![order]),
             }
         }
-        for round in rounds.into_values().chain(alone) {
+        for batch in batches.into_values().chain(releases) {
             let sender = self.clone();
-            tokio::spawn(async move { sender.send_round(round).await });
+            tokio::spawn(async move { sender.send_batch(batch).await });
         }
     }
 
@@ -88,21 +88,21 @@
     /// id and has forgotten the higher token, so a renewal from here makes
     /// it an owner again. A connection ends with the run of the server that
     /// took it, so renewals over kept ones can't reach a later run.
-    fn reach(&self) -> ConnectionReuse {
-        if MonotonicClock.now() < self.sure_until {
+    fn connection_reuse(&self) -> ConnectionReuse {
+        if MonotonicClock.now() < self.sole_planner_until {
             ConnectionReuse::Any
         } else {
             ConnectionReuse::Kept
         }
     }
 
-    async fn send_round(self, round: Vec<ServerOrder>) {
+    async fn send_batch(self, batch: Vec<ServerOrder>) {
         let mut failed = false;
-        for order in round {
-            let outcome = if failed || !self.permit.is_valid() {
+        for order in batch {
+            let outcome = if failed || !self.gate.is_valid() {
                 OrderOutcome::NotSent
             } else {
-                send_order(&self.pool, self.reach(), &order).await
+                send_order(&self.pool, self.connection_reuse(), &order).await
             };
             failed |= matches!(
                 outcome,
@@ -121,20 +121,20 @@
 
 async fn send_order(
     pool: &CallPool,
-    reach: ConnectionReuse,
+    reuse: ConnectionReuse,
     order: &ServerOrder,
 ) -> OrderOutcome {
     let (first, last) = (order.range.first.get(), order.range.last.get());
     let token = order.token;
-    let (path, body, limit) = match &order.kind {
+    let (path, body, timeout) = match &order.kind {
         OrderKind::Grant { duration, handover } => {
             let (duration, handover) = (*duration, handover.clone());
             let order = GrantOrder { first, last, token, duration, handover };
-            (GrantOrder::PATH, order.encode(), GRANT_LIMIT)
+            (GrantOrder::PATH, order.encode(), GRANT_TIMEOUT)
         }
         OrderKind::Release => {
             let order = ReleaseOrder { first, last, token };
-            (ReleaseOrder::PATH, order.encode(), RELEASE_LIMIT)
+            (ReleaseOrder::PATH, order.encode(), RELEASE_TIMEOUT)
         }
     };
     let request = CallRequest {
@@ -144,8 +144,8 @@
         headers: order_headers(&order.instance.id),
         body,
     };
-    match pool.call(request, reach, limit).await {
-        Ok(answer) => outcome(answer.status, &answer.headers),
+    match pool.call(request, reuse, timeout).await {
+        Ok(response) => outcome(response.status, &response.headers),
         Err(CallFailure::NotSent) => OrderOutcome::NotSent,
         Err(CallFailure::Unknown) => OrderOutcome::Unknown,
         Err(CallFailure::TimedOut) => OrderOutcome::TimedOut,
@@ -167,9 +167,9 @@
 fn outcome(status: StatusCode, map: &HeaderMap) -> OrderOutcome {
     match status {
         StatusCode::OK => {
-            let left = map.get(headers::HANDOVER);
-            let left = left.and_then(|text| text.to_str().ok());
-            OrderOutcome::Done { handover: left.map(Arc::from) }
+            let handover = map.get(headers::HANDOVER);
+            let handover = handover.and_then(|text| text.to_str().ok());
+            OrderOutcome::Done { handover: handover.map(Arc::from) }
         }
         StatusCode::CONFLICT => OrderOutcome::Outdated,
         StatusCode::MISDIRECTED_REQUEST => OrderOutcome::Ended,
--- a/goldcrestramp-entry/src/control/permits.rs
+++ b/goldcrestramp-entry/src/control/permits.rs
@@ -28,7 +28,7 @@
     /// Answers with the moments at which they came.
     grants: Vec<(LocalTime, PermitGrants)>,
     /// Whether an answer is awaited.
-    asking: bool,
+    query_in_flight: bool,
 }
 
 /// Where both threads leave what they have for each other.
@@ -57,22 +57,23 @@
     #[must_use]
     pub fn begin(&self, now: LocalTime) -> Option<PermitRequests> {
         let mut state = self.lock();
-        if state.asking || state.requests.is_empty() {
+        if state.query_in_flight || state.requests.is_empty() {
             return None;
         }
-        state.asking = true;
+        state.query_in_flight = true;
         let requests = std::mem::take(&mut state.requests);
-        let aged = |(server, (request, put_at)): (_, (PermitRequest, _))| {
-            let age = request.age.plus(now.since(put_at));
-            (server, PermitRequest { age, ..request })
-        };
+        let aged =
+            |(server, (request, queued_at)): (_, (PermitRequest, _))| {
+                let age = request.age.plus(now.since(queued_at));
+                (server, PermitRequest { age, ..request })
+            };
         Some(requests.into_iter().map(aged).collect())
     }
 
     /// Leaves an answer for the traffic thread.
     pub fn finish(&self, now: LocalTime, grants: PermitGrants) {
         let mut state = self.lock();
-        state.asking = false;
+        state.query_in_flight = false;
         state.grants.push((now, grants));
     }
 
@@ -84,7 +85,7 @@
 
 impl ControlActor {
     /// Asks for the permits that requests wait for.
-    pub(crate) fn ask_permits(&mut self, now: LocalTime) {
+    pub(crate) fn fetch_permits(&mut self, now: LocalTime) {
         let Some(requests) = self.permits.begin(now) else { return };
         if self.term.is_some() {
             let grants = self.grant_permits(now, requests);
--- a/goldcrestramp-entry/src/control/ranking.rs
+++ b/goldcrestramp-entry/src/control/ranking.rs
@@ -23,7 +23,7 @@
 /// Whether a VM may plan and be followed while others like it are there.
 #[must_use]
 pub fn is_large(me: &VmInstance, vms: &[VmInstance]) -> bool {
-    has_large_part(me, largest_of(me, vms))
+    has_large_capacity(me, largest_of(me, vms))
 }
 
 /// The largest capacity there is.
@@ -32,7 +32,7 @@
     others.unwrap_or(0).max(me.capacity)
 }
 
-fn has_large_part(vm: &VmInstance, largest: u32) -> bool {
+fn has_large_capacity(vm: &VmInstance, largest: u32) -> bool {
     u64::from(vm.capacity) * 100 >= u64::from(largest) * LARGE_PERCENT
 }
 
@@ -52,7 +52,7 @@
     is_near: impl Fn(&str) -> bool,
 ) -> Vec<&'a VmInstance> {
     let largest = largest_of(me, vms);
-    let is_large = |vm: &VmInstance| has_large_part(vm, largest);
+    let is_large = |vm: &VmInstance| has_large_capacity(vm, largest);
     let large: Vec<&VmInstance> =
         vms.iter().filter(|vm| is_large(vm)).collect();
     let mut sources = large.clone();
@@ -65,12 +65,12 @@
     if is_large(me) {
         return sources;
     }
-    let mut heads = domain_heads(large);
-    heads.retain(|vm| vm.domain != me.domain);
-    heads.sort_unstable_by_key(|vm| {
+    let mut leaders = domain_leaders(large);
+    leaders.retain(|vm| vm.domain != me.domain);
+    leaders.sort_unstable_by_key(|vm| {
         Reverse((is_near(&vm.domain), vm.duty_rank()))
     });
-    sources.extend(heads);
+    sources.extend(leaders);
     sources.truncate(MAX_SOURCES);
     sources
 }
@@ -78,25 +78,25 @@
 /// The VMs that `me` may ask when its own sources fail: the other large
 /// ones, whose news come from the store or from one VM that follows it.
 #[must_use]
-pub fn advising_vms<'a>(
+pub fn fallback_vms<'a>(
     me: &VmInstance,
     vms: &'a [VmInstance],
 ) -> Vec<&'a VmInstance> {
     let largest = largest_of(me, vms);
     let others = || vms.iter().filter(|vm| vm.vm != me.vm);
     let large: Vec<&VmInstance> =
-        others().filter(|vm| has_large_part(vm, largest)).collect();
+        others().filter(|vm| has_large_capacity(vm, largest)).collect();
     if large.is_empty() { others().collect() } else { large }
 }
 
 /// The best ranked VM of each failure domain.
-fn domain_heads(vms: Vec<&VmInstance>) -> Vec<&VmInstance> {
-    let mut heads: FastMap<&str, &VmInstance> = FastMap::default();
+fn domain_leaders(vms: Vec<&VmInstance>) -> Vec<&VmInstance> {
+    let mut leaders: FastMap<&str, &VmInstance> = FastMap::default();
     for vm in vms {
-        let head = heads.entry(&vm.domain).or_insert(vm);
+        let head = leaders.entry(&vm.domain).or_insert(vm);
         if vm.duty_rank() > head.duty_rank() {
             *head = vm;
         }
     }
-    heads.into_values().collect()
+    leaders.into_values().collect()
 }
--- a/goldcrestramp-entry/src/control/service.rs
+++ b/goldcrestramp-entry/src/control/service.rs
@@ -20,20 +20,20 @@
 /// How long a grant holds. A server that can't be reached and is gone
 /// leaves its keys without an owner for this long; a planner that is lost
 /// is replaced within 3.5 s, and its servers must hold on until then.
-pub(crate) const HOLD: TimeSpan = TimeSpan::from_millis(5_500);
+pub(crate) const GRANT_DURATION: TimeSpan = TimeSpan::from_millis(5_500);
 
 /// After which part of its hold a grant is renewed: 1.5 s, so that 4 s of a
 /// hold are left at any moment.
 const RENEW_PERCENT: u64 = 27;
 
 /// How soon an order without an answer is sent again.
-const RETRY_AFTER: TimeSpan = TimeSpan::from_millis(250);
+const RETRY_DELAY: TimeSpan = TimeSpan::from_millis(250);
 
 /// How often moves are weighed: a report of every VM comes in between.
-const WEIGH_PAUSE: TimeSpan = TimeSpan::from_millis(500);
+const REBALANCE_INTERVAL: TimeSpan = TimeSpan::from_millis(500);
 
 /// A run that moved stays for so long, or noise would send it to and fro.
-const REST: TimeSpan = TimeSpan::from_millis(800);
+const MOVE_COOLDOWN: TimeSpan = TimeSpan::from_millis(800);
 
 /// The plan of one service while this VM plans.
 #[derive(Debug)]
@@ -45,8 +45,8 @@
     pub(crate) committing: bool,
     load: RangeLoad,
     speeds: SpeedEstimates,
-    weigh_at: LocalTime,
-    resting: Vec<(SliceRange, LocalTime)>,
+    rebalance_at: LocalTime,
+    cooling_down: Vec<(SliceRange, LocalTime)>,
 }
 
 impl ServicePlan {
@@ -60,7 +60,7 @@
         let timing = PlannerTiming {
             grant_duration,
             renew_interval: grant_duration.percent(RENEW_PERCENT),
-            retry_delay: RETRY_AFTER,
+            retry_delay: RETRY_DELAY,
         };
         Self {
             planner: TablePlanner::open(timing, table, last_grant_at),
@@ -68,18 +68,18 @@
             committing: false,
             load: RangeLoad::open(now),
             speeds: SpeedEstimates::default(),
-            weigh_at: now + WEIGH_PAUSE,
-            resting: Vec::new(),
+            rebalance_at: now + REBALANCE_INTERVAL,
+            cooling_down: Vec::new(),
         }
     }
 
     /// Takes what a VM was asked for.
-    pub(crate) fn take_load(&mut self, now: LocalTime, load: &ServiceLoad) {
+    pub(crate) fn record_load(&mut self, now: LocalTime, load: &ServiceLoad) {
         for (key, requests) in &load.keys {
             self.load.record((*key).into(), *requests);
         }
-        for (server, sum) in &load.servers {
-            self.speeds.record(now, server, *sum);
+        for (server, totals) in &load.servers {
+            self.speeds.record(now, server, *totals);
         }
     }
 
@@ -94,9 +94,9 @@
         if revision < self.revision {
             return;
         }
-        for run in table.ranges() {
-            if run.phase == AssignmentPhase::Releasing {
-                self.resting.push((run.range, now + REST));
+        for assigned in table.ranges() {
+            if assigned.phase == AssignmentPhase::Releasing {
+                self.cooling_down.push((assigned.range, now + MOVE_COOLDOWN));
             }
         }
         self.revision = revision;
@@ -107,57 +107,66 @@
     pub(crate) fn plan(
         &mut self,
         now: LocalTime,
-        fate: impl Fn(&ServerInstance) -> HolderStatus,
+        status_of: impl Fn(&ServerInstance) -> HolderStatus,
         ready: &[Arc<ServerEntry>],
         rates: &RateLedger<ServerInstance>,
     ) -> Option<AssignmentTable> {
         if self.committing {
             return None;
         }
-        self.resting.retain(|(_range, until)| *until > now);
-        let weigh = now >= self.weigh_at;
-        if weigh {
-            self.weigh_at = now + WEIGH_PAUSE;
+        self.cooling_down.retain(|(_range, until)| *until > now);
+        let rebalance = now >= self.rebalance_at;
+        if rebalance {
+            self.rebalance_at = now + REBALANCE_INTERVAL;
             self.load.decay(now);
             self.speeds.decay(now, ready);
         }
-        let board = PlaceBoard::new(self, ready, rates);
-        let wishes = if weigh { self.wishes(&board) } else { Vec::new() };
-        let mut given = Vec::new();
+        let inputs = PlacementInputs::new(self, ready, rates);
+        let move_requests =
+            if rebalance { self.move_requests(&inputs) } else { Vec::new() };
+        let mut assigned_load = Vec::new();
         let load = &self.load;
-        let place = |range| {
-            let (runs, places) = (&board.runs, &board.places);
-            let place =
-                least_loaded_target(runs, places, load, &mut given, range)?;
-            Some(board.instances[place].clone())
+        let target = |range| {
+            let (ranges, targets) = (&inputs.ranges, &inputs.targets);
+            let target = least_loaded_target(
+                ranges,
+                targets,
+                load,
+                &mut assigned_load,
+                range,
+            )?;
+            Some(inputs.instances[target].clone())
         };
-        self.planner.plan(now, fate, &wishes, place)
+        self.planner.plan(now, status_of, &move_requests, target)
     }
 
-    fn wishes(&self, board: &PlaceBoard) -> Vec<MoveRequest> {
-        let settings = RebalanceSettings::for_servers(board.places.len());
+    fn move_requests(&self, inputs: &PlacementInputs) -> Vec<MoveRequest> {
+        let settings = RebalanceSettings::for_servers(inputs.targets.len());
         let moves = rebalancing_moves(
-            &board.runs,
-            &board.places,
+            &inputs.ranges,
+            &inputs.targets,
             &self.load,
             &settings,
         );
         if !moves.is_empty() {
-            let uses =
-                target_utilization(&board.runs, &board.places, &self.load);
-            let most = uses.iter().copied().fold(0.0, f32::max);
+            let utilization = target_utilization(
+                &inputs.ranges,
+                &inputs.targets,
+                &self.load,
+            );
+            let highest = utilization.iter().copied().fold(0.0, f32::max);
             let slices: u32 = moves.iter().map(|m| m.range.slices()).sum();
             log::info!(
-                "[planner] {} runs of {slices} keys are to move; the \
-                 fullest server uses {most:.2} of its slots.",
+                "[planner] {} ranges of {slices} keys are to move; the \
+                 fullest server utilization {highest:.2} of its slots.",
                 moves.len()
             );
         }
-        let wish = |chosen: &RangeMove| MoveRequest {
+        let request = |chosen: &RangeMove| MoveRequest {
             range: chosen.range,
-            target: board.instances[chosen.target].clone(),
+            target: inputs.instances[chosen.target].clone(),
         };
-        moves.iter().map(wish).collect()
+        moves.iter().map(request).collect()
     }
 }
 
@@ -173,28 +182,28 @@
 }
 
 /// The servers and runs of a service as the rebalancing sees them.
-struct PlaceBoard {
+struct PlacementInputs {
     instances: Vec<ServerInstance>,
-    places: Vec<TargetLoad>,
-    runs: Vec<PlacedRange>,
+    targets: Vec<TargetLoad>,
+    ranges: Vec<PlacedRange>,
 }
 
-impl PlaceBoard {
+impl PlacementInputs {
     fn new(
         plan: &ServicePlan,
         ready: &[Arc<ServerEntry>],
         rates: &RateLedger<ServerInstance>,
     ) -> Self {
         let speeds = &plan.speeds;
-        let usual = speeds.usual_work_s(ready);
+        let typical = speeds.typical_work_s(ready);
         let mut instances: Vec<ServerInstance> =
             ready.iter().map(|entry| instance_of(entry)).collect();
         let pairs = ready.iter().zip(&instances);
-        let mut places: Vec<TargetLoad> = pairs
+        let mut targets: Vec<TargetLoad> = pairs
             .map(|(entry, instance)| TargetLoad {
                 slots: entry.slots,
                 work_s: speeds
-                    .work_s(entry, usual)
+                    .work_s(entry, typical)
                     .max(work_within(rates.limit_of(instance), entry.slots)),
                 accepts_keys: true,
             })
@@ -209,24 +218,25 @@
             positions.insert(key, known.unwrap_or(instances.len()));
             if known.is_none() {
                 instances.push(instance.clone());
-                let gone = TargetLoad {
+                let closed = TargetLoad {
                     slots: 1,
-                    work_s: usual,
+                    work_s: typical,
                     accepts_keys: false,
                 };
-                places.push(gone);
+                targets.push(closed);
             }
         }
-        let runs = table.ranges().iter().map(|run| PlacedRange {
-            range: run.range,
-            target: positions[&run.instance],
-            movable: run.phase == AssignmentPhase::Granted
-                && places[positions[&run.instance]].accepts_keys
-                && !plan.resting.iter().any(|(range, _until)| {
-                    range.covers(run.range) || run.range.covers(*range)
+        let ranges = table.ranges().iter().map(|assigned| PlacedRange {
+            range: assigned.range,
+            target: positions[&assigned.instance],
+            movable: assigned.phase == AssignmentPhase::Granted
+                && targets[positions[&assigned.instance]].accepts_keys
+                && !plan.cooling_down.iter().any(|(range, _until)| {
+                    range.covers(assigned.range)
+                        || assigned.range.covers(*range)
                 }),
         });
-        let runs = runs.collect();
-        Self { instances, places, runs }
+        let ranges = ranges.collect();
+        Self { instances, targets, ranges }
     }
 }
--- a/goldcrestramp-entry/src/control/source.rs
+++ b/goldcrestramp-entry/src/control/source.rs
@@ -7,7 +7,7 @@
     control::{
         ControlActor,
         message::{PeerQueryEnded, PeerUpdate},
-        ranking::{advising_vms, source_vms},
+        ranking::{fallback_vms, source_vms},
         sync::{UpdateSource, update_as_of},
     },
     peers::{KnownRevisions, PeerCall, PeerReply, StoreUpdate},
@@ -19,14 +19,14 @@
     /// Whether anything has changed.
     pub(crate) changed: bool,
     /// Whether everything was taken.
-    pub(crate) whole: bool,
+    pub(crate) complete: bool,
 }
 
 impl ControlActor {
     /// Asks another VM while the store is silent to this one.
-    pub(crate) fn ask_if_silent(&mut self, now: LocalTime) {
-        if self.sync.ask_due(now, self.proof) {
-            self.ask_peer();
+    pub(crate) fn query_peer_if_stale(&mut self, now: LocalTime) {
+        if self.sync.query_due(now, self.proof) {
+            self.query_peer();
         }
     }
 
@@ -50,7 +50,7 @@
         KnownRevisions {
             revision: self.mirror.revision(),
             tables: self.history.known_revisions(),
-            configuration: self.configurations.mark(),
+            configuration: self.configurations.known_revision(),
         }
     }
 
@@ -82,26 +82,26 @@
     ) -> AppliedUpdate {
         match update {
             StoreUpdate::Unchanged => {
-                AppliedUpdate { changed: false, whole: true }
+                AppliedUpdate { changed: false, complete: true }
             }
             StoreUpdate::Delta { items, tables, configuration } => {
                 let tables = self.apply_tables(now, tables);
-                let taken = self.apply_configuration(configuration);
-                let whole = tables && taken.whole;
-                let changed = self.mirror.apply_delta(items, whole);
-                if taken.changed {
-                    self.mirror.note_news();
+                let applied = self.apply_configuration(configuration);
+                let complete = tables && applied.complete;
+                let changed = self.mirror.apply_delta(items, complete);
+                if applied.changed {
+                    self.mirror.record_change();
                 }
-                AppliedUpdate { changed: changed || taken.changed, whole }
+                AppliedUpdate { changed: changed || applied.changed, complete }
             }
             StoreUpdate::Snapshot { items, tables, configuration } => {
                 let tables = self.apply_tables(now, tables);
-                let taken = self.apply_configuration(configuration);
-                let whole = tables && taken.whole;
+                let applied = self.apply_configuration(configuration);
+                let complete = tables && applied.complete;
                 // Adopted without them, what is missing would not be asked
                 // for.
-                let changed = whole && self.mirror.adopt(items);
-                AppliedUpdate { changed: changed || taken.changed, whole }
+                let changed = complete && self.mirror.adopt(items);
+                AppliedUpdate { changed: changed || applied.changed, complete }
             }
         }
     }
@@ -111,13 +111,13 @@
         update: Option<ConfigurationUpdate>,
     ) -> AppliedUpdate {
         let Some(update) = update else {
-            return AppliedUpdate { changed: false, whole: true };
+            return AppliedUpdate { changed: false, complete: true };
         };
         match self.configurations.apply_update(update) {
-            Ok(changed) => AppliedUpdate { changed, whole: true },
+            Ok(changed) => AppliedUpdate { changed, complete: true },
             Err(error) => {
                 log::debug!("[control] News were left aside: {error}.");
-                AppliedUpdate { changed: false, whole: false }
+                AppliedUpdate { changed: false, complete: false }
             }
         }
     }
@@ -126,11 +126,11 @@
     ///
     /// Several answers that are on their way at once bring the same, and each
     /// makes the others take longer on a narrow link.
-    pub(crate) fn ask_peer(&mut self) {
-        if self.asking {
+    pub(crate) fn query_peer(&mut self) {
+        if self.query_in_flight {
             return;
         }
-        let others = advising_vms(&self.me, &self.view.vms);
+        let others = fallback_vms(&self.me, &self.view.vms);
         if others.is_empty() {
             return;
         }
@@ -139,7 +139,7 @@
         let call =
             PeerCall::Sync { known: self.known_revisions(), wait: false };
         let (peers, control) = (self.peers.clone(), self.address.clone());
-        self.asking = true;
+        self.query_in_flight = true;
         tokio::spawn(async move {
             let sent_at = MonotonicClock.now();
             if let Some(PeerReply::Update { update, age, held, .. }) =
--- a/goldcrestramp-entry/src/control/speed.rs
+++ b/goldcrestramp-entry/src/control/speed.rs
@@ -9,7 +9,7 @@
 use crate::control::load::ResponseTotals;
 
 /// What stands in until servers have answered, in seconds.
-const WORK_FIRST: f32 = 0.1;
+const INITIAL_WORK_S: f32 = 0.1;
 
 /// A server that has just started takes about twice the time.
 const COLD_FACTOR: f32 = 2.0;
@@ -33,13 +33,13 @@
         &mut self,
         now: LocalTime,
         server: &Arc<str>,
-        sum: ResponseTotals,
+        totals: ResponseTotals,
     ) {
         let unknown =
             || ServerSpeed { estimate: WorkEstimate::open(now), work_s: None };
         let speed = self.0.entry(Arc::clone(server)).or_insert_with(unknown);
-        let span = TimeSpan::from_millis(u64::from(sum.millis));
-        speed.estimate.record(sum.responses, span.to_std().as_secs_f32());
+        let span = TimeSpan::from_millis(u64::from(totals.millis));
+        speed.estimate.record(totals.responses, span.to_std().as_secs_f32());
     }
 
     /// Takes what was counted into what is known; servers that are no
@@ -59,21 +59,21 @@
     }
 
     /// The usual work of the servers on a request, in seconds.
-    pub(crate) fn usual_work_s(&self, ready: &[Arc<ServerEntry>]) -> f32 {
+    pub(crate) fn typical_work_s(&self, ready: &[Arc<ServerEntry>]) -> f32 {
         let known = ready.iter().filter_map(|entry| self.known_work_s(entry));
         let mut sorted: Vec<f32> = known.collect();
         sorted.sort_by(f32::total_cmp);
-        sorted.get(sorted.len() / 2).copied().unwrap_or(WORK_FIRST)
+        sorted.get(sorted.len() / 2).copied().unwrap_or(INITIAL_WORK_S)
     }
 
     /// The work of a server on a request, in seconds; `usual` stands in for
     /// what is not known.
-    pub(crate) fn work_s(&self, entry: &ServerEntry, usual: f32) -> f32 {
+    pub(crate) fn work_s(&self, entry: &ServerEntry, typical: f32) -> f32 {
         let work = self.known_work_s(entry);
         if entry.warmup_remaining > TimeSpan::ZERO {
-            return work.unwrap_or(0.0).max(usual * COLD_FACTOR);
+            return work.unwrap_or(0.0).max(typical * COLD_FACTOR);
         }
-        work.unwrap_or(usual)
+        work.unwrap_or(typical)
     }
 
     fn known_work_s(&self, entry: &ServerEntry) -> Option<f32> {
--- a/goldcrestramp-entry/src/control/sync.rs
+++ b/goldcrestramp-entry/src/control/sync.rs
@@ -12,18 +12,18 @@
 
 /// Silence of the store that counts as an outage: longer than a lost
 /// answer and its second try.
-const OUTAGE: TimeSpan = TimeSpan::from_millis(600);
+const MIN_OUTAGE: TimeSpan = TimeSpan::from_millis(600);
 
 /// Entries that ended while the store was away are back about two seconds
 /// after its return, so their absence says nothing until then.
-const RETURN_GRACE: TimeSpan = TimeSpan::from_millis(2_300);
+const RECOVERY_GRACE: TimeSpan = TimeSpan::from_millis(2_300);
 
 /// News that are older than this have waited out an outage, in which the
 /// store acknowledged nothing to anybody.
 const MAX_LAG: TimeSpan = TimeSpan::from_millis(1_500);
 
 /// A VM that could not be followed is not asked again for so long.
-const PEER_PAUSE: TimeSpan = TimeSpan::from_millis(5_000);
+const PEER_RETRY_DELAY: TimeSpan = TimeSpan::from_millis(5_000);
 
 /// A VM whose news are not fresh is followed for so long all the same: it
 /// may have lost its own source a moment ago and be about to replace it.
@@ -36,15 +36,15 @@
 /// The failure: the store answers nothing to one VM and serves the others.
 /// That VM's watch waits on, and a change of the configuration is not in
 /// force on it, nor on the VMs that follow it.
-const SILENCE: TimeSpan = TimeSpan::from_millis(1_050);
+const STORE_TIMEOUT: TimeSpan = TimeSpan::from_millis(1_050);
 
 /// A VM with news that are older than this asks another one than it
 /// follows. News of a source that answers in time are younger: its own age,
 /// and the time that it holds a call.
-const NEWS_OLD: TimeSpan = TimeSpan::from_millis(1_500);
+const MAX_UPDATE_AGE: TimeSpan = TimeSpan::from_millis(1_500);
 
 /// How often a VM that the store is silent to asks another one.
-const ASK_PAUSE: TimeSpan = TimeSpan::from_millis(400);
+const QUERY_INTERVAL: TimeSpan = TimeSpan::from_millis(400);
 
 /// From where changes are followed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -52,7 +52,7 @@
     /// The VMs alone are read from the store.
     StoreVms,
     /// Everything is read from the store.
-    StoreWhole,
+    FullStore,
     /// The store's changes after a revision.
     StoreChanges(u64),
     /// Another VM's, after a revision.
@@ -61,7 +61,7 @@
 
 /// What has been read of the store.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-enum ReadingState {
+enum ReadState {
     /// Nothing.
     #[default]
     Unread,
@@ -117,21 +117,21 @@
 #[derive(Debug, Default)]
 pub struct SyncState {
     /// When the store last answered; the start of the clock: never.
-    seen: LocalTime,
+    last_response_at: LocalTime,
     /// When it came back after an outage.
-    back: LocalTime,
+    recovered_at: LocalTime,
     clock: FreshnessClock,
     /// Whether a call failed since it last answered.
-    silent: bool,
+    unavailable: bool,
     /// Whether this VM follows the store itself.
-    direct: bool,
+    follows_store: bool,
     /// What has been read of the store.
-    reading: ReadingState,
+    read_state: ReadState,
     /// VMs that could not be followed, with when that was.
     failed_peers: FastMap<SocketAddr, LocalTime>,
     /// The VM that is followed, with since when its news are not fresh.
     stale_peer: Option<(SocketAddr, LocalTime)>,
-    asked: LocalTime,
+    last_query_at: LocalTime,
 }
 
 impl SyncState {
@@ -142,24 +142,24 @@
     }
 
     /// Notes that the store has answered, here or at the source.
-    pub fn answered(&mut self, now: LocalTime) {
-        let away = now.since(self.seen);
-        let known = self.seen > LocalTime::default();
+    pub fn record_response(&mut self, now: LocalTime) {
+        let silence = now.since(self.last_response_at);
+        let known = self.last_response_at > LocalTime::default();
         // A watch without changes is silent for up to its own wait, so
         // only a call that failed makes silence an outage.
-        if known && self.silent && away > OUTAGE {
+        if known && self.unavailable && silence > MIN_OUTAGE {
             log::info!(
                 "[store] The store answers again after {} ms.",
-                away.as_millis()
+                silence.as_millis()
             );
-            self.back = now;
+            self.recovered_at = now;
         }
-        self.seen = now;
-        self.silent = false;
+        self.last_response_at = now;
+        self.unavailable = false;
     }
 
     /// Notes that all changes up to a moment are known.
-    pub fn was_current(&mut self, at: LocalTime) {
+    pub fn record_current_at(&mut self, at: LocalTime) {
         self.clock.advance(at);
     }
 
@@ -178,38 +178,38 @@
     /// entries are missing that nobody took back, so they count from now.
     #[must_use]
     pub fn changed_since(&self, now: LocalTime) -> LocalTime {
-        if self.is_unsure(now) {
+        if self.may_miss_entries(now) {
             return now;
         }
         self.clock.current_at().max(now - MAX_LAG)
     }
 
     /// Notes that a call to the store failed.
-    pub fn failed(&mut self) {
-        if !self.silent {
+    pub fn record_failure(&mut self) {
+        if !self.unavailable {
             log::info!("[store] The store gives no answer.");
         }
-        self.silent = true;
+        self.unavailable = true;
     }
 
     /// Notes that changes after the known revision can't be had any more.
-    pub const fn history_lost(&mut self) {
-        self.reading = ReadingState::HistoryLost;
+    pub const fn record_history_loss(&mut self) {
+        self.read_state = ReadState::HistoryLost;
     }
 
     /// Notes that the other VMs, or everything, was read.
-    pub const fn was_read(&mut self) {
-        self.reading = ReadingState::VmsKnown;
+    pub const fn record_read(&mut self) {
+        self.read_state = ReadState::VmsKnown;
     }
 
     /// Notes that a VM gave no answer.
-    pub fn peer_failed(&mut self, now: LocalTime, peer: SocketAddr) {
+    pub fn record_peer_failure(&mut self, now: LocalTime, peer: SocketAddr) {
         self.failed_peers.insert(peer, now);
         self.stale_peer = None;
     }
 
     /// Notes that a VM's news are fresh, or that it does not know.
-    pub fn peer_answered(
+    pub fn record_peer_response(
         &mut self,
         now: LocalTime,
         peer: SocketAddr,
@@ -223,7 +223,7 @@
         let (_peer, since) =
             *self.stale_peer.insert(known.unwrap_or((peer, now)));
         if now.since(since) >= MAX_STALE_TIME {
-            self.peer_failed(now, peer);
+            self.record_peer_failure(now, peer);
         }
     }
 
@@ -245,20 +245,21 @@
         revision: u64,
         mut peers: impl Iterator<Item = SocketAddr>,
     ) -> UpdateSource {
-        if revision == 0 && self.reading == ReadingState::Unread {
-            self.direct = true;
+        if revision == 0 && self.read_state == ReadState::Unread {
+            self.follows_store = true;
             return UpdateSource::StoreVms;
         }
-        self.failed_peers.retain(|_peer, at| now.since(*at) < PEER_PAUSE);
-        let lost = self.reading == ReadingState::HistoryLost;
-        let usable = !self.silent && !lost;
+        self.failed_peers
+            .retain(|_peer, at| now.since(*at) < PEER_RETRY_DELAY);
+        let lost = self.read_state == ReadState::HistoryLost;
+        let usable = !self.unavailable && !lost;
         let failed = &self.failed_peers;
         let peer = peers.find(|peer| !failed.contains_key(peer));
         let peer = peer.filter(|_peer| usable);
-        self.direct = peer.is_none();
+        self.follows_store = peer.is_none();
         match peer {
             Some(address) => UpdateSource::Peer(address, revision),
-            None if revision == 0 || lost => UpdateSource::StoreWhole,
+            None if revision == 0 || lost => UpdateSource::FullStore,
             None => UpdateSource::StoreChanges(revision),
         }
     }
@@ -267,7 +268,7 @@
     /// was sent that it answered.
     #[must_use]
     pub fn is_fresh(&self, now: LocalTime, proof: LocalTime) -> bool {
-        !self.silent && now.since(proof) < SILENCE
+        !self.unavailable && now.since(proof) < STORE_TIMEOUT
     }
 
     /// Whether other VMs may rely on this one's news.
@@ -276,24 +277,26 @@
     /// connection of its own: the news themselves must be young as well.
     #[must_use]
     pub fn may_be_followed(&self, now: LocalTime, proof: LocalTime) -> bool {
-        self.direct && self.is_fresh(now, proof) && self.age(now) < SILENCE
+        self.follows_store
+            && self.is_fresh(now, proof)
+            && self.age(now) < STORE_TIMEOUT
     }
 
     /// Whether to ask another VM now: the store is silent to this one, or
     /// the VMs that it follows are.
-    pub fn ask_due(&mut self, now: LocalTime, proof: LocalTime) -> bool {
-        let pause = now.since(self.asked) >= ASK_PAUSE;
+    pub fn query_due(&mut self, now: LocalTime, proof: LocalTime) -> bool {
+        let pause = now.since(self.last_query_at) >= QUERY_INTERVAL;
         // The lease of a VM that nobody follows is renewed too seldom to
         // tell.
-        let silent = if self.direct {
+        let silent = if self.follows_store {
             !self.is_fresh(now, proof)
         } else {
             let known = self.clock.current_at() > LocalTime::default();
-            known && self.age(now) >= NEWS_OLD
+            known && self.age(now) >= MAX_UPDATE_AGE
         };
         let due = silent && pause;
         if due {
-            self.asked = now;
+            self.last_query_at = now;
         }
         due
     }
@@ -301,8 +304,9 @@
     /// Whether a missing entry says nothing yet: the store is away, or has
     /// just come back.
     #[must_use]
-    pub fn is_unsure(&self, now: LocalTime) -> bool {
-        let back = self.back > LocalTime::default();
-        self.silent || (back && now.since(self.back) < RETURN_GRACE)
+    pub fn may_miss_entries(&self, now: LocalTime) -> bool {
+        let recovered_at = self.recovered_at > LocalTime::default();
+        self.unavailable
+            || (recovered_at && now.since(self.recovered_at) < RECOVERY_GRACE)
     }
 }
--- a/goldcrestramp-entry/src/control/tables.rs
+++ b/goldcrestramp-entry/src/control/tables.rs
@@ -27,7 +27,7 @@
     known: Vec<TableRevision>,
     /// Whether a call is on its way. Two at once could overtake each other,
     /// and the later change would be one of a version that is not there.
-    busy: bool,
+    in_flight: bool,
 }
 
 impl ReplicaTracker {
@@ -35,29 +35,31 @@
     fn begin(
         &mut self,
         vm: &VmInstance,
-        usual: &[TableRevision],
+        assumed: &[TableRevision],
     ) -> Option<Vec<TableRevision>> {
         let fresh = || ReplicaState {
             start: vm.start,
-            known: usual.to_vec(),
-            busy: false,
+            known: assumed.to_vec(),
+            in_flight: false,
         };
-        let told = self.0.entry(Arc::clone(&vm.vm)).or_insert_with(fresh);
-        if told.start != vm.start {
-            *told = fresh();
+        let replica = self.0.entry(Arc::clone(&vm.vm)).or_insert_with(fresh);
+        if replica.start != vm.start {
+            *replica = fresh();
         }
-        (!told.busy).then(|| {
-            told.busy = true;
-            told.known.clone()
+        (!replica.in_flight).then(|| {
+            replica.in_flight = true;
+            replica.known.clone()
         })
     }
 
     fn ended(&mut self, vm: &VmInstance, known: Option<Vec<TableRevision>>) {
-        let told = self.0.get_mut(&vm.vm);
-        if let Some(told) = told.filter(|told| told.start == vm.start) {
-            told.busy = false;
+        let replica = self.0.get_mut(&vm.vm);
+        if let Some(replica) =
+            replica.filter(|replica| replica.start == vm.start)
+        {
+            replica.in_flight = false;
             if let Some(known) = known {
-                told.known = known;
+                replica.known = known;
             }
         }
     }
@@ -74,7 +76,7 @@
         self.mirror.write(item);
         self.refresh(now);
         let view = Arc::clone(&self.view);
-        self.told.retain(&view.vms);
+        self.replicas.retain(&view.vms);
         for vm in &view.vms {
             if vm.vm != self.me.vm {
                 self.replicate_to(vm, &before);
@@ -84,11 +86,11 @@
 
     /// Tells a VM what it does not have; of one that was never told, the
     /// `usual` versions are assumed.
-    fn replicate_to(&mut self, vm: &VmInstance, usual: &[TableRevision]) {
-        let Some(known) = self.told.begin(vm, usual) else { return };
+    fn replicate_to(&mut self, vm: &VmInstance, assumed: &[TableRevision]) {
+        let Some(known) = self.replicas.begin(vm, assumed) else { return };
         let update = self.history.update_for(&known);
         if update.is_empty() {
-            self.told.ended(vm, None);
+            self.replicas.ended(vm, None);
             return;
         }
         let (peers, control) = (self.peers.clone(), self.address.clone());
@@ -108,9 +110,9 @@
     /// Takes what a VM has after it was told of tables.
     pub(crate) fn tables_replicated(&mut self, ended: TablesReplicated) {
         let TablesReplicated { vm, known } = ended;
-        let answered = known.is_some();
-        self.told.ended(&vm, known);
-        if answered && self.term.is_some() {
+        let responded = known.is_some();
+        self.replicas.ended(&vm, known);
+        if responded && self.term.is_some() {
             self.replicate_to(&vm, &[]);
         }
     }
@@ -124,7 +126,7 @@
         let mut all = true;
         let mut any = false;
         for table_update in update {
-            let TableRevision { key, revision } = table_update.mark.clone();
+            let TableRevision { key, revision } = table_update.version.clone();
             match self.history.resolve(table_update) {
                 Ok(Some(table)) => {
                     let value = table.encode().into();
--- a/goldcrestramp-entry/src/control/term.rs
+++ b/goldcrestramp-entry/src/control/term.rs
@@ -16,8 +16,8 @@
 use crate::{
     control::{
         ControlActor, LoadReport,
-        actor::{ByService, PROOF_LIFE},
-        lease::LEASE_SPAN,
+        actor::{ByService, MAX_PROOF_AGE},
+        lease::LEASE_TTL,
         message::{CommitEnded, OrderEnded, ReadBack},
         order::{OrderGate, OrderSender},
         service::ServicePlan,
@@ -30,12 +30,12 @@
 
 /// A first table is dealt out when no server has joined for so long: the
 /// servers of a fleet start within a second of each other.
-const SETTLE: TimeSpan = TimeSpan::from_millis(1_000);
+const SETTLE_TIME: TimeSpan = TimeSpan::from_millis(1_000);
 
 /// Runs of a first table, as far as each server has one and no more than
 /// the second figure: each is renewed on its own, and there have to be far
 /// fewer than the most that a service may have, or no busy run is cut.
-const FIRST_RUNS: u32 = 256;
+const INITIAL_RANGES: u32 = 256;
 const MAX_INITIAL_STRIPES: u32 = 8;
 
 /// The term of the planning VM.
@@ -57,12 +57,12 @@
     /// The accounts of servers that name the rate they take.
     pub(crate) rates: RateLedger<ServerInstance>,
     /// Lets orders of this term be sent until it ends.
-    pub(crate) permit: Arc<OrderGate>,
+    pub(crate) gate: Arc<OrderGate>,
 }
 
 impl Drop for PlannerTerm {
     fn drop(&mut self) {
-        self.permit.end();
+        self.gate.end();
     }
 }
 
@@ -82,13 +82,13 @@
             unsettled: ByService::default(),
             creating: FastSet::default(),
             rates: RateLedger::default(),
-            permit: Arc::default(),
+            gate: Arc::default(),
         }
     }
 
     /// Whether grants may still be renewed.
     fn may_renew(&self, now: LocalTime) -> bool {
-        now.since(self.proof) < PROOF_LIFE
+        now.since(self.proof) < MAX_PROOF_AGE
     }
 
     /// Whether all that happened up to this term's record is known, once
@@ -96,7 +96,7 @@
     ///
     /// A VM to which the store was silent may claim before it has learnt what
     /// it missed; planning then would give keys to servers that have ended.
-    const fn knows_its_begin(&self, revision: u64) -> bool {
+    const fn knows_its_start(&self, revision: u64) -> bool {
         revision >= self.revision
     }
 
@@ -110,10 +110,10 @@
     }
 
     /// Takes what a VM was asked for.
-    pub(crate) fn take_load(&mut self, now: LocalTime, report: &LoadReport) {
+    pub(crate) fn record_load(&mut self, now: LocalTime, report: &LoadReport) {
         for (name, load) in report {
             if let Some(service) = self.services.get_mut(name) {
-                service.take_load(now, load);
+                service.record_load(now, load);
             }
         }
     }
@@ -123,9 +123,9 @@
 ///
 /// Only a run that started later proves that the holder has ended: entries
 /// lapse and return, so a former run's may be known while the holder's is not.
-fn fate_of(
+fn holder_status(
     view: &FleetView,
-    returning: bool,
+    uncertain: bool,
     instance: &ServerInstance,
 ) -> HolderStatus {
     let own = view.servers.get(&instance.id);
@@ -139,12 +139,12 @@
             HolderStatus::Serving
         };
     }
-    let runs_anew =
+    let restarted =
         own.is_some_and(|own| own.started_ms > instance.started_ms);
     // Orders name the server that they are for: its successor takes none.
-    if runs_anew || view.has_successor(instance) {
+    if restarted || view.has_successor(instance) {
         HolderStatus::Ended
-    } else if returning {
+    } else if uncertain {
         HolderStatus::Serving
     } else {
         HolderStatus::Missing
@@ -162,14 +162,14 @@
 
 impl ControlActor {
     /// Plans and orders what is due.
-    pub(crate) fn work(&mut self, now: LocalTime) {
+    pub(crate) fn run_planner(&mut self, now: LocalTime) {
         let view = Arc::clone(&self.view);
         let Some(routes) = &view.routes else { return };
-        let away = self.sync.is_unsure(now);
+        let uncertain = self.sync.may_miss_entries(now);
         let revision = self.mirror.revision();
         let term = self.term.as_mut().filter(|term| term.may_renew(now));
         let Some(term) = term else { return };
-        let plans = term.knows_its_begin(revision);
+        let plans = term.knows_its_start(revision);
         term.rates.retain(|instance| view.servers.contains_key(&instance.id));
         let mut commits = Vec::new();
         for name in routes.divided() {
@@ -177,7 +177,7 @@
             if !term.services.contains_key(name) {
                 let Some(item) = self.mirror.get(&key) else {
                     if plans {
-                        commits.extend(first_table(term, now, name, &view));
+                        commits.extend(initial_table(term, now, name, &view));
                     }
                     continue;
                 };
@@ -197,11 +197,13 @@
                 term.services.insert(Arc::clone(name), plan);
             }
             let Some(service) = term.services.get_mut(name) else { continue };
-            let fate =
-                |instance: &ServerInstance| fate_of(&view, away, instance);
+            let status_of = |instance: &ServerInstance| {
+                holder_status(&view, uncertain, instance)
+            };
             let ready = view.ready.get(name).map_or(&[][..], Vec::as_slice);
             if plans
-                && let Some(next) = service.plan(now, fate, ready, &term.rates)
+                && let Some(next) =
+                    service.plan(now, status_of, ready, &term.rates)
             {
                 service.committing = true;
                 commits.push((Arc::clone(name), service.revision, next));
@@ -211,8 +213,8 @@
                 pool: Arc::clone(&self.orders),
                 control: self.address.clone(),
                 service: Arc::clone(name),
-                permit: Arc::clone(&term.permit),
-                sure_until: term.proof + LEASE_SPAN,
+                gate: Arc::clone(&term.gate),
+                sole_planner_until: term.proof + LEASE_TTL,
             };
             sender.send(orders);
         }
@@ -260,7 +262,7 @@
     pub(crate) fn commit_ended(&mut self, now: LocalTime, ended: CommitEnded) {
         let CommitEnded { service, table, committed } = ended;
         if let Ok(Some(revision)) = committed {
-            self.take_table(now, &service, table, revision);
+            self.record_table(now, &service, table, revision);
             return;
         }
         // Not done, or not known to be done: the store itself tells.
@@ -270,12 +272,12 @@
     }
 
     /// Takes what lies in the store after a commit of unknown effect.
-    pub(crate) fn read_back(&mut self, now: LocalTime, back: ReadBack) {
-        let key = table_key(&back.service);
-        let found = back.page.items.into_iter().find(|item| item.key == key);
+    pub(crate) fn read_back(&mut self, now: LocalTime, read: ReadBack) {
+        let key = table_key(&read.service);
+        let found = read.page.items.into_iter().find(|item| item.key == key);
         let Some(item) = found else {
             if let Some(term) = &mut self.term {
-                term.creating.remove(&back.service);
+                term.creating.remove(&read.service);
             }
             return;
         };
@@ -283,11 +285,11 @@
             log::error!("[control] The table {key} is unreadable.");
             return;
         };
-        self.take_table(now, &back.service, table, item.revision);
+        self.record_table(now, &read.service, table, item.revision);
     }
 
     /// Takes a table that lies in the store.
-    fn take_table(
+    fn record_table(
         &mut self,
         now: LocalTime,
         service: &Arc<str>,
@@ -316,7 +318,7 @@
             return false;
         };
         plan.planner.order_ended(now, &ended.order, &ended.outcome);
-        note_order(ended);
+        log_order(ended);
         let release = ended.order.kind == OrderKind::Release;
         if release && matches!(ended.outcome, OrderOutcome::Done { .. }) {
             self.metrics.moves.inc();
@@ -335,7 +337,7 @@
             self.end_term();
         }
         // Orders under way end within a second; the caller asks again.
-        if self.has_orders_ending() {
+        if self.has_orders_in_flight() {
             return PeerReply::Busy;
         }
         PeerReply::SteppedDown
@@ -344,7 +346,7 @@
 
 /// One line for each order that the server did not simply do, and for each
 /// release: they change who owns what.
-fn note_order(ended: &OrderEnded) {
+fn log_order(ended: &OrderEnded) {
     let OrderEnded { service, order, outcome } = ended;
     let grant = order.kind != OrderKind::Release;
     let done = matches!(outcome, OrderOutcome::Done { .. });
@@ -364,7 +366,7 @@
 }
 
 /// The first table of a service whose servers have settled.
-fn first_table(
+fn initial_table(
     term: &mut PlannerTerm,
     now: LocalTime,
     name: &Arc<str>,
@@ -376,14 +378,15 @@
     if settled.0 != ready.len() {
         *settled = (ready.len(), now);
     }
-    if now.since(settled.1) < SETTLE || term.creating.contains(name) {
+    if now.since(settled.1) < SETTLE_TIME || term.creating.contains(name) {
         return None;
     }
     let mut instances: Vec<ServerInstance> =
         ready.iter().map(|entry| instance_of(entry)).collect();
     instances.sort_by(|a, b| a.id.cmp(&b.id));
     let servers = u32::try_from(instances.len()).unwrap_or(u32::MAX);
-    let stripes = (FIRST_RUNS / servers.max(1)).clamp(1, MAX_INITIAL_STRIPES);
+    let stripes =
+        (INITIAL_RANGES / servers.max(1)).clamp(1, MAX_INITIAL_STRIPES);
     let table = AssignmentTable::striped(&instances, stripes)?;
     log::info!("[control] {name} gets its first table.");
     term.creating.insert(Arc::clone(name));
--- a/goldcrestramp-entry/src/history.rs
+++ b/goldcrestramp-entry/src/history.rs
@@ -29,9 +29,9 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct TableUpdate {
     /// Which version.
-    pub mark: TableRevision,
+    pub version: TableRevision,
     /// What it is.
-    pub body: TablePayload,
+    pub payload: TablePayload,
 }
 
 /// What a newer version is.
@@ -62,7 +62,7 @@
 
 impl TableHistory {
     /// Notes the tables that are known now; whether any is new.
-    pub fn note(&mut self, mirror: &StoreMirror) -> bool {
+    pub fn record(&mut self, mirror: &StoreMirror) -> bool {
         let mut any = false;
         for (key, item) in mirror.range(TABLE_PREFIX) {
             let versions = self.versions.entry(Arc::clone(key)).or_default();
@@ -101,22 +101,22 @@
         let mut update = Vec::new();
         for (key, versions) in &self.versions {
             let Some(last) = versions.back() else { continue };
-            let base = known.iter().find(|mark| mark.key == *key);
-            let base = base.map_or(0, |mark| mark.revision);
+            let base = known.iter().find(|version| version.key == *key);
+            let base = base.map_or(0, |version| version.revision);
             if base >= last.revision {
                 continue;
             }
-            let former = versions.iter().find(|v| v.revision == base);
-            let body = match former {
-                Some(former) => TablePayload::Patch {
+            let base_version = versions.iter().find(|v| v.revision == base);
+            let payload = match base_version {
+                Some(base_version) => TablePayload::Patch {
                     base,
-                    patch: last.table.patch_from(&former.table),
+                    patch: last.table.patch_from(&base_version.table),
                 },
                 None => TablePayload::Full((*last.table).clone()),
             };
             let key = Arc::clone(key);
-            let mark = TableRevision { key, revision: last.revision };
-            update.push(TableUpdate { mark, body });
+            let version = TableRevision { key, revision: last.revision };
+            update.push(TableUpdate { version, payload });
         }
         update
     }
@@ -131,12 +131,12 @@
         &self,
         update: TableUpdate,
     ) -> Result<Option<AssignmentTable>, TableError> {
-        let versions = self.versions.get(&update.mark.key);
+        let versions = self.versions.get(&update.version.key);
         let last = versions.and_then(VecDeque::back);
-        if last.is_some_and(|last| last.revision >= update.mark.revision) {
+        if last.is_some_and(|last| last.revision >= update.version.revision) {
             return Ok(None);
         }
-        match update.body {
+        match update.payload {
             TablePayload::Full(table) => Ok(Some(table)),
             TablePayload::Patch { base, patch } => last
                 .filter(|last| last.revision == base)
--- a/goldcrestramp-entry/src/mirror.rs
+++ b/goldcrestramp-entry/src/mirror.rs
@@ -49,7 +49,7 @@
     revision: u64,
     /// The revision up to which all changes were known when they last said
     /// something new.
-    news_at: u64,
+    last_change_revision: u64,
     /// The last removals, oldest first.
     removed: VecDeque<(Arc<str>, u64)>,
     /// All removals after this revision are remembered.
@@ -66,8 +66,8 @@
     /// The revision up to which all changes were known when they last said
     /// something new.
     #[must_use]
-    pub const fn news_at(&self) -> u64 {
-        self.news_at
+    pub const fn last_change_revision(&self) -> u64 {
+        self.last_change_revision
     }
 
     /// The value of a key.
@@ -98,38 +98,38 @@
     /// VM goes by. Told on, those of hundreds of servers fill a narrow link
     /// as soon as some VMs follow this one: they are taken, and are no news.
     pub fn apply(&mut self, events: Vec<StoreEvent>, revision: u64) -> bool {
-        let mut any = false;
+        let mut changed_any = false;
         for event in events {
             match event {
                 StoreEvent::Written(item) => {
                     let known = self.items.get(&item.key);
                     let same =
-                        known.filter(|known| says_the_same(known, &item));
-                    any |= same.is_none();
+                        known.filter(|known| is_equivalent(known, &item));
+                    changed_any |= same.is_none();
                     let changed = same.map_or(item.revision, |k| k.changed);
-                    self.take(item, changed);
+                    self.write_if_newer(item, changed);
                 }
                 StoreEvent::Removed { key, revision } => {
-                    any = true;
+                    changed_any = true;
                     self.remove(&key, revision);
                 }
             }
         }
-        self.advance(revision, any);
-        any
+        self.advance(revision, changed_any);
+        changed_any
     }
 
     /// Notes up to which revision all changes are known.
-    fn advance(&mut self, revision: u64, any_news: bool) {
+    fn advance(&mut self, revision: u64, has_changes: bool) {
         self.revision = self.revision.max(revision);
-        if any_news {
-            self.news_at = self.revision;
+        if has_changes {
+            self.last_change_revision = self.revision;
         }
     }
 
     /// Notes that something has changed that is kept elsewhere.
-    pub fn note_news(&mut self) {
-        self.news_at = self.revision;
+    pub fn record_change(&mut self) {
+        self.last_change_revision = self.revision;
     }
 
     /// Takes one item that was written; changes before it may be missing.
@@ -137,10 +137,10 @@
         // Between the known value and this one may have been another one,
         // and who has that one has to be told.
         let changed = item.revision;
-        self.take(item, changed);
+        self.write_if_newer(item, changed);
     }
 
-    fn take(&mut self, item: StoreItem, changed: u64) {
+    fn write_if_newer(&mut self, item: StoreItem, changed: u64) {
         let known = self.items.get(&item.key);
         if known.is_some_and(|known| known.revision >= item.revision) {
             return;
@@ -189,17 +189,17 @@
 
     /// Takes what another VM says has changed; whether anything has. It is
     /// `whole` if the tables of that time are known as well.
-    pub fn apply_delta(&mut self, delta: MirrorDelta, whole: bool) -> bool {
-        let any = !delta.items.is_empty() || !delta.removed.is_empty();
+    pub fn apply_delta(&mut self, delta: MirrorDelta, complete: bool) -> bool {
+        let changed_any = !delta.items.is_empty() || !delta.removed.is_empty();
         for (key, revision) in delta.removed {
             self.remove(&key, revision);
         }
         for (key, MirrorValue { value, revision, .. }) in delta.items {
             self.write(StoreItem { key, value: value.into(), revision });
         }
-        let revision = if whole { delta.revision } else { self.revision };
-        self.advance(revision, any);
-        any
+        let revision = if complete { delta.revision } else { self.revision };
+        self.advance(revision, changed_any);
+        changed_any
     }
 
     /// Takes a reading of the whole store that began at `revision`; an
@@ -249,7 +249,7 @@
 }
 
 /// Whether an item says what is known already.
-fn says_the_same(known: &MirrorValue, item: &StoreItem) -> bool {
+fn is_equivalent(known: &MirrorValue, item: &StoreItem) -> bool {
     let parse = |value: &[u8]| ServerEntry::parse(&item.key, value);
     // One that was known ahead of the other changes is news to those that
     // follow this VM.
--- a/goldcrestramp-entry/src/peers/client.rs
+++ b/goldcrestramp-entry/src/peers/client.rs
@@ -13,13 +13,13 @@
 };
 
 /// Between regions a call takes 24 ms; a VM that takes longer is full.
-const CALL_LIMIT: Duration = Duration::from_secs(1);
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The answer to a call that waits for news begins at once or within 0.4 s.
-const NEWS_LIMIT: Duration = Duration::from_millis(800);
+const UPDATE_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// A copy of the whole store begins later, as its maker has more to do.
-const COPY_LIMIT: Duration = Duration::from_secs(2);
+const SNAPSHOT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A copy of the store is some hundred kilobytes at most.
 const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
@@ -48,12 +48,14 @@
         address: SocketAddr,
         call: &PeerCall,
     ) -> Option<PeerReply> {
-        let limit = match call {
-            PeerCall::Sync { known, .. } if known.revision == 0 => COPY_LIMIT,
-            PeerCall::Sync { wait: true, .. } => NEWS_LIMIT,
-            _ => CALL_LIMIT,
+        let head_timeout = match call {
+            PeerCall::Sync { known, .. } if known.revision == 0 => {
+                SNAPSHOT_TIMEOUT
+            }
+            PeerCall::Sync { wait: true, .. } => UPDATE_TIMEOUT,
+            _ => CALL_TIMEOUT,
         };
-        self.call_within(address, call, limit).await
+        self.call_within(address, call, head_timeout).await
     }
 
     /// Makes a call whose answer has to begin within `limit`.
@@ -61,7 +63,7 @@
         &self,
         address: SocketAddr,
         call: &PeerCall,
-        limit: Duration,
+        head_timeout: Duration,
     ) -> Option<PeerReply> {
         let body = postcard::to_allocvec(call).ok()?;
         let request = CallRequest {
@@ -71,8 +73,11 @@
             headers: HeaderMap::new(),
             body: body.into(),
         };
-        let answer =
-            self.pool.call(request, ConnectionReuse::Any, limit).await.ok()?;
-        postcard::from_bytes(&answer.body).ok()
+        let response = self
+            .pool
+            .call(request, ConnectionReuse::Any, head_timeout)
+            .await
+            .ok()?;
+        postcard::from_bytes(&response.body).ok()
     }
 }
--- a/goldcrestramp-entry/src/peers/server.rs
+++ b/goldcrestramp-entry/src/peers/server.rs
@@ -22,7 +22,7 @@
 /// A call that waits for changes waits so long at the most; its caller
 /// gives it up a little later. A frozen source is then left in time for a
 /// change of the configuration to be in force within 2 s.
-const NEWS_WAIT: Duration = Duration::from_millis(400);
+const UPDATE_WAIT: Duration = Duration::from_millis(400);
 
 /// What calls are answered from.
 #[derive(Clone, Debug)]
@@ -36,12 +36,12 @@
 /// Takes calls until the listener fails or the task is dropped.
 pub async fn serve_peers(listener: TcpListener, source: PeerSource) {
     serve_http(listener, "peers", move |request| {
-        answer(request, source.clone())
+        respond(request, source.clone())
     })
     .await;
 }
 
-async fn answer(
+async fn respond(
     request: Request<Incoming>,
     mut source: PeerSource,
 ) -> Response<Full<Bytes>> {
@@ -55,7 +55,7 @@
     if let PeerCall::Sync { known, wait: true } = &call {
         let newer = source.revisions.wait_for(|at| *at > known.revision);
         // Without news the answer says that this VM is still there.
-        let _in_time = timeout(NEWS_WAIT, newer).await;
+        let _in_time = timeout(UPDATE_WAIT, newer).await;
     }
     let waited = MonotonicClock.now().since(arrived);
     let mut reply: Option<PeerReply> = source.control.send(call).await.ok();
--- a/goldcrestramp-entry/src/records.rs
+++ b/goldcrestramp-entry/src/records.rs
@@ -6,7 +6,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Everything of the VMs begins with this.
-pub const OWN_PREFIX: &str = "router/";
+pub const ROUTER_PREFIX: &str = "router/";
 
 /// The record of the VM that plans assignments; it ends with its lease.
 pub const PLANNER_KEY: &str = "router/planner";
@@ -49,7 +49,7 @@
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct DutyRank {
     capacity: u32,
-    weight: u64,
+    name_hash: u64,
 }
 
 impl VmInstance {
@@ -62,8 +62,8 @@
     /// VMs alike are ranked by their names, which all of them agree on.
     #[must_use]
     pub fn duty_rank(&self) -> DutyRank {
-        let weight = xxh3_64(self.vm.as_bytes());
-        DutyRank { capacity: self.capacity, weight }
+        let name_hash = xxh3_64(self.vm.as_bytes());
+        DutyRank { capacity: self.capacity, name_hash }
     }
 
     /// The record's bytes.
--- a/goldcrestramp-entry/src/view.rs
+++ b/goldcrestramp-entry/src/view.rs
@@ -17,7 +17,7 @@
 
 /// An entry that vanished is remembered for so long, by which time its
 /// keys are elsewhere and its requests have ended.
-const GONE_KEPT: TimeSpan = TimeSpan::from_millis(60_000);
+const REMOVED_RETENTION: TimeSpan = TimeSpan::from_millis(60_000);
 
 /// The routes of one configuration, ready to be looked up.
 #[derive(Debug)]
@@ -98,7 +98,7 @@
     /// address another has started since have ended.
     pub servers: FastMap<Arc<str>, Arc<ServerEntry>>,
     /// The server that started last at each address.
-    pub occupants: AddressMap,
+    pub latest_by_address: AddressMap,
     /// The servers that take new work, by service.
     pub ready: FastMap<Arc<str>, Vec<Arc<ServerEntry>>>,
     /// Servers that leave or have gone, with the earliest moment at which
@@ -113,18 +113,18 @@
 /// The server that started last at each address.
 pub type AddressMap = FastMap<SocketAddr, Arc<ServerEntry>>;
 
-fn last_occupants<'a>(
+fn latest_by_address<'a>(
     entries: impl Iterator<Item = &'a Arc<ServerEntry>>,
 ) -> AddressMap {
-    let mut occupants = AddressMap::default();
+    let mut latest_by_address = AddressMap::default();
     for entry in entries {
-        let last = occupants.entry(entry.address);
+        let last = latest_by_address.entry(entry.address);
         let last = last.or_insert_with(|| Arc::clone(entry));
         if entry.started_ms > last.started_ms {
             *last = Arc::clone(entry);
         }
     }
-    occupants
+    latest_by_address
 }
 
 /// Whether another server than `id`, which started at `started_ms`, has
@@ -132,13 +132,13 @@
 ///
 /// An address is given away only after its server has ended, while the entry
 /// of that server may stay until its heartbeats are missed.
-fn is_succeeded(
-    occupants: &AddressMap,
+fn is_superseded(
+    latest_by_address: &AddressMap,
     address: SocketAddr,
     id: &str,
     started_ms: u64,
 ) -> bool {
-    occupants
+    latest_by_address
         .get(&address)
         .is_some_and(|last| *last.id != *id && last.started_ms > started_ms)
 }
@@ -148,7 +148,7 @@
     #[must_use]
     pub fn has_successor(&self, instance: &ServerInstance) -> bool {
         let ServerInstance { id, started_ms, address } = instance;
-        is_succeeded(&self.occupants, *address, id, *started_ms)
+        is_superseded(&self.latest_by_address, *address, id, *started_ms)
     }
 
     /// The VMs in a failure domain, at least one.
@@ -209,7 +209,7 @@
     vms: ParsedItems<VmInstance>,
     leaving: FastMap<Arc<str>, LocalTime>,
     present: FastMap<Arc<str>, Arc<ServerEntry>>,
-    occupants: AddressMap,
+    latest_by_address: AddressMap,
 }
 
 impl ViewBuilder {
@@ -226,8 +226,7 @@
         mirror: &StoreMirror,
         configuration: Option<&ConfigurationVersion>,
     ) -> Option<FleetView> {
-        let routes =
-            configuration.is_some_and(|newest| self.put_in_force(newest));
+        let routes = configuration.is_some_and(|newest| self.activate(newest));
         let servers =
             self.servers.read(mirror.range(SERVER_PREFIX), |key, value| {
                 ServerEntry::parse(key, value).map(Arc::new)
@@ -240,7 +239,7 @@
             .vms
             .read(mirror.range(VM_PREFIX), |_key, value| decode(value));
         if servers {
-            self.note_leaving(now, since);
+            self.update_leaving(now, since);
         }
         (routes || servers || tables || vms).then(|| self.view())
     }
@@ -257,9 +256,9 @@
             (key[TABLE_PREFIX.len()..].into(), Arc::clone(table))
         });
         FleetView {
-            routes: self.routes.as_ref().map(|(_, book)| Arc::clone(book)),
+            routes: self.routes.as_ref().map(|(_, routes)| Arc::clone(routes)),
             servers: self.present.clone(),
-            occupants: self.occupants.clone(),
+            latest_by_address: self.latest_by_address.clone(),
             ready,
             leaving: self.leaving.clone(),
             tables: tables.collect(),
@@ -268,7 +267,7 @@
     }
 
     /// Puts a configuration in force, if it is a newer one.
-    fn put_in_force(&mut self, newest: &ConfigurationVersion) -> bool {
+    fn activate(&mut self, newest: &ConfigurationVersion) -> bool {
         let ConfigurationVersion { revision, configuration } = newest;
         let known = self.routes.as_ref().map_or(0, |(known, _)| *known);
         if *revision <= known {
@@ -285,13 +284,13 @@
     }
 
     /// Notes since when servers leave or are gone.
-    fn note_leaving(&mut self, now: LocalTime, since: LocalTime) {
+    fn update_leaving(&mut self, now: LocalTime, since: LocalTime) {
         let entries = self.servers.values().map(|(_, entry)| entry);
-        let occupants = last_occupants(entries.clone());
+        let latest_by_address = latest_by_address(entries.clone());
         let servers: FastMap<Arc<str>, Arc<ServerEntry>> = entries
             .filter(|entry| {
                 let ServerEntry { address, id, started_ms, .. } = &***entry;
-                !is_succeeded(&occupants, *address, id, *started_ms)
+                !is_superseded(&latest_by_address, *address, id, *started_ms)
             })
             .map(|entry| (Arc::clone(&entry.id), Arc::clone(entry)))
             .collect();
@@ -317,9 +316,9 @@
             }
         }
         self.leaving.retain(|id, left_at| {
-            servers.contains_key(id) || now.since(*left_at) < GONE_KEPT
+            servers.contains_key(id) || now.since(*left_at) < REMOVED_RETENTION
         });
         self.present = servers;
-        self.occupants = occupants;
+        self.latest_by_address = latest_by_address;
     }
 }
--- a/goldcrestramp-entry/tests/configurations.rs
+++ b/goldcrestramp-entry/tests/configurations.rs
@@ -28,10 +28,10 @@
     let routes: serde_json::Map<String, Value> = routes.collect();
     let services =
         json!({"service-0": {"sharded": version.is_multiple_of(2)}});
-    let whole =
+    let full =
         json!({"version": version, "routes": routes, "services": services});
     MirrorValue {
-        value: whole.to_string().into_bytes(),
+        value: full.to_string().into_bytes(),
         revision: version * 10,
         changed: version * 10,
     }
@@ -42,7 +42,7 @@
 }
 
 /// News as they come out at the other end of a link.
-fn sent(update: &ConfigurationUpdate) -> ConfigurationUpdate {
+fn round_trip(update: &ConfigurationUpdate) -> ConfigurationUpdate {
     let bytes = postcard::to_allocvec(update).expect("bytes");
     postcard::from_bytes(&bytes).expect("news")
 }
@@ -51,28 +51,28 @@
 fn a_change_of_one_route_is_told_in_few_bytes() {
     let mut routes: Routes = (0..200).map(|name| (name, 0)).collect();
     let mut source = ConfigurationHistory::default();
-    source.take_value(&value(1, &routes));
-    let whole = source
+    source.apply_value(&value(1, &routes));
+    let full = source
         .update_for(ConfigurationRevision::default())
         .expect("all of it");
 
-    let mark = source.mark();
+    let known_revision = source.known_revision();
     routes.insert(7, 1);
-    source.take_value(&value(2, &routes));
-    let change = source.update_for(mark).expect("a change");
+    source.apply_value(&value(2, &routes));
+    let change = source.update_for(known_revision).expect("a change");
 
     let bytes = |update| postcard::to_allocvec(update).expect("bytes").len();
-    assert!(bytes(&change) * 20 < bytes(&whole));
+    assert!(bytes(&change) * 20 < bytes(&full));
 }
 
 #[test]
 fn a_configuration_s_change_of_another_version_is_refused() {
     let mut source = ConfigurationHistory::default();
     let mut follower = ConfigurationHistory::default();
-    source.take_value(&value(1, &Routes::from([(1, 0)])));
-    let mark = source.mark();
-    source.take_value(&value(2, &Routes::from([(1, 1)])));
-    let change = source.update_for(mark).expect("a change");
+    source.apply_value(&value(1, &Routes::from([(1, 0)])));
+    let known_revision = source.known_revision();
+    source.apply_value(&value(2, &Routes::from([(1, 1)])));
+    let change = source.update_for(known_revision).expect("a change");
 
     assert_eq!(follower.apply_update(change), Err(BaseMismatch));
     assert!(follower.newest().is_none());
@@ -81,12 +81,12 @@
 #[test]
 fn a_lower_version_is_not_taken_back() {
     let mut history = ConfigurationHistory::default();
-    history.take_value(&value(7, &Routes::new()));
+    history.apply_value(&value(7, &Routes::new()));
     let mut other = ConfigurationHistory::default();
     let older = MirrorValue { revision: 90, ..value(5, &Routes::new()) };
-    other.take_value(&older);
+    other.apply_value(&older);
 
-    assert!(!history.take_value(&older));
+    assert!(!history.apply_value(&older));
     let update =
         other.update_for(ConfigurationRevision::default()).expect("all of it");
     assert_eq!(history.apply_update(update), Ok(false));
@@ -99,16 +99,19 @@
     let mut source = ConfigurationHistory::default();
     let mut follower = ConfigurationHistory::default();
     let routes = Routes::from([(1, 0)]);
-    follower.take_value(&value(7, &routes));
-    source.take_value(&MirrorValue { revision: 90, ..value(7, &routes) });
+    follower.apply_value(&value(7, &routes));
+    source.apply_value(&MirrorValue { revision: 90, ..value(7, &routes) });
 
-    let update = source.update_for(follower.mark()).expect("a later revision");
+    let update = source
+        .update_for(follower.known_revision())
+        .expect("a later revision");
 
     assert_eq!(follower.apply_update(update), Ok(false));
-    assert!(source.update_for(follower.mark()).is_none());
+    assert!(source.update_for(follower.known_revision()).is_none());
     let next = MirrorValue { revision: 99, ..value(8, &routes) };
-    source.take_value(&next);
-    let update = source.update_for(follower.mark()).expect("a newer version");
+    source.apply_value(&next);
+    let update =
+        source.update_for(follower.known_revision()).expect("a newer version");
     assert_eq!(follower.apply_update(update), Ok(true));
 }
 
@@ -116,12 +119,12 @@
 fn a_vm_that_is_far_behind_is_told_everything() {
     let mut source = ConfigurationHistory::default();
     let mut follower = ConfigurationHistory::default();
-    follower.take_value(&value(1, &Routes::from([(9, 9)])));
+    follower.apply_value(&value(1, &Routes::from([(9, 9)])));
     for version in 1..60 {
-        source.take_value(&value(version, &Routes::from([(1, 0)])));
+        source.apply_value(&value(version, &Routes::from([(1, 0)])));
     }
 
-    let update = source.update_for(follower.mark()).expect("news");
+    let update = source.update_for(follower.known_revision()).expect("news");
 
     assert_eq!(follower.apply_update(update), Ok(true));
     assert_eq!(newest(&follower), newest(&source));
@@ -138,15 +141,15 @@
     ) {
         let mut source = ConfigurationHistory::default();
         let mut follower = ConfigurationHistory::default();
-        for (version, (routes, told)) in (1..).zip(&versions) {
-            source.take_value(&value(version, routes));
-            if !told {
+        for (version, (routes, delivered)) in (1..).zip(&versions) {
+            source.apply_value(&value(version, routes));
+            if !delivered {
                 continue;
             }
-            let update = source.update_for(follower.mark()).expect("news");
-            prop_assert_eq!(follower.apply_update(sent(&update)), Ok(true));
+            let update = source.update_for(follower.known_revision()).expect("news");
+            prop_assert_eq!(follower.apply_update(round_trip(&update)), Ok(true));
             prop_assert_eq!(newest(&follower), newest(&source));
-            prop_assert!(source.update_for(follower.mark()).is_none());
+            prop_assert!(source.update_for(follower.known_revision()).is_none());
         }
     }
 }
--- a/goldcrestramp-entry/tests/knowledge.rs
+++ b/goldcrestramp-entry/tests/knowledge.rs
@@ -55,15 +55,15 @@
     let mut behind = ahead.clone();
 
     ahead.apply(vec![written("b", "2", 3), removed("a", 4)], 4);
-    let told = ahead.delta_since(2).expect("remembered");
-    behind.apply_delta(told, true);
+    let delta = ahead.delta_since(2).expect("remembered");
+    behind.apply_delta(delta, true);
 
     assert_eq!(value(&behind, "a"), None);
     assert_eq!(value(&behind, "b"), Some(&b"2"[..]));
     assert_eq!(behind.revision(), 4);
 }
 
-fn beat(state: &str, seq: u64) -> String {
+fn server_entry(state: &str, seq: u64) -> String {
     json!({
         "address": "10.1.64.3:8000",
         "born": 5,
@@ -80,23 +80,23 @@
 #[test]
 fn heartbeats_are_taken_and_are_no_news_to_others() {
     let mut mirror = StoreMirror::default();
-    mirror.apply(vec![written("servers/s", &beat("ready", 1), 4)], 4);
+    mirror.apply(vec![written("servers/s", &server_entry("ready", 1), 4)], 4);
 
-    let beats = vec![written("servers/s", &beat("ready", 2), 7)];
+    let heartbeats = vec![written("servers/s", &server_entry("ready", 2), 7)];
 
-    assert!(!mirror.apply(beats, 7));
-    assert_eq!(mirror.news_at(), 4);
-    let told = mirror.delta_since(4).expect("remembered");
+    assert!(!mirror.apply(heartbeats, 7));
+    assert_eq!(mirror.last_change_revision(), 4);
+    let delta = mirror.delta_since(4).expect("remembered");
     let mut other = StoreMirror::default();
-    assert!(!other.apply_delta(told, true), "nothing but the revision");
+    assert!(!other.apply_delta(delta, true), "nothing but the revision");
     assert_eq!(other.revision(), 7);
 
-    let leaves = vec![written("servers/s", &beat("draining", 3), 9)];
+    let draining = vec![written("servers/s", &server_entry("draining", 3), 9)];
 
-    assert!(mirror.apply(leaves, 9));
-    assert_eq!(mirror.news_at(), 9);
-    let told = mirror.delta_since(7).expect("remembered");
-    assert!(other.apply_delta(told, true));
+    assert!(mirror.apply(draining, 9));
+    assert_eq!(mirror.last_change_revision(), 9);
+    let delta = mirror.delta_since(7).expect("remembered");
+    assert!(other.apply_delta(delta, true));
     assert!(value(&other, "servers/s").is_some());
 }
 
@@ -106,14 +106,19 @@
 #[test]
 fn news_from_before_an_own_commit_is_news() {
     let mut mirror = StoreMirror::default();
-    mirror.apply(vec![written("servers/s", &beat("ready", 1), 4)], 4);
+    mirror.apply(vec![written("servers/s", &server_entry("ready", 1), 4)], 4);
     mirror.write(item("router/table/s", "own", 20));
-    assert_eq!(mirror.news_at(), 4, "others can't be told of it yet");
+    assert_eq!(
+        mirror.last_change_revision(),
+        4,
+        "others can't be told of it yet"
+    );
 
-    let leaves = vec![written("servers/s", &beat("draining", 2), 18)];
+    let draining =
+        vec![written("servers/s", &server_entry("draining", 2), 18)];
 
-    assert!(mirror.apply(leaves, 18));
-    assert_eq!(mirror.news_at(), 18);
+    assert!(mirror.apply(draining, 18));
+    assert_eq!(mirror.last_change_revision(), 18);
     let committed = vec![written("router/table/s", "own", 20)];
     assert!(mirror.apply(committed, 20), "those that follow may miss it");
 }
@@ -187,10 +192,10 @@
     let mut builder = ViewBuilder::default();
     let mut history = ConfigurationHistory::default();
     let mirror = StoreMirror::default();
-    history.take_value(&value(7, 20));
+    history.apply_value(&value(7, 20));
     let first = builder.build(at(0), at(0), &mirror, history.newest());
 
-    history.take_value(&value(5, 30));
+    history.apply_value(&value(5, 30));
     let second = builder.build(at(1), at(1), &mirror, history.newest());
     let first = first.expect("a change");
 
@@ -200,11 +205,11 @@
 
 #[test]
 fn heartbeats_make_no_new_view() {
-    let entry = |beat: u64| {
+    let entry = |server_entry: u64| {
         json!({
             "address": "10.0.0.9:80", "born": 1,
             "info": {"service": "s", "zone": "a", "slots": 2},
-            "status": {"state": "ready", "seq": beat}
+            "status": {"state": "ready", "seq": server_entry}
         })
     };
     let mut builder = ViewBuilder::default();
@@ -253,8 +258,8 @@
 #[test]
 fn a_late_change_counts_from_the_news_before_it() {
     let mut sync = SyncState::default();
-    sync.answered(at(0));
-    sync.was_current(at(100));
+    sync.record_response(at(0));
+    sync.record_current_at(at(100));
 
     assert_eq!(sync.changed_since(at(1_000)), at(100));
     assert_eq!(sync.age(at(1_000)), TimeSpan::from_millis(900));
@@ -267,10 +272,10 @@
 #[test]
 fn what_is_missing_after_an_outage_counts_from_now() {
     let mut sync = SyncState::default();
-    sync.answered(at(0));
-    sync.was_current(at(0));
-    sync.failed();
-    sync.answered(at(5_000));
+    sync.record_response(at(0));
+    sync.record_current_at(at(0));
+    sync.record_failure();
+    sync.record_response(at(5_000));
 
     assert_eq!(sync.changed_since(at(5_100)), at(5_100));
 }
@@ -287,14 +292,14 @@
 fn a_vm_that_starts_has_the_store_s_contents_from_its_peer() {
     let mut sync = SyncState::default();
     let first = sync.next(at(0), 0, std::iter::empty());
-    sync.was_read();
+    sync.record_read();
     let second = sync.next(at(0), 0, [peer()].into_iter());
-    sync.peer_failed(at(10), peer());
+    sync.record_peer_failure(at(10), peer());
     let alone = sync.next(at(10), 0, [peer()].into_iter());
 
     assert_eq!(first, UpdateSource::StoreVms);
     assert_eq!(second, UpdateSource::Peer(peer(), 0));
-    assert_eq!(alone, UpdateSource::StoreWhole);
+    assert_eq!(alone, UpdateSource::FullStore);
 }
 
 #[test]
@@ -318,11 +323,11 @@
     let peers = || [peer(), second, third].into_iter();
     let mut sync = SyncState::default();
 
-    sync.peer_failed(at(0), peer());
+    sync.record_peer_failure(at(0), peer());
     let after_one = sync.next(at(0), 5, peers());
-    sync.peer_failed(at(100), second);
+    sync.record_peer_failure(at(100), second);
     let after_two = sync.next(at(100), 5, peers());
-    sync.peer_failed(at(200), third);
+    sync.record_peer_failure(at(200), third);
     let after_all = sync.next(at(200), 5, peers());
     let later = sync.next(at(5_050), 5, peers());
 
@@ -340,18 +345,18 @@
 fn a_vm_that_the_store_is_silent_to_is_not_followed_for_long() {
     let mut source = SyncState::default();
     source.next(at(0), 5, std::iter::empty());
-    source.answered(at(0));
-    source.was_current(at(900));
+    source.record_response(at(0));
+    source.record_current_at(at(900));
 
     assert!(source.may_be_followed(at(900), at(0)));
     assert!(!source.may_be_followed(at(1_100), at(0)));
 
     let mut follower = SyncState::default();
     let peers = || [peer()].into_iter();
-    follower.peer_answered(at(1_100), peer(), false);
+    follower.record_peer_response(at(1_100), peer(), false);
     let at_first = follower.next(at(1_100), 5, peers());
-    follower.peer_answered(at(1_500), peer(), false);
-    follower.peer_answered(at(1_900), peer(), false);
+    follower.record_peer_response(at(1_500), peer(), false);
+    follower.record_peer_response(at(1_900), peer(), false);
     let at_last = follower.next(at(1_900), 5, peers());
 
     assert_eq!(at_first, UpdateSource::Peer(peer(), 5));
@@ -363,10 +368,10 @@
 fn a_vm_whose_own_news_are_old_is_not_followed() {
     let mut source = SyncState::default();
     source.next(at(0), 5, std::iter::empty());
-    source.answered(at(2_000));
+    source.record_response(at(2_000));
 
     assert!(!source.may_be_followed(at(2_000), at(2_000)), "it knows nothing");
-    source.was_current(at(1_500));
+    source.record_current_at(at(1_500));
     assert!(source.may_be_followed(at(2_000), at(2_000)));
     assert!(!source.may_be_followed(at(2_600), at(2_500)));
 }
@@ -386,12 +391,12 @@
     let mut follower = SyncState::default();
     follower.next(at(0), 5, [peer()].into_iter());
 
-    assert!(!follower.ask_due(at(9_000), at(0)), "it has just started");
-    follower.was_current(at(10_000));
-    assert!(!follower.ask_due(at(11_400), at(0)), "its source tells it");
-    assert!(follower.ask_due(at(11_500), at(11_400)));
-    assert!(!follower.ask_due(at(11_600), at(11_400)), "it has just asked");
-    assert!(follower.ask_due(at(11_900), at(11_400)));
+    assert!(!follower.query_due(at(9_000), at(0)), "it has just started");
+    follower.record_current_at(at(10_000));
+    assert!(!follower.query_due(at(11_400), at(0)), "its source tells it");
+    assert!(follower.query_due(at(11_500), at(11_400)));
+    assert!(!follower.query_due(at(11_600), at(11_400)), "it has just asked");
+    assert!(follower.query_due(at(11_900), at(11_400)));
 }
 
 /// Guards against a source that does not know that the store is silent to it.
@@ -399,10 +404,10 @@
 fn a_vm_that_follows_the_store_asks_once_that_is_silent() {
     let mut source = SyncState::default();
     source.next(at(0), 5, std::iter::empty());
-    source.was_current(at(10_000));
+    source.record_current_at(at(10_000));
 
-    assert!(!source.ask_due(at(10_500), at(10_000)));
-    assert!(source.ask_due(at(11_100), at(10_000)));
+    assert!(!source.query_due(at(10_500), at(10_000)));
+    assert!(source.query_due(at(11_100), at(10_000)));
 }
 
 /// A VM that was not fresh for a moment is followed on: only answers that
@@ -410,9 +415,9 @@
 #[test]
 fn a_fresh_answer_ends_the_doubt() {
     let mut follower = SyncState::default();
-    follower.peer_answered(at(0), peer(), false);
-    follower.peer_answered(at(400), peer(), true);
-    follower.peer_answered(at(800), peer(), false);
+    follower.record_peer_response(at(0), peer(), false);
+    follower.record_peer_response(at(400), peer(), true);
+    follower.record_peer_response(at(800), peer(), false);
 
     let next = follower.next(at(800), 5, [peer()].into_iter());
 
@@ -424,13 +429,13 @@
 #[test]
 fn a_missing_entry_says_nothing_while_the_store_returns() {
     let mut sync = SyncState::default();
-    sync.answered(at(0));
-    assert!(!sync.is_unsure(at(10)));
+    sync.record_response(at(0));
+    assert!(!sync.may_miss_entries(at(10)));
 
-    sync.failed();
-    assert!(sync.is_unsure(at(4_000)));
-    sync.answered(at(4_500));
+    sync.record_failure();
+    assert!(sync.may_miss_entries(at(4_000)));
+    sync.record_response(at(4_500));
 
-    assert!(sync.is_unsure(at(6_500)));
-    assert!(!sync.is_unsure(at(7_000)));
+    assert!(sync.may_miss_entries(at(6_500)));
+    assert!(!sync.may_miss_entries(at(7_000)));
 }
--- a/goldcrestramp-entry/tests/sources.rs
+++ b/goldcrestramp-entry/tests/sources.rs
@@ -1,7 +1,7 @@
 //! Which VM follows which.
 
 use goldcrestramp_entry::{
-    control::{advising_vms, is_large, source_vms},
+    control::{fallback_vms, is_large, source_vms},
     records::VmInstance,
 };
 
@@ -124,7 +124,7 @@
 fn a_vm_whose_sources_fail_asks_large_ones() {
     let vms = fleet();
     for me in &vms {
-        let advising = advising_vms(me, &vms);
+        let advising = fallback_vms(me, &vms);
 
         assert!(advising.iter().all(|vm| vm.capacity == LARGE));
         assert!(advising.iter().all(|vm| vm.vm != me.vm));
@@ -138,5 +138,5 @@
     vms.retain(|vm| vm.capacity == SMALL);
 
     assert!(vms.iter().all(|vm| is_large(vm, &vms)));
-    assert_eq!(advising_vms(&vms[0], &vms).len(), vms.len() - 1);
+    assert_eq!(fallback_vms(&vms[0], &vms).len(), vms.len() - 1);
 }
--- a/goldcrestramp-entry/tests/tables.rs
+++ b/goldcrestramp-entry/tests/tables.rs
@@ -34,12 +34,12 @@
     let mut history = TableHistory::default();
     for version in 0..versions {
         commit(&mut mirror, 4 + version, u64::from(version + 1) * 10);
-        assert!(history.note(&mirror));
+        assert!(history.record(&mirror));
     }
     history
 }
 
-fn mark(revision: u64) -> TableRevision {
+fn version_at(revision: u64) -> TableRevision {
     TableRevision { key: table_key("stock"), revision }
 }
 
@@ -60,11 +60,11 @@
 
     let update = only(ahead.update_for(&behind.known_revisions()));
 
-    assert!(matches!(update.body, TablePayload::Patch { base: 20, .. }));
-    let made = behind.resolve(update).expect("its version");
-    let made = made.expect("a newer one");
+    assert!(matches!(update.payload, TablePayload::Patch { base: 20, .. }));
+    let resolved = behind.resolve(update).expect("its version");
+    let resolved = resolved.expect("a newer one");
     for key in (0..u16::MAX).step_by(97) {
-        assert_eq!(owner(&made, key), owner(&table(7), key));
+        assert_eq!(owner(&resolved, key), owner(&table(7), key));
     }
 }
 
@@ -83,13 +83,13 @@
 fn a_change_of_another_version_is_refused() {
     let planner = history(4);
     let behind = history(2);
-    let later = only(planner.update_for(&[mark(30)]));
+    let later = only(planner.update_for(&[version_at(30)]));
 
     let refused = behind.resolve(later);
     assert_eq!(refused.err(), Some(TableError));
 
-    let again = only(planner.update_for(&behind.known_revisions()));
-    assert!(behind.resolve(again).expect("its version").is_some());
+    let retried = only(planner.update_for(&behind.known_revisions()));
+    assert!(behind.resolve(retried).expect("its version").is_some());
 }
 
 /// The same change comes from the planning VM and from the one that is
@@ -98,11 +98,11 @@
 fn a_change_that_is_known_changes_nothing() {
     let planner = history(4);
     let known = history(4);
-    let update = only(planner.update_for(&[mark(20)]));
+    let update = only(planner.update_for(&[version_at(20)]));
 
-    let made = known.resolve(update).expect("as new");
+    let resolved = known.resolve(update).expect("as new");
 
-    assert!(made.is_none());
+    assert!(resolved.is_none());
 }
 
 /// A VM that was cut off has a version that nobody remembers, or none.
@@ -110,10 +110,10 @@
 fn a_vm_that_is_far_behind_is_told_everything() {
     let ahead = history(40);
 
-    for known in [vec![], vec![mark(10)]] {
+    for known in [vec![], vec![version_at(10)]] {
         let update = only(ahead.update_for(&known));
 
-        assert!(matches!(update.body, TablePayload::Full(_)));
+        assert!(matches!(update.payload, TablePayload::Full(_)));
         assert!(history(1).resolve(update).expect("whole").is_some());
     }
 }
