--- a/goldcrestramp-entry/src/configuration.rs
+++ b/goldcrestramp-entry/src/configuration.rs
@@ -1,8 +1,8 @@
-//! The last versions of the operators' configuration.
+//! The recent versions of the operators' configuration.
 //!
-//! A change names a few of some thousand routes. Whoever tells another VM of
-//! it sends what has changed since the version that this VM has, so recent
-//! versions are kept; routes that are alike are shared between them.
+//! A change affects a few of some thousand routes. A VM that passes it on
+//! sends the changes since the version that the other VM has, so recent
+//! versions are kept. Versions share routes that are equal.
 
 use std::{collections::VecDeque, fmt, sync::Arc};
 
@@ -14,7 +14,8 @@
 
 use crate::mirror::MirrorValue;
 
-/// Versions kept. A VM that is further behind is told everything.
+/// The number of versions kept. A VM that is further behind is sent the full
+/// configuration.
 const MAX_VERSIONS: usize = 16;
 
 /// A version of the configuration.
@@ -22,19 +23,19 @@
 pub struct ConfigurationVersion {
     /// The store's revision of its write.
     pub revision: u64,
-    /// What it says.
+    /// The configuration itself.
     pub configuration: Arc<FleetConfiguration>,
 }
 
-/// How much of the configuration a VM knows.
+/// The revisions of the configuration that a VM knows.
 #[derive(
     Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize,
 )]
 pub struct ConfigurationRevision {
     /// The revision of the version that it has; 0 if it has none.
     revision: u64,
-    /// The revision up to which it has read what was written, values that
-    /// it could not use included. Without it these are told again for ever.
+    /// The revision up to which it has read written values, including those
+    /// that it could not use. Without it, those would be sent again forever.
     read_until: u64,
 }
 
@@ -46,16 +47,16 @@
     payload: ConfigurationPayload,
 }
 
-/// What a newer version is.
+/// The contents of a newer version.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 enum ConfigurationPayload {
-    /// What has changed since the version of revision `base`.
+    /// The changes since the version of revision `base`.
     Patch { base: u64, patch: Box<ConfigurationPatch> },
-    /// All of it.
+    /// The full configuration.
     Full(Arc<FleetConfiguration>),
 }
 
-/// What makes one version of another.
+/// The changes from one version to another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct ConfigurationPatch {
     version: u64,
@@ -115,19 +116,20 @@
     Arc::ptr_eq(one, other) || one == other
 }
 
-/// News that were made for another version than the known one.
+/// An update is a patch for another version than the known one.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct BaseMismatch;
 
 impl fmt::Display for BaseMismatch {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "a change of another version of the configuration")
+        write!(f, "the patch applies to another version of the configuration")
     }
 }
 
 impl std::error::Error for BaseMismatch {}
 
-/// The last versions that a VM has seen, oldest first. Versions only rise.
+/// The recent versions that a VM has seen, oldest first. Versions only
+/// increase.
 #[derive(Debug, Default)]
 pub struct ConfigurationHistory {
     versions: VecDeque<ConfigurationVersion>,
@@ -136,13 +138,13 @@
 }
 
 impl ConfigurationHistory {
-    /// The newest version, once one is known.
+    /// The newest version, if any is known.
     #[must_use]
     pub fn newest(&self) -> Option<&ConfigurationVersion> {
         self.versions.back()
     }
 
-    /// How much is known.
+    /// The revisions that are known.
     #[must_use]
     pub fn known_revision(&self) -> ConfigurationRevision {
         ConfigurationRevision {
@@ -155,7 +157,7 @@
         self.newest().map_or(0, |newest| newest.revision)
     }
 
-    /// Takes the value that lies in the store; whether it is a newer
+    /// Applies the value from the store; returns whether it is a newer
     /// version.
     pub fn apply_value(&mut self, item: &MirrorValue) -> bool {
         if item.revision <= self.known_revision().read_until {
@@ -165,7 +167,9 @@
         let configuration = match FleetConfiguration::parse(&item.value) {
             Ok(configuration) => configuration,
             Err(error) => {
-                log::warn!("[control] {error}; the former stays in force.");
+                log::warn!(
+                    "[control] {error}; the previous configuration stays in force."
+                );
                 self.rejected = item.revision;
                 return false;
             }
@@ -180,8 +184,8 @@
         self.push(item.revision, configuration)
     }
 
-    /// The newest version, for a VM that knows so much; nothing if it knows
-    /// that one.
+    /// The update for a VM with the `known` revisions; `None` if it knows the
+    /// newest version.
     #[must_use]
     pub fn update_for(
         &self,
@@ -206,11 +210,11 @@
         Some(ConfigurationUpdate { revision: newest.revision, payload })
     }
 
-    /// Takes another VM's news; whether they are a newer version.
+    /// Applies another VM's update; returns whether it is a newer version.
     ///
     /// # Errors
     ///
-    /// [`BaseMismatch`] if they were made for another version.
+    /// [`BaseMismatch`] if the update is a patch for another version.
     pub fn apply_update(
         &mut self,
         update: ConfigurationUpdate,
@@ -226,7 +230,7 @@
                 log::info!(
                     written = patch.written.len(),
                     removed = patch.removed.len();
-                    "[control] A change to configuration {} was taken.",
+                    "[control] A patch to configuration {} was applied.",
                     patch.version
                 );
                 patch.apply(&previous.configuration)
@@ -235,8 +239,8 @@
         Ok(self.push(update.revision, configuration))
     }
 
-    /// Adds a version; one that is not above the newest is refused, as what
-    /// was once in force never returns.
+    /// Adds a version. One that is not above the newest is rejected, so that
+    /// no earlier configuration returns.
     fn push(
         &mut self,
         revision: u64,
@@ -259,7 +263,8 @@
     }
 }
 
-/// Has a newer version use the former one's routes where they are alike.
+/// Shares the previous version's routes with a newer version where they are
+/// equal.
 fn share_routes(
     previous: &FleetConfiguration,
     newer: &mut FleetConfiguration,
--- a/goldcrestramp-entry/src/control/actor.rs
+++ b/goldcrestramp-entry/src/control/actor.rs
@@ -1,4 +1,4 @@
-//! The state of the control thread.
+//! The actor that holds the state of the control thread.
 
 use std::sync::{Arc, Weak};
 
@@ -33,38 +33,41 @@
     view::{FleetView, ViewBuilder},
 };
 
-/// A planner goes on renewing grants for so long after the last proof that
-/// its lease was alive: an outage of the store of 12 s then leaves no key
-/// without its owner. Renewing what the table grants can harm nobody, as a
-/// later planner takes keys back with a higher token; only for a server
-/// that it can't reach does it wait this out.
+/// How long a planner keeps renewing grants after the last proof that its
+/// lease was alive. With this value an outage of the store of 12 s leaves no
+/// key without its owner.
+///
+/// Renewing what the table grants is safe, because a later planner takes keys
+/// back with a higher token. That planner waits this time out only for a
+/// server that it cannot reach.
 pub(crate) const MAX_PROOF_AGE: TimeSpan = TimeSpan::from_millis(12_000);
 
-/// A VM waits this long for each VM of a better rank before it claims to
-/// plan: the best ranked live one is done by then, and no two write.
+/// How long a VM waits for each VM of a better rank before it claims to be the
+/// planner. The best-ranked live VM has finished its claim by then, so no two
+/// VMs write.
 const RANK_DELAY: TimeSpan = TimeSpan::from_millis(150);
 
-/// How often a VM reports what it was asked.
+/// How often a VM reports its load to the planner.
 const REPORT_INTERVAL: TimeSpan = TimeSpan::from_millis(400);
 
-/// How far this VM is on its way to plan.
+/// The state of this VM's claim to be the planner.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum ClaimStage {
-    /// It makes no claim.
+    /// There is no claim.
     None,
-    /// A claim waits for a lease on short terms.
+    /// The claim waits for a lease on short terms.
     AwaitingLease,
-    /// The store is being asked.
+    /// The claim has been sent to the store.
     InFlight,
 }
 
-/// The control state of one VM.
+/// The control actor of one VM.
 #[derive(Debug)]
 pub struct ControlActor {
     pub(crate) me: VmInstance,
     /// The region of each failure domain.
     pub(crate) regions: FastMap<Arc<str>, Arc<str>>,
-    /// How long a grant holds.
+    /// How long a grant is valid.
     pub(crate) grant_duration: TimeSpan,
     pub(crate) store: Arc<StoreClient>,
     pub(crate) orders: Arc<CallPool>,
@@ -84,21 +87,22 @@
     pub(crate) metrics: Arc<EntryMetrics>,
     report_at: LocalTime,
     pub(crate) lease: Option<u64>,
-    /// The terms on which the lease is kept.
+    /// The terms of the current lease.
     lease_terms: LeaseTerms,
-    /// The terms on which it is to be kept; nothing: not known yet.
+    /// The terms that the lease should have; `None` until they are known.
     wanted_terms: watch::Sender<Option<LeaseTerms>>,
-    /// When the last call was sent that proved the lease alive.
+    /// When the last call that proved the lease alive was sent.
     pub(crate) proof: LocalTime,
-    /// The planner before this VM, as it was last known, with when it was
+    /// The last known planner before this VM, with the time at which it was
     /// first known to plan.
     previous_planner: Option<(VmInstance, LocalTime)>,
     vacant_since: Option<LocalTime>,
     claim: ClaimStage,
-    /// Whether another VM is being asked while the store is silent.
+    /// Whether a query to another VM is in flight while the store does not
+    /// respond.
     pub(crate) query_in_flight: bool,
     pub(crate) term: Option<PlannerTerm>,
-    /// Permits of ended terms, held by the orders under way.
+    /// The gates of ended terms, kept alive by orders in flight.
     ending_gates: Vec<Weak<OrderGate>>,
     pub(crate) stopping: bool,
 }
@@ -113,7 +117,7 @@
         view_sender: watch::Sender<Arc<FleetView>>,
         address: Address<Self>,
     ) -> Self {
-        /// A server's answer to an order is a few bytes.
+        /// A server's response to an order is a few bytes.
         const MAX_ORDER_RESPONSE_BYTES: usize = 64 * 1024;
         let orders = CallPool::open(
             CloseMode::Reset,
@@ -155,7 +159,8 @@
         }
     }
 
-    /// Takes what the mirror now holds, and tells the traffic thread.
+    /// Applies the current contents of the mirror, and sends a new view to the
+    /// traffic thread if it changed.
     pub(crate) fn refresh(&mut self, now: LocalTime) {
         self.history.record(&self.mirror);
         if let Some(item) = self.mirror.extract(CONFIGURATION_KEY) {
@@ -181,7 +186,7 @@
         self.choose_terms();
     }
 
-    /// Chooses the terms of the lease by the VMs that are known.
+    /// Chooses the terms of the lease from the known VMs.
     fn choose_terms(&self) {
         let claims = self.claim != ClaimStage::None;
         let plans = claims || self.term.is_some();
@@ -198,7 +203,7 @@
             .send_if_modified(|wanted| wanted.replace(terms) != Some(terms));
     }
 
-    /// The terms on which the lease is to be kept.
+    /// Subscribes to the terms that the lease should have.
     pub(crate) fn wanted_terms(&self) -> watch::Receiver<Option<LeaseTerms>> {
         self.wanted_terms.subscribe()
     }
@@ -214,7 +219,7 @@
         metrics.planning.set(i64::from(self.term.is_some()));
     }
 
-    /// Notes how old this VM's knowledge of the store is.
+    /// Sets the metric for the age of this VM's copy of the store.
     pub(crate) fn record_update_age(&self, now: LocalTime) {
         let age = self.sync.age(now).as_millis();
         self.metrics.news_age.set(age.cast_signed());
@@ -226,7 +231,7 @@
         Some((decode(&item.value)?, item.revision))
     }
 
-    /// Ends the term when another VM's record stands.
+    /// Ends the term if the planner's record names another VM.
     fn check_term(&mut self, now: LocalTime) {
         let Some((planner, revision)) = self.planner() else { return };
         if planner == self.me {
@@ -237,10 +242,10 @@
             *previous_planner == planner
         });
         if !is_known {
-            log::info!("[control] VM {} plans now.", planner.vm);
+            log::info!("[control] VM {} is now the planner.", planner.vm);
         }
         if self.term.as_ref().is_some_and(|term| term.revision < revision) {
-            log::warn!("[control] This VM plans no more.");
+            log::warn!("[control] This VM is no longer the planner.");
             self.end_term();
         }
         if !is_known {
@@ -248,17 +253,18 @@
         }
     }
 
-    /// Claims to plan, if no other VM does.
+    /// Claims to be the planner if no other VM is.
     pub(crate) fn claim_if_vacant(&mut self, now: LocalTime) {
         let idle = self.term.is_none()
             && self.claim != ClaimStage::InFlight
             && !self.stopping;
         let Some(lease) = self.lease.filter(|_| idle) else { return };
         let known = self.planner();
-        // The record of an earlier run of this process outlives it until
-        // its lease ends; that run is surely over. One of this run, which
-        // does not plan, is of a claim whose answer was lost: its lease is
-        // kept alive, so left alone it would keep everybody from planning.
+        // The record of an earlier run of this process remains until its lease
+        // expires; that run has certainly ended. A record of this run, which
+        // is not planning, is from a claim whose response was lost. This VM
+        // keeps the lease of that record alive, so without a new claim no VM
+        // could plan.
         let own = known
             .as_ref()
             .is_some_and(|(planner, _)| planner.vm == self.me.vm);
@@ -273,7 +279,7 @@
         if !own && now.since(since) < pause {
             return;
         }
-        // A planner's record has to end soon after its VM.
+        // A planner's record must expire soon after its VM fails.
         if self.lease_terms != LeaseTerms::SHORT {
             self.claim = ClaimStage::AwaitingLease;
             self.request_terms(LeaseTerms::SHORT);
@@ -290,40 +296,40 @@
         ));
     }
 
-    /// The live VMs that are to claim before this one.
+    /// The number of live VMs that claim before this one.
     fn rank(&self) -> usize {
         let own = self.me.duty_rank();
         self.view.vms.iter().filter(|vm| vm.duty_rank() > own).count()
     }
 
-    /// Takes the end of a claim.
-    pub(crate) fn claim_ended(&mut self, now: LocalTime, claim: ClaimEnded) {
+    /// Handles the end of a claim.
+    pub(crate) fn claim_ended(&mut self, now: LocalTime, ended: ClaimEnded) {
         self.claim = ClaimStage::None;
         self.vacant_since = None;
-        let Some(revision) = claim.won_revision else { return };
+        let Some(revision) = ended.won_revision else { return };
         if self.stopping
             || self.planner().is_some_and(|(_, known)| known > revision)
         {
             return;
         }
-        // The lease has changed since: the record ends, or has ended.
-        if self.lease != Some(claim.lease) {
+        // The lease has changed since the claim, so the record expires or has
+        // expired.
+        if self.lease != Some(ended.lease) {
             return;
         }
-        for item in claim.tables.items {
+        for item in ended.tables.items {
             self.mirror.write(item);
         }
         let previous_planner = self.previous_planner.take();
         log::info!(
-            "[control] This VM plans from revision {revision} on; before it \
-             planned {}.",
-            previous_planner
-                .as_ref()
-                .map_or("an unknown VM", |(vm, _at)| &vm.vm)
+            "[control] This VM plans from revision {revision} on; the \
+             previous planner is {}.",
+            previous_planner.as_ref().map_or("unknown", |(vm, _at)| &vm.vm)
         );
-        // An earlier run of this process is over. This run itself may have
-        // had a successor since it lost its lease, and one that is unknown
-        // may be cut off and renew grants.
+        // An earlier run of this process has ended. If this run planned
+        // itself, it may have had a successor since it lost its lease. A
+        // successor that this VM does not know of may be cut off from the
+        // store and still renew grants.
         let known = match &previous_planner {
             Some((vm, at))
                 if vm.vm == self.me.vm && vm.start != self.me.start =>
@@ -335,8 +341,8 @@
         let last_grant_at = last_grant_sent(now, known, MAX_PROOF_AGE);
         self.term = Some(PlannerTerm::open(
             revision,
-            claim.lease,
-            claim.sent_at,
+            ended.lease,
+            ended.sent_at,
             last_grant_at,
         ));
         let other = previous_planner.filter(|(vm, _at)| vm.vm != self.me.vm);
@@ -351,20 +357,21 @@
         self.refresh(now);
     }
 
-    /// Ends the term; orders under way are the last.
+    /// Ends the term. Orders in flight are its last ones.
     pub(crate) fn end_term(&mut self) {
         if let Some(term) = self.term.take() {
             self.ending_gates.push(Arc::downgrade(&term.gate));
         }
     }
 
-    /// Whether an order of an ended term may still be under way.
+    /// Whether an order of an ended term may still be in flight.
     pub(crate) fn has_orders_in_flight(&mut self) -> bool {
         self.ending_gates.retain(|gate| gate.strong_count() > 0);
         !self.ending_gates.is_empty()
     }
 
-    /// Takes what became of the lease.
+    /// Records the state of the lease, and ends the term if its lease has
+    /// expired.
     pub(crate) fn record_lease_proof(&mut self, message: LeaseProof) {
         let LeaseProof { lease, terms, sent_at } = message;
         self.lease = lease;
@@ -376,13 +383,15 @@
         if lease == Some(term.lease) {
             term.proof = term.proof.max(sent_at);
         } else {
-            log::warn!("[control] The planner's lease has ended.");
+            log::warn!(
+                "[control] This VM planned, but its lease has expired."
+            );
             self.end_term();
             self.previous_planner = Some((self.me.clone(), sent_at));
         }
     }
 
-    /// Tells the planning VM what was asked for.
+    /// Reports this VM's load to the planning VM.
     pub(crate) fn report_load(&mut self, now: LocalTime) {
         if now.since(self.report_at) < REPORT_INTERVAL {
             return;
@@ -399,24 +408,25 @@
         let Some((planner, _)) = self.planner() else { return };
         let peers = self.peers.clone();
         tokio::spawn(async move {
-            // A lost report is made good by the next.
+            // A lost report is not retried; the next one makes up for it.
             let _lost =
                 peers.call(planner.address, &PeerCall::Load(report)).await;
         });
     }
 
-    /// Takes what a VM was asked for, while this one plans.
+    /// Records the load of a VM if this VM plans.
     pub(crate) fn record_load(&mut self, now: LocalTime, report: &LoadReport) {
         if let Some(term) = &mut self.term {
             term.record_load(now, report);
         }
     }
 
-    /// The revisions up to which this VM knows news of the store.
+    /// Subscribes to the revision up to which this VM knows the relevant
+    /// changes of the store.
     pub(crate) fn revisions(&self) -> watch::Receiver<u64> {
         self.revision_sender.subscribe()
     }
 }
 
-/// A map from a service's name.
+/// Values by service name.
 pub(crate) type ByService<Value> = FastMap<Arc<str>, Value>;
--- a/goldcrestramp-entry/src/control/claim.rs
+++ b/goldcrestramp-entry/src/control/claim.rs
@@ -1,4 +1,4 @@
-//! Becoming the VM that plans.
+//! Claims to be the planning VM.
 
 use std::sync::Arc;
 
@@ -18,7 +18,8 @@
     store::{StoreClient, StoreFailure, StorePage},
 };
 
-/// Writes the planner's record, then reads what it has to take up.
+/// Writes the planner's record, then reads back the record and the tables to
+/// take over.
 pub(crate) async fn claim(
     store: Arc<StoreClient>,
     me: VmInstance,
@@ -40,27 +41,30 @@
         _ => None,
     };
     let tables = read.unwrap_or(StorePage { items: Vec::new(), revision: 0 });
-    // The record itself says who won, also when the answer was lost.
+    // The record itself decides who won, also if the response was lost.
     let record = tables.items.iter().find(|item| *item.key == *PLANNER_KEY);
     let won_revision = record
         .filter(|item| decode::<VmInstance>(&item.value).as_ref() == Some(&me))
         .map(|item| item.revision);
-    // The actor is gone only when the process ends.
+    // Sending fails only when the process stops.
     let _gone = control
         .send(ClaimEnded { won_revision, tables, lease, sent_at })
         .await;
 }
 
-/// Asks the former planner to stop, until it has or can't be asked.
+/// Asks the previous planner to step down until it has, or until the attempts
+/// are used up.
 pub(crate) async fn stop_previous_planner(
     peers: PeerClient,
     previous: VmInstance,
     planned_by: LocalTime,
     control: Address<ControlActor>,
 ) {
-    /// By then what it may have sent has ended by itself.
+    /// After this many attempts, the grants that it may have sent have
+    /// expired.
     const MAX_TRIES: u32 = 20;
-    /// A stopped planner waits for orders under way, some 700 ms.
+    /// A planner that steps down waits for orders in flight, which takes about
+    /// 700 ms.
     const RETRY_DELAY: std::time::Duration =
         std::time::Duration::from_millis(300);
     let call = PeerCall::StepDown { start: previous.start };
@@ -68,12 +72,15 @@
         let reply = peers.call(previous.address, &call).await;
         if matches!(reply, Some(PeerReply::SteppedDown)) {
             let at = MonotonicClock.now();
-            // The actor is gone only when the process ends.
+            // Sending fails only when the process stops.
             let stopped = PreviousPlannerStopped { at, planned_by };
             let _gone = control.send(stopped).await;
             return;
         }
         tokio::time::sleep(RETRY_DELAY).await;
     }
-    log::info!("[control] VM {}, which planned, is silent.", previous.vm);
+    log::info!(
+        "[control] VM {}, the previous planner, did not respond.",
+        previous.vm
+    );
 }
--- a/goldcrestramp-entry/src/control/follow.rs
+++ b/goldcrestramp-entry/src/control/follow.rs
@@ -1,8 +1,9 @@
 //! Follows the changes in the store.
 //!
-//! Each call to the store is paid for, and heartbeats of servers change it
-//! all the time. One VM of each failure domain follows the store and the
-//! others follow that VM. One whose sources fail follows the store itself.
+//! Each call to the store has a cost, and the heartbeats of servers change the
+//! store all the time. So one VM of each failure domain follows the store, and
+//! the others follow that VM. A VM whose sources fail follows the store
+//! itself.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -29,58 +30,63 @@
     store::{StoreClient, StoreFailure},
 };
 
-/// A watch waits so long for changes.
+/// How long a watch waits for changes.
 ///
-/// The failure: a watch that begins while the store forgets its history is
-/// told nothing at all until its wait ends, and a configuration is not in
-/// force for as long. News count from when a watch was sent, so on a quiet
-/// store a long wait also makes them look old. Heartbeats end most watches
-/// sooner, so the short wait hardly makes more calls.
+/// A watch that begins while the store discards its history gets no events
+/// until its wait ends, and a new configuration is not in force for that time.
+/// The age of an update counts from when its watch was sent, so on a quiet
+/// store a long wait also makes updates look old. Heartbeats end most watches
+/// sooner, so the short wait adds hardly any calls.
 const WATCH_TIMEOUT: TimeSpan = TimeSpan::from_millis(500);
 
-/// Changes that follow each other sooner are told together. It takes a
-/// quarter of the time in which a change has to be in force everywhere;
-/// tables reach all VMs without it.
+/// The minimum time between two watches; changes within it are delivered
+/// together. It takes a quarter of the time within which a change must be in
+/// force everywhere. Tables reach all VMs without it.
 const MIN_WATCH_INTERVAL: Duration = Duration::from_millis(450);
 
-/// A VM that is asked for the first time answers within this or is replaced
-/// by the next.
+/// How long a VM that is queried for the first time may take to respond before
+/// the next source replaces it.
 const FIRST_RESPONSE_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// If an answer has not come whole after this, the next source is asked as
-/// well: the link of the first may carry a few kilobytes a second.
+/// How long to wait for a full response before the next source is queried as
+/// well. The link of the first source may carry only a few kilobytes per
+/// second.
 const HEDGE_DELAY: Duration = Duration::from_millis(1_200);
 
-/// Pauses after a failure: the first is short, as one lost answer is no
-/// outage; all VMs come back together, so they spread over half of it.
+/// Delays after a failure. The first is short, because one lost response is
+/// not an outage. All VMs come back at the same time, so jitter spreads each
+/// delay over half of its length.
 const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(100);
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(800);
 
-/// What follows the store for the control actor.
+/// The task that follows the store for the control actor.
 #[derive(Debug)]
 pub(crate) struct StoreFollower {
     pub(crate) store: Arc<StoreClient>,
     pub(crate) peers: PeerClient,
     pub(crate) control: Address<ControlActor>,
     pub(crate) metrics: Arc<EntryMetrics>,
-    /// The VM that answered the last call.
+    /// The VM that responded to the last call.
     pub(crate) followed: Option<SocketAddr>,
-    /// The call whose answer was not waited for to its end.
+    /// The call whose response was too slow to wait for; it may still be in
+    /// flight.
     pub(crate) slow_response: Option<JoinHandle<bool>>,
 }
 
-/// A call for news to another VM.
+/// A call to another VM that fetches its updates.
 struct UpdateFetch {
     peers: PeerClient,
     control: Address<ControlActor>,
     address: SocketAddr,
     call: PeerCall,
-    /// Until when the answer begins; nothing: the usual time.
+    /// How long the response may take to begin; `None` for the default
+    /// timeout.
     head_timeout: Option<Duration>,
 }
 
 impl UpdateFetch {
-    /// Fetches, and tells the actor; whether there was an answer.
+    /// Fetches an update and sends it to the actor; returns whether there was
+    /// a response.
     async fn run(self) -> bool {
         let Self { peers, control, address, call, head_timeout } = self;
         let sent_at = MonotonicClock.now();
@@ -101,11 +107,11 @@
     }
 }
 
-/// The control actor is gone: the process ends.
+/// The control actor has stopped, because the process is stopping.
 struct ActorStopped;
 
 impl StoreFollower {
-    /// Follows the store until the actor is gone.
+    /// Follows the store until the actor stops.
     pub(crate) async fn run(mut self) {
         let mut pause = INITIAL_RETRY_DELAY;
         while let Ok(step) = self.control.send(NextSource).await {
@@ -121,7 +127,7 @@
         }
     }
 
-    /// Takes the next changes; false: the source failed.
+    /// Fetches the next changes; returns `false` if the source failed.
     async fn follow(&mut self, step: NextStep) -> Result<bool, ActorStopped> {
         let next = Instant::now() + MIN_WATCH_INTERVAL;
         let outcome = match step.source {
@@ -134,7 +140,9 @@
         };
         if let Err(failure) = outcome {
             self.metrics.news("store-failed");
-            log::debug!("[store] Following failed: {failure}.");
+            log::debug!(
+                "[store] A call that follows the store failed: {failure}."
+            );
             self.notify(StoreTimedOut).await?;
             return Ok(false);
         }
@@ -145,15 +153,16 @@
         Ok(true)
     }
 
-    /// Asks another VM, and goes on to the next source if its answer is
-    /// slow; that call ends by itself. Only one such call is left under way.
+    /// Queries another VM. If its response is slow, the next source is used
+    /// while the call runs until it completes or times out. At most one such
+    /// call is left in flight.
     async fn ask_peer(
         &mut self,
         address: SocketAddr,
         known: KnownRevisions,
     ) -> Result<bool, ActorStopped> {
-        // One that is asked for the first time answers at once, so that
-        // several silent ones cost little time.
+        // A VM that is queried for the first time responds at once, so several
+        // that do not respond cost little time.
         let wait = self.followed == Some(address);
         let head_timeout =
             (!wait && known.revision > 0).then_some(FIRST_RESPONSE_TIMEOUT);
@@ -186,7 +195,7 @@
         Ok(true)
     }
 
-    /// Whether an answer that was not waited for is still on its way.
+    /// Whether a response that was too slow to wait for is still in flight.
     fn has_slow_response(&self) -> bool {
         self.slow_response.as_ref().is_some_and(|task| !task.is_finished())
     }
@@ -225,7 +234,9 @@
                 self.notify(changes).await.map(Ok)
             }
             Ok(StoreReply::HistoryLost) => {
-                log::info!("[store] History after {after} is lost.");
+                log::info!(
+                    "[store] The history after revision {after} is lost."
+                );
                 self.notify(HistoryLost).await.map(Ok)
             }
             Ok(_) => Ok(Err(StoreFailure::Unknown)),
--- a/goldcrestramp-entry/src/control/handlers.rs
+++ b/goldcrestramp-entry/src/control/handlers.rs
@@ -1,4 +1,4 @@
-//! What the control actor does with what it is told.
+//! The message handlers of the control actor.
 
 use goldcrestramp_adapter::StoreCall;
 use goldcrestramp_assignment::{PreviousPlanner, last_grant_sent};
@@ -255,12 +255,14 @@
 
     async fn handle(&mut self, _: StopControl, _: &mut Context<Self>) {
         self.stopping = true;
-        // Nobody can take over while the store is away. If the planner then
-        // stops renewing at once, every key is without an owner when its
-        // hold ends; it renews until the process ends, like one whose lease
-        // can't be kept, and a successor asks it to stop.
+        // No VM can take over while the store is away. If the planner stopped
+        // renewing at once, every key would be without an owner when its grant
+        // expires. So it renews grants until the process ends, like a planner
+        // whose lease cannot be renewed, and a successor asks it to step down.
         if self.term.is_some() && !self.sync.is_fresh(now(), self.proof) {
-            log::warn!("[control] The store is silent: holds are renewed on.");
+            log::warn!(
+                "[control] The store does not respond; grants are still renewed."
+            );
             return;
         }
         self.end_term();
@@ -268,7 +270,9 @@
         if let Err(failure) =
             self.store.call(&StoreCall::EndLease(lease)).await
         {
-            log::info!("[store] The lease ends by itself: {failure}.");
+            log::info!(
+                "[store] The lease was not ended and will expire: {failure}."
+            );
         }
     }
 }
--- a/goldcrestramp-entry/src/control/lease.rs
+++ b/goldcrestramp-entry/src/control/lease.rs
@@ -1,4 +1,4 @@
-//! The lease with which this VM's entries in the store end.
+//! The lease that bounds the lifetime of this VM's entries in the store.
 
 use std::{sync::Arc, time::Duration};
 
@@ -18,20 +18,21 @@
     store::{StoreClient, StoreFailure},
 };
 
-/// How long a planner's record outlives it. Its loss stops renewals of
-/// grants for this long, so it is well below a grant's hold; three renewals
-/// may be lost before it ends.
+/// How long a planner's record remains after the planner fails. Losing the
+/// planner stops renewals of grants for this long, so it is well below the
+/// duration of a grant. Three renewals may be lost before it expires.
 pub(crate) const LEASE_TTL: TimeSpan = TimeSpan::from_millis(2_500);
 
-/// How long a VM's entry outlives it, and how often its lease is renewed.
+/// How long a VM's entry remains after the VM fails, and how often its lease
+/// is renewed.
 ///
-/// Renewals are most of what a large fleet asks of the store, though only a
-/// VM that plans or that others follow has to be missed soon.
+/// In a large fleet most calls to the store are renewals, but only the loss of
+/// a VM that plans or that others follow must be detected soon.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LeaseTerms {
-    /// How long the lease lasts without a renewal.
+    /// How long the lease is valid without a renewal.
     pub ttl: TimeSpan,
-    /// How long after a renewal the next is sent.
+    /// The time from one renewal to the next.
     pub renew_interval: TimeSpan,
 }
 
@@ -40,21 +41,22 @@
     pub const SHORT: Self =
         Self { ttl: LEASE_TTL, renew_interval: TimeSpan::from_millis(500) };
 
-    /// The terms of the others. Two renewals may be lost before it ends.
+    /// The terms of all other VMs. Two renewals may be lost before the lease
+    /// expires.
     pub const LONG: Self = Self {
         ttl: TimeSpan::from_millis(6_000),
         renew_interval: TimeSpan::from_millis(2_000),
     };
 }
 
-/// A VM that starts waits so long for the list of the others, by which its
-/// terms are chosen.
+/// How long a starting VM waits for the list of other VMs, which determines
+/// its terms.
 const TERMS_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The pause after a failure.
+/// The delay after a failure, before jitter.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Keeps a lease and this VM's entry until the actor is gone.
+/// Keeps a lease and this VM's entry alive until the actor stops.
 pub(crate) async fn keep_lease(
     store: Arc<StoreClient>,
     me: VmInstance,
@@ -62,7 +64,7 @@
     mut wanted: watch::Receiver<Option<LeaseTerms>>,
     control: Address<ControlActor>,
 ) {
-    // Without a list in time the short terms hold.
+    // If the list does not arrive in time, the short terms apply.
     let known = wanted.wait_for(Option::is_some);
     let _in_time = timeout(TERMS_TIMEOUT, known).await.is_ok();
     let mut current = None;
@@ -73,7 +75,8 @@
             Some((lease, known)) if known == terms => {
                 renew(&store, lease).await
             }
-            // The entry goes over to the new lease; a former one just ends.
+            // The entry moves to the new lease; the previous lease just
+            // expires.
             _ => {
                 let ttl = terms.ttl.max(min_ttl);
                 register(&store, &me, ttl).await.map(Some)
@@ -88,12 +91,14 @@
                 }
                 if lease.is_some() {
                     let pause = terms.renew_interval.to_std();
-                    // Other terms are taken up at once.
+                    // Changed terms take effect at once.
                     let _changed = timeout(pause, wanted.changed()).await;
                 }
             }
             Err(failure) => {
-                log::debug!("[store] The lease was not kept: {failure}.");
+                log::debug!(
+                    "[store] The lease was not opened or renewed: {failure}."
+                );
                 let jitter = rand::random_range(0.5..1.5);
                 sleep(RETRY_DELAY.mul_f64(jitter)).await;
             }
@@ -101,7 +106,7 @@
     }
 }
 
-/// Takes a lease and writes this VM's entry with it.
+/// Opens a lease and writes this VM's entry with it.
 async fn register(
     store: &StoreClient,
     me: &VmInstance,
@@ -121,7 +126,7 @@
     }
 }
 
-/// Renews the lease; nothing if it has ended.
+/// Renews the lease; returns `None` if it has expired.
 async fn renew(
     store: &StoreClient,
     lease: u64,
@@ -129,7 +134,7 @@
     match store.call(&StoreCall::RenewLease(lease)).await? {
         StoreReply::Leased { .. } => Ok(Some(lease)),
         StoreReply::NoLease => {
-            log::info!("[store] Lease {lease} has ended.");
+            log::info!("[store] Lease {lease} has expired.");
             Ok(None)
         }
         _ => Err(StoreFailure::Unknown),
--- a/goldcrestramp-entry/src/control/load.rs
+++ b/goldcrestramp-entry/src/control/load.rs
@@ -1,32 +1,33 @@
-//! What was asked for, told to the planning VM.
+//! The load of a VM, reported to the planning VM.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use goldcrestramp_types::{FastMap, SliceIndex, TimeSpan};
 use serde::{Deserialize, Serialize};
 
-/// The answers of one server.
+/// The responses of one server.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct ResponseTotals {
-    /// How many came.
+    /// The number of responses.
     pub responses: u32,
-    /// The time that they took, in milliseconds.
+    /// The sum of their response times, in milliseconds.
     pub millis: u32,
 }
 
-/// What one divided service was asked since the last report.
+/// The load of one divided service since the last report.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct ServiceLoad {
-    /// Requests by key.
+    /// The number of requests by key.
     pub keys: FastMap<u16, u32>,
-    /// Answers by server id.
+    /// The responses by server id.
     pub servers: FastMap<Arc<str>, ResponseTotals>,
 }
 
-/// What one VM was asked since its last report, by service.
+/// The load of one VM since its last report, by service.
 pub type LoadReport = FastMap<Arc<str>, ServiceLoad>;
 
-/// Counts on the traffic thread, read on the control thread.
+/// Load counters, written by the traffic thread and read by the control
+/// thread.
 #[derive(Clone, Debug, Default)]
 pub struct LoadRecorder(Arc<Mutex<LoadReport>>);
 
@@ -38,7 +39,7 @@
         *load.keys.entry(slice.get()).or_default() += 1;
     }
 
-    /// Counts an answer of a server.
+    /// Counts a response of a server that took `span`.
     pub fn record_response(
         &self,
         service: &Arc<str>,
@@ -53,14 +54,14 @@
         totals.millis = totals.millis.saturating_add(millis);
     }
 
-    /// Takes what was counted.
+    /// Takes the counts and resets them.
     #[must_use]
     pub fn take(&self) -> LoadReport {
         std::mem::take(&mut *self.lock())
     }
 
     fn lock(&self) -> MutexGuard<'_, LoadReport> {
-        // Counts are valid whatever happened to their holder.
+        // Counts remain valid if a thread panicked while it held the lock.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/goldcrestramp-entry/src/control/message.rs
+++ b/goldcrestramp-entry/src/control/message.rs
@@ -1,4 +1,4 @@
-//! What the control actor is told.
+//! The messages to the control actor.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -14,7 +14,7 @@
     store::{StoreFailure, StorePage},
 };
 
-/// Changes that a watch told.
+/// Changes that a watch returned.
 #[derive(Debug)]
 pub(crate) struct StoreChanges {
     /// When the watch was sent.
@@ -23,93 +23,94 @@
     pub(crate) revision: u64,
 }
 
-/// A reading of the whole store.
+/// A snapshot of the full store.
 #[derive(Debug)]
 pub(crate) struct StoreSnapshot {
-    /// When the first call was sent.
+    /// When the first call of the snapshot was sent.
     pub(crate) sent_at: LocalTime,
     pub(crate) page: StorePage,
 }
 
-/// A reading of the VMs' entries alone.
+/// The entries of the VMs, read from the store.
 #[derive(Debug)]
 pub(crate) struct VmPage(pub(crate) StorePage);
 
-/// Asks from where changes are to be followed next.
+/// Asks which source to follow next.
 #[derive(Debug)]
 pub(crate) struct NextSource;
 
-/// From where changes are to be followed next.
+/// The source to follow next.
 #[derive(Debug)]
 pub(crate) struct NextStep {
     pub(crate) source: UpdateSource,
-    /// What is known.
+    /// The revisions that this VM knows.
     pub(crate) known: KnownRevisions,
 }
 
-/// A VM was told of tables.
+/// A call that sent tables to a VM has ended.
 #[derive(Debug)]
 pub(crate) struct TablesReplicated {
     pub(crate) vm: VmInstance,
-    /// The versions that it has now; nothing if it gave no answer.
+    /// The versions that it has now; `None` if it did not respond.
     pub(crate) known: Option<Vec<TableRevision>>,
 }
 
-/// Another VM's news of the store.
+/// An update of the store from another VM.
 #[derive(Debug)]
 pub(crate) struct PeerUpdate {
     pub(crate) update: StoreUpdate,
-    /// The moment up to which these tell the store's changes.
+    /// The time up to which the update covers the store's changes.
     pub(crate) as_of: LocalTime,
     pub(crate) fresh: bool,
-    /// The VM that is followed, if the news come from it.
+    /// The followed VM, if the update is from it.
     pub(crate) source: Option<SocketAddr>,
 }
 
-/// The call to another VM, made while the store is silent, has ended.
+/// The query to another VM, made while the store did not respond, has ended.
 #[derive(Debug)]
 pub(crate) struct PeerQueryEnded;
 
-/// The VM that was followed gave no answer.
+/// The followed VM did not respond.
 #[derive(Debug)]
 pub(crate) struct PeerTimedOut(pub(crate) SocketAddr);
 
-/// The history after the known revision is no longer there.
+/// The store's history after the known revision is no longer available.
 #[derive(Debug)]
 pub(crate) struct HistoryLost;
 
-/// The store gave no answer to this VM.
+/// The store did not respond to this VM.
 #[derive(Debug)]
 pub(crate) struct StoreTimedOut;
 
-/// The lease was alive when the store took a call that was sent then; no
-/// lease: it has ended. The reply tells whether to keep one.
+/// The lease was alive when the store received a call that was sent at
+/// `sent_at`; without a lease, it has expired. The reply says whether to keep
+/// one.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LeaseProof {
     pub(crate) lease: Option<u64>,
-    /// The terms on which it is kept.
+    /// The terms of the lease.
     pub(crate) terms: LeaseTerms,
     pub(crate) sent_at: LocalTime,
 }
 
-/// Time has passed.
+/// Does the work that is due, at a fixed interval.
 #[derive(Debug)]
 pub(crate) struct ControlTick;
 
-/// The claim to be the planning VM has ended so.
+/// The claim to be the planning VM has ended.
 #[derive(Debug)]
 pub(crate) struct ClaimEnded {
     /// The revision of this VM's record, if it plans now.
     pub(crate) won_revision: Option<u64>,
-    /// The tables as they were read after the claim.
+    /// The tables as read after the claim.
     pub(crate) tables: StorePage,
-    /// The lease with which the record ends.
+    /// The lease of the planner's record.
     pub(crate) lease: u64,
     /// When the claim was sent.
     pub(crate) sent_at: LocalTime,
 }
 
-/// A table's commit has ended so.
+/// The commit of a table has ended.
 #[derive(Debug)]
 pub(crate) struct CommitEnded {
     pub(crate) service: Arc<str>,
@@ -117,14 +118,14 @@
     pub(crate) committed: Result<Option<u64>, StoreFailure>,
 }
 
-/// What lies in the store after a commit of unknown effect.
+/// The tables in the store, read back after a commit of unknown effect.
 #[derive(Debug)]
 pub(crate) struct ReadBack {
     pub(crate) service: Arc<str>,
     pub(crate) page: StorePage,
 }
 
-/// An order to a server has ended so.
+/// An order to a server has ended.
 #[derive(Debug)]
 pub(crate) struct OrderEnded {
     pub(crate) service: Arc<str>,
@@ -132,7 +133,7 @@
     pub(crate) outcome: OrderOutcome,
 }
 
-/// The former planner plans no more.
+/// The previous planner has stopped planning.
 #[derive(Debug)]
 pub(crate) struct PreviousPlannerStopped {
     /// When that became known.
@@ -141,6 +142,6 @@
     pub(crate) planned_by: LocalTime,
 }
 
-/// The process is to stop: nothing new is planned, and the lease ends.
+/// Stops planning and ends the lease, because the process is stopping.
 #[derive(Debug)]
 pub(crate) struct StopControl;
--- a/goldcrestramp-entry/src/control/mod.rs
+++ b/goldcrestramp-entry/src/control/mod.rs
@@ -1,7 +1,8 @@
-//! The control thread: what is known, who owns what, and orders.
+//! The control thread: learns the state of the store, plans which server owns
+//! which keys, and sends orders to servers.
 //!
-//! One actor holds the state; tasks beside it make the calls and tell it
-//! how they ended, so no decision waits for a socket.
+//! One actor holds the state. Separate tasks make the calls and send it the
+//! results, so no decision waits for a socket.
 
 mod actor;
 mod claim;
@@ -46,24 +47,25 @@
     view::FleetView,
 };
 
-/// How often due orders, claims and reports are looked for. Holds are
-/// renewed after more than a second, so a tenth of that is precise enough.
+/// How often the actor looks for due orders, claims and reports. Grants are
+/// renewed at intervals of more than a second, so a tenth of a second is
+/// precise enough.
 const TICK: Duration = Duration::from_millis(100);
 
-/// The running control part of a VM.
+/// A handle to the running control actor of a VM.
 #[derive(Clone, Debug)]
 pub struct ControlHandle(Address<ControlActor>);
 
 impl ControlHandle {
-    /// Gives up planning and ends the lease, so that another VM takes over
-    /// at once.
+    /// Stops planning and ends the lease, so that another VM takes over at
+    /// once.
     pub async fn stop(&self) {
-        // The actor is gone only when the process ends.
+        // Sending fails only when the process stops.
         let _gone = self.0.send(StopControl).await;
     }
 }
 
-/// Starts the control part on the current runtime.
+/// Starts the control actor and its tasks on the current runtime.
 pub fn spawn_control(
     settings: &NodeSettings,
     me: VmInstance,
--- a/goldcrestramp-entry/src/control/order.rs
+++ b/goldcrestramp-entry/src/control/order.rs
@@ -19,18 +19,21 @@
     http::{CallFailure, CallPool, CallRequest, ConnectionReuse},
 };
 
-/// A grant is answered at once; one without an answer is sent again.
+/// The timeout of a grant. A server responds to it at once; a grant without a
+/// response is retried.
 const GRANT_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// A release is answered when the work on its keys has ended, which takes
-/// as long as the longest request.
+/// The timeout of a release. A server responds when the work on the keys has
+/// ended, which takes as long as the longest request.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Whether orders of a term may be sent; held by those under way.
+/// Lets the orders of one term be sent until the term ends; orders in flight
+/// hold a reference.
 ///
-/// The failure: a planner that was replaced sends what it still has in
-/// hand, and its successor, which waits for the last grant, counts from
-/// too early. Looked at before each order, it stops all of them.
+/// A replaced planner that sent its queued orders would break its successor's
+/// assumption about when the last grant was sent: the successor waits for that
+/// grant, and would count from too early a time. The gate is checked before
+/// each order, so it stops all of them.
 #[derive(Debug, Default)]
 pub(crate) struct OrderGate {
     ended: AtomicBool,
@@ -46,22 +49,24 @@
     }
 }
 
-/// Sends the orders of one service; each end is told to the actor.
+/// Sends the orders of one service, and sends the outcome of each to the
+/// actor.
 #[derive(Clone)]
 pub(crate) struct OrderSender {
     pub(crate) pool: Arc<CallPool>,
     pub(crate) control: Address<ControlActor>,
     pub(crate) service: Arc<str>,
     pub(crate) gate: Arc<OrderGate>,
-    /// Until when no other VM can be planning.
+    /// The time until which no other VM can be planning.
     pub(crate) sole_planner_until: LocalTime,
 }
 
 impl OrderSender {
     /// Sends orders.
     ///
-    /// The grants of one server go one after the other on one connection;
-    /// the first that fails ends the round, as the others would fail too.
+    /// The grants of one server are sent one after the other on one
+    /// connection. The first that fails ends the batch, because the others
+    /// would fail too.
     pub(crate) fn send(&self, orders: Vec<ServerOrder>) {
         let mut batches: FastMap<Arc<str>, Vec<ServerOrder>> =
             FastMap::default();
@@ -81,13 +86,14 @@
         }
     }
 
-    /// Over which connections an order may go now.
+    /// Which connections an order may use now.
     ///
-    /// The failure: this VM is cut from the store and has a successor,
-    /// which moved keys away from a server; that server restarts under its
-    /// id and has forgotten the higher token, so a renewal from here makes
-    /// it an owner again. A connection ends with the run of the server that
-    /// took it, so renewals over kept ones can't reach a later run.
+    /// Suppose that this VM is cut off from the store and has a successor,
+    /// which moved keys away from a server. If that server restarts under its
+    /// id, it has forgotten the higher token, so a renewal from this VM would
+    /// make it an owner again. A connection ends with the server instance that
+    /// accepted it, so renewals over kept connections cannot reach a later
+    /// instance.
     fn connection_reuse(&self) -> ConnectionReuse {
         if MonotonicClock.now() < self.sole_planner_until {
             ConnectionReuse::Any
@@ -152,8 +158,9 @@
     }
 }
 
-/// Addresses are used again: an order for a server that has ended must not
-/// be taken by the next one at its address.
+/// The headers of an order. Addresses are reused, so the order names its
+/// server: one for a server that has ended must not be accepted by the next
+/// server at its address.
 fn order_headers(id: &str) -> HeaderMap {
     let mut map = HeaderMap::new();
     let json = HeaderValue::from_static("application/json");
@@ -174,7 +181,9 @@
         StatusCode::CONFLICT => OrderOutcome::Outdated,
         StatusCode::MISDIRECTED_REQUEST => OrderOutcome::Ended,
         status => {
-            log::warn!("[control] An order was answered {status}.");
+            log::warn!(
+                "[control] The response to an order has status {status}."
+            );
             OrderOutcome::Unknown
         }
     }
--- a/goldcrestramp-entry/src/control/permits.rs
+++ b/goldcrestramp-entry/src/control/permits.rs
@@ -1,7 +1,7 @@
-//! Permits for servers that name the rate they take from all VMs.
+//! Permits for servers that state the rate that they accept from all VMs.
 //!
-//! The traffic thread asks, the control thread fetches: from the planning VM,
-//! which keeps the accounts while it plans.
+//! The traffic thread requests permits, and the control thread fetches them
+//! from the planning VM, which keeps the ledger while it plans.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -15,28 +15,29 @@
     records::VmInstance,
 };
 
-/// Requests for permits, by server.
+/// Permit requests, by server.
 pub type PermitRequests = Vec<(ServerInstance, PermitRequest)>;
 
-/// The answers to them.
+/// Permit grants, by server.
 pub type PermitGrants = Vec<(ServerInstance, PermitGrant)>;
 
 #[derive(Debug, Default)]
 struct MailboxState {
-    /// What is to be asked, with the moment at which it was put down.
+    /// The queued requests, with the time at which each was queued.
     requests: FastMap<ServerInstance, (PermitRequest, LocalTime)>,
-    /// Answers with the moments at which they came.
+    /// The grants, with the time at which they arrived.
     grants: Vec<(LocalTime, PermitGrants)>,
-    /// Whether an answer is awaited.
+    /// Whether a call for permits is in flight.
     query_in_flight: bool,
 }
 
-/// Where both threads leave what they have for each other.
+/// Passes permit requests and grants between the traffic thread and the
+/// control thread.
 #[derive(Clone, Debug, Default)]
 pub struct PermitMailbox(Arc<Mutex<MailboxState>>);
 
 impl PermitMailbox {
-    /// Puts down what is to be asked for a server, in place of what was.
+    /// Queues a request for a server; it replaces the previous one.
     pub fn request(
         &self,
         now: LocalTime,
@@ -46,14 +47,15 @@
         self.lock().requests.insert(server.clone(), (request, now));
     }
 
-    /// Takes the answers that have come, each with the moment at which it
-    /// did: permits lapse from then on.
+    /// Takes the grants that have arrived, with their arrival times: the
+    /// lifetime of permits counts from then.
     #[must_use]
     pub fn take_grants(&self) -> Vec<(LocalTime, PermitGrants)> {
         std::mem::take(&mut self.lock().grants)
     }
 
-    /// Takes what is to be asked, unless an answer is awaited.
+    /// Takes the queued requests, unless a call is in flight. Each request's
+    /// age includes the time that it was queued.
     #[must_use]
     pub fn begin(&self, now: LocalTime) -> Option<PermitRequests> {
         let mut state = self.lock();
@@ -70,7 +72,7 @@
         Some(requests.into_iter().map(aged).collect())
     }
 
-    /// Leaves an answer for the traffic thread.
+    /// Stores grants for the traffic thread, and ends the call in flight.
     pub fn finish(&self, now: LocalTime, grants: PermitGrants) {
         let mut state = self.lock();
         state.query_in_flight = false;
@@ -78,13 +80,13 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, MailboxState> {
-        // What lies there is valid whatever happened to its holder.
+        // The state remains valid if a thread panicked while it held the lock.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl ControlActor {
-    /// Asks for the permits that requests wait for.
+    /// Fetches the permits that requests wait for.
     pub(crate) fn fetch_permits(&mut self, now: LocalTime) {
         let Some(requests) = self.permits.begin(now) else { return };
         if self.term.is_some() {
@@ -100,7 +102,7 @@
         });
     }
 
-    /// Gives permits out while this VM plans; none otherwise.
+    /// Grants permits if this VM plans; grants none otherwise.
     pub(crate) fn grant_permits(
         &mut self,
         now: LocalTime,
@@ -115,7 +117,8 @@
     }
 }
 
-/// Asks the planning VM; nothing if it can't be asked.
+/// Fetches permits from the planning VM; returns `None` if it cannot be
+/// reached or does not plan.
 async fn fetch(
     peers: &PeerClient,
     planner: Option<VmInstance>,
@@ -127,6 +130,6 @@
     if let Some(PeerReply::Permits(grants)) = reply {
         return Some(grants);
     }
-    log::info!("[permits] {} gives out no permits now.", planner.vm);
+    log::info!("[permits] VM {} grants no permits now.", planner.vm);
     None
 }
--- a/goldcrestramp-entry/src/control/ranking.rs
+++ b/goldcrestramp-entry/src/control/ranking.rs
@@ -1,8 +1,9 @@
-//! Which VMs follow the store, and which VM follows which.
+//! Decides which VMs follow the store, and which VM follows which.
 //!
 //! One VM of each failure domain follows the store for the others. Where VMs
-//! differ, only large ones do: each change of the configuration and each
-//! heartbeat crosses the link of a VM that follows the store.
+//! differ in capacity, only large ones follow it: each change of the
+//! configuration and each heartbeat crosses the link of a VM that follows the
+//! store.
 
 use std::cmp::Reverse;
 
@@ -10,23 +11,25 @@
 
 use crate::records::VmInstance;
 
-/// The VMs of its own failure domain that a VM may follow.
+/// The maximum number of VMs of its own failure domain that a VM may follow.
 const MAX_SOURCES_IN_DOMAIN: usize = 2;
 
-/// The VMs that a VM may follow, in all. Each that is silent costs a part of
-/// the time in which a change has to be known.
+/// The maximum number of VMs that a VM may follow in total. Each that does not
+/// respond costs a part of the time within which a change must be known.
 const MAX_SOURCES: usize = 3;
 
-/// A VM is large if it has at least this part of what the largest has.
+/// A VM is large if it has at least this percentage of the largest VM's
+/// capacity.
 const LARGE_PERCENT: u64 = 50;
 
-/// Whether a VM may plan and be followed while others like it are there.
+/// Whether a VM is large, so that it may plan and be followed while `vms` are
+/// present.
 #[must_use]
 pub fn is_large(me: &VmInstance, vms: &[VmInstance]) -> bool {
     has_large_capacity(me, largest_of(me, vms))
 }
 
-/// The largest capacity there is.
+/// The largest capacity of any VM, this one included.
 fn largest_of(me: &VmInstance, vms: &[VmInstance]) -> u32 {
     let others = vms.iter().map(|vm| vm.capacity).max();
     others.unwrap_or(0).max(me.capacity)
@@ -36,15 +39,15 @@
     u64::from(vm.capacity) * 100 >= u64::from(largest) * LARGE_PERCENT
 }
 
-/// The VMs that `me` may follow, best first; none: it follows the store.
-/// `is_near` tells the failure domains of its own region.
+/// The VMs that `me` may follow, best first; if there are none, it follows the
+/// store. `is_near` says whether a failure domain is in the region of `me`.
 ///
-/// A large VM follows those of its own failure domain alone, so that it
-/// takes the place of one that fails. For a small one those of other failure
-/// domains come last, the ones of its own region before the others.
+/// A large VM follows only large VMs of its own failure domain, so that it can
+/// replace one that fails. For a small VM, those of other failure domains come
+/// last, the ones of its own region before the others.
 ///
-/// Small VMs are no sources: heartbeats and whole configurations from the
-/// store would fill their links, and callers' requests wait behind them.
+/// Small VMs are never sources: heartbeats and full configurations from the
+/// store would fill their links, and callers' requests would wait behind them.
 #[must_use]
 pub fn source_vms<'a>(
     me: &VmInstance,
@@ -75,8 +78,9 @@
     sources
 }
 
-/// The VMs that `me` may ask when its own sources fail: the other large
-/// ones, whose news come from the store or from one VM that follows it.
+/// The VMs that `me` may query when its own sources fail: the other large
+/// ones, whose updates come from the store or from one VM that follows it. If
+/// there are none, all other VMs.
 #[must_use]
 pub fn fallback_vms<'a>(
     me: &VmInstance,
@@ -89,7 +93,7 @@
     if large.is_empty() { others().collect() } else { large }
 }
 
-/// The best ranked VM of each failure domain.
+/// The best-ranked VM of each failure domain.
 fn domain_leaders(vms: Vec<&VmInstance>) -> Vec<&VmInstance> {
     let mut leaders: FastMap<&str, &VmInstance> = FastMap::default();
     for vm in vms {
--- a/goldcrestramp-entry/src/control/service.rs
+++ b/goldcrestramp-entry/src/control/service.rs
@@ -1,4 +1,4 @@
-//! The plan of one divided service.
+//! Plans the assignments of one divided service.
 
 use std::sync::Arc;
 
@@ -17,31 +17,33 @@
     load::ServiceLoad, speed::SpeedEstimates, term::instance_of,
 };
 
-/// How long a grant holds. A server that can't be reached and is gone
-/// leaves its keys without an owner for this long; a planner that is lost
-/// is replaced within 3.5 s, and its servers must hold on until then.
+/// How long a grant is valid. A server that has ended and cannot be reached
+/// leaves its keys without an owner for this long. A lost planner is replaced
+/// within 3.5 s, and its servers must keep their grants until then.
 pub(crate) const GRANT_DURATION: TimeSpan = TimeSpan::from_millis(5_500);
 
-/// After which part of its hold a grant is renewed: 1.5 s, so that 4 s of a
-/// hold are left at any moment.
+/// The percentage of its duration after which a grant is renewed: 1.5 s, so
+/// that at least 4 s of a grant remain at any time.
 const RENEW_PERCENT: u64 = 27;
 
-/// How soon an order without an answer is sent again.
+/// How soon an order without a response is retried.
 const RETRY_DELAY: TimeSpan = TimeSpan::from_millis(250);
 
-/// How often moves are weighed: a report of every VM comes in between.
+/// How often moves are considered. Every VM sends a report within this time.
 const REBALANCE_INTERVAL: TimeSpan = TimeSpan::from_millis(500);
 
-/// A run that moved stays for so long, or noise would send it to and fro.
+/// How long a range that moved must stay where it is; otherwise noise would
+/// move it back and forth.
 const MOVE_COOLDOWN: TimeSpan = TimeSpan::from_millis(800);
 
 /// The plan of one service while this VM plans.
 #[derive(Debug)]
 pub(crate) struct ServicePlan {
     pub(crate) planner: TablePlanner,
-    /// The committed table's revision: a condition of the next commit.
+    /// The committed table's revision, which is a condition of the next
+    /// commit.
     pub(crate) revision: u64,
-    /// Whether a commit is on its way.
+    /// Whether a commit is in flight.
     pub(crate) committing: bool,
     load: RangeLoad,
     speeds: SpeedEstimates,
@@ -73,7 +75,7 @@
         }
     }
 
-    /// Takes what a VM was asked for.
+    /// Records the load that a VM reported.
     pub(crate) fn record_load(&mut self, now: LocalTime, load: &ServiceLoad) {
         for (key, requests) in &load.keys {
             self.load.record((*key).into(), *requests);
@@ -83,7 +85,7 @@
         }
     }
 
-    /// Takes a table that was committed.
+    /// Records a table that was committed.
     pub(crate) fn committed(
         &mut self,
         now: LocalTime,
@@ -103,7 +105,7 @@
         self.planner.committed(table);
     }
 
-    /// The next table, if something is to change.
+    /// The next table, if anything must change.
     pub(crate) fn plan(
         &mut self,
         now: LocalTime,
@@ -124,7 +126,7 @@
         let inputs = PlacementInputs::new(self, ready, rates);
         let move_requests =
             if rebalance { self.move_requests(&inputs) } else { Vec::new() };
-        let mut assigned_load = Vec::new();
+        let mut placed = Vec::new();
         let load = &self.load;
         let target = |range| {
             let (ranges, targets) = (&inputs.ranges, &inputs.targets);
@@ -132,7 +134,7 @@
                 ranges,
                 targets,
                 load,
-                &mut assigned_load,
+                &mut placed,
                 range,
             )?;
             Some(inputs.instances[target].clone())
@@ -157,8 +159,8 @@
             let highest = utilization.iter().copied().fold(0.0, f32::max);
             let slices: u32 = moves.iter().map(|m| m.range.slices()).sum();
             log::info!(
-                "[planner] {} ranges of {slices} keys are to move; the \
-                 fullest server utilization {highest:.2} of its slots.",
+                "[planner] {} ranges with {slices} keys will move; the \
+                 busiest server uses {highest:.2} of its slots.",
                 moves.len()
             );
         }
@@ -170,8 +172,8 @@
     }
 }
 
-/// The work of each request, in seconds, with which so many slots do what a
-/// server takes.
+/// The work per request, in seconds, at which `slots` slots complete `per_s`
+/// requests per second; 0 if no rate is stated.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_precision_loss,
@@ -181,7 +183,7 @@
     per_s.map_or(0.0, |per_s| slots as f32 / per_s as f32)
 }
 
-/// The servers and runs of a service as the rebalancing sees them.
+/// The servers and ranges of a service, as input to the rebalancing.
 struct PlacementInputs {
     instances: Vec<ServerInstance>,
     targets: Vec<TargetLoad>,
@@ -209,7 +211,7 @@
             })
             .collect();
         let table = plan.planner.table();
-        // Holders that are no longer ready stand behind, closed.
+        // Holders that are no longer ready are appended and accept no keys.
         let ready = instances.iter().cloned().zip(0..);
         let ready: FastMap<ServerInstance, usize> = ready.collect();
         let mut positions = FastMap::default();
--- a/goldcrestramp-entry/src/control/source.rs
+++ b/goldcrestramp-entry/src/control/source.rs
@@ -1,4 +1,5 @@
-//! From where a VM learns what changes in the store, and what it tells.
+//! Chooses the source of a VM's store updates, builds updates for other VMs
+//! and applies theirs.
 
 use goldcrestramp_types::{ClockSource, LocalTime, MonotonicClock};
 
@@ -13,25 +14,26 @@
     peers::{KnownRevisions, PeerCall, PeerReply, StoreUpdate},
 };
 
-/// What came of another VM's news.
+/// The result of applying another VM's update.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AppliedUpdate {
     /// Whether anything has changed.
     pub(crate) changed: bool,
-    /// Whether everything was taken.
+    /// Whether the full update was applied.
     pub(crate) complete: bool,
 }
 
 impl ControlActor {
-    /// Asks another VM while the store is silent to this one.
+    /// Queries another VM if the store or the followed VM has not responded in
+    /// time.
     pub(crate) fn query_peer_if_stale(&mut self, now: LocalTime) {
         if self.sync.query_due(now, self.proof) {
             self.query_peer();
         }
     }
 
-    /// From where changes are followed next: from the store by the planning
-    /// VM and by those that have nobody to follow, else from another VM.
+    /// The source to follow next. The planning VM and VMs without another VM
+    /// to follow use the store; all others use another VM.
     pub(crate) fn next_source(&mut self, now: LocalTime) -> UpdateSource {
         let revision = self.mirror.revision();
         let sources = if self.term.is_none() {
@@ -45,7 +47,7 @@
         self.sync.next(now, revision, peers)
     }
 
-    /// What this VM knows of the store.
+    /// The revisions of the store's contents that this VM knows.
     pub(crate) fn known_revisions(&self) -> KnownRevisions {
         KnownRevisions {
             revision: self.mirror.revision(),
@@ -54,7 +56,7 @@
         }
     }
 
-    /// What has changed in the store, for a VM that knows so much of it.
+    /// The changes of the store for a VM that knows the revisions in `known`.
     pub(crate) fn update_since(&self, known: &KnownRevisions) -> StoreUpdate {
         let tables = self.history.update_for(&known.tables);
         let configuration =
@@ -70,11 +72,11 @@
         StoreUpdate::Snapshot { items, tables, configuration }
     }
 
-    /// Takes what another VM says has changed.
+    /// Applies another VM's update.
     ///
-    /// Changes of a table or of the configuration that were made for another
-    /// version are left aside. The revision then stays, so that what is
-    /// missing is asked for again.
+    /// Patches of a table or of the configuration that have another base
+    /// version are skipped. The revision then stays as it is, so that the
+    /// missing changes are requested again.
     pub(crate) fn apply_update(
         &mut self,
         now: LocalTime,
@@ -98,8 +100,9 @@
                 let tables = self.apply_tables(now, tables);
                 let applied = self.apply_configuration(configuration);
                 let complete = tables && applied.complete;
-                // Adopted without them, what is missing would not be asked
-                // for.
+                // If the items were adopted without the tables and the
+                // configuration, the missing parts would not be requested
+                // again.
                 let changed = complete && self.mirror.adopt(items);
                 AppliedUpdate { changed: changed || applied.changed, complete }
             }
@@ -116,16 +119,16 @@
         match self.configurations.apply_update(update) {
             Ok(changed) => AppliedUpdate { changed, complete: true },
             Err(error) => {
-                log::debug!("[control] News were left aside: {error}.");
+                log::debug!("[control] An update was not applied: {error}.");
                 AppliedUpdate { changed: false, complete: false }
             }
         }
     }
 
-    /// Asks another VM for the store's contents, one at a time.
+    /// Queries another VM for the store's contents, one at a time.
     ///
-    /// Several answers that are on their way at once bring the same, and each
-    /// makes the others take longer on a narrow link.
+    /// Several responses in flight at once carry the same data, and each slows
+    /// the others down on a narrow link.
     pub(crate) fn query_peer(&mut self) {
         if self.query_in_flight {
             return;
@@ -146,11 +149,12 @@
                 peers.call(address, &call).await
             {
                 let as_of = update_as_of(sent_at, held, age);
-                // It says nothing of this VM's own way to the store.
+                // The response does not show whether this VM reaches the
+                // store.
                 let source = None;
                 let update =
                     PeerUpdate { update, as_of, fresh: false, source };
-                // The actor is gone only when the process ends.
+                // Sending fails only when the process stops.
                 let _gone = control.send(update).await;
             }
             // As above.
--- a/goldcrestramp-entry/src/control/speed.rs
+++ b/goldcrestramp-entry/src/control/speed.rs
@@ -1,4 +1,4 @@
-//! How fast the servers of a service are.
+//! Estimates the work per request of a service's servers.
 
 use std::sync::Arc;
 
@@ -8,27 +8,27 @@
 
 use crate::control::load::ResponseTotals;
 
-/// What stands in until servers have answered, in seconds.
+/// The assumed work per request until servers have responded, in seconds.
 const INITIAL_WORK_S: f32 = 0.1;
 
 /// A server that has just started takes about twice the time.
 const COLD_FACTOR: f32 = 2.0;
 
-/// What is known of one server.
+/// The estimate for one server.
 #[derive(Debug)]
 struct ServerSpeed {
     estimate: WorkEstimate,
-    /// What the estimate said when it was last settled, in seconds: it is
-    /// worked out with each round, and asked for with each plan.
+    /// The estimate at its last decay, in seconds. It is computed once per
+    /// rebalancing round and read with each plan.
     work_s: Option<f32>,
 }
 
-/// The speeds of the servers of a service, by their ids.
+/// The estimates for the servers of a service, by server id.
 #[derive(Debug, Default)]
 pub(crate) struct SpeedEstimates(FastMap<Arc<str>, ServerSpeed>);
 
 impl SpeedEstimates {
-    /// Counts answers of a server.
+    /// Records the responses of a server.
     pub(crate) fn record(
         &mut self,
         now: LocalTime,
@@ -42,8 +42,8 @@
         speed.estimate.record(totals.responses, span.to_std().as_secs_f32());
     }
 
-    /// Takes what was counted into what is known; servers that are no
-    /// longer ready are forgotten.
+    /// Updates the estimates from the recorded responses, and removes servers
+    /// that are no longer ready.
     pub(crate) fn decay(
         &mut self,
         now: LocalTime,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The usual work of the servers on a request, in seconds.
+    /// The median work of the servers per request, in seconds.
     pub(crate) fn typical_work_s(&self, ready: &[Arc<ServerEntry>]) -> f32 {
         let known = ready.iter().filter_map(|entry| self.known_work_s(entry));
         let mut sorted: Vec<f32> = known.collect();
@@ -66,8 +66,8 @@
         sorted.get(sorted.len() / 2).copied().unwrap_or(INITIAL_WORK_S)
     }
 
-    /// The work of a server on a request, in seconds; `usual` stands in for
-    /// what is not known.
+    /// The work of a server per request, in seconds. `typical` is used where
+    /// there is no estimate.
     pub(crate) fn work_s(&self, entry: &ServerEntry, typical: f32) -> f32 {
         let work = self.known_work_s(entry);
         if entry.warmup_remaining > TimeSpan::ZERO {
--- a/goldcrestramp-entry/src/control/sync.rs
+++ b/goldcrestramp-entry/src/control/sync.rs
@@ -1,4 +1,5 @@
-//! From where a VM takes its news of the store, and how far to trust it.
+//! Tracks how fresh a VM's copy of the store is, and chooses the source that
+//! it follows.
 
 use std::{
     net::SocketAddr,
@@ -10,81 +11,84 @@
 
 use goldcrestramp_types::{FastMap, LocalTime, TimeSpan};
 
-/// Silence of the store that counts as an outage: longer than a lost
-/// answer and its second try.
+/// How long the store must be without a response to count as an outage: longer
+/// than a lost response and its retry.
 const MIN_OUTAGE: TimeSpan = TimeSpan::from_millis(600);
 
-/// Entries that ended while the store was away are back about two seconds
-/// after its return, so their absence says nothing until then.
+/// Entries that expired while the store was away are back about two seconds
+/// after its return, so until then a missing entry does not show that its
+/// owner has ended.
 const RECOVERY_GRACE: TimeSpan = TimeSpan::from_millis(2_300);
 
-/// News that are older than this have waited out an outage, in which the
-/// store acknowledged nothing to anybody.
+/// Bounds how far in the past a change is dated. An update that is older than
+/// this has waited out an outage, in which the store acknowledged nothing to
+/// any client.
 const MAX_LAG: TimeSpan = TimeSpan::from_millis(1_500);
 
-/// A VM that could not be followed is not asked again for so long.
+/// How long a VM that could not be followed is not queried again.
 const PEER_RETRY_DELAY: TimeSpan = TimeSpan::from_millis(5_000);
 
-/// A VM whose news are not fresh is followed for so long all the same: it
-/// may have lost its own source a moment ago and be about to replace it.
-/// Two of its answers come in this time.
+/// How long a VM whose updates are not fresh is still followed. It may have
+/// just lost its own source and be about to replace it. Two of its responses
+/// arrive in this time.
 const MAX_STALE_TIME: TimeSpan = TimeSpan::from_millis(700);
 
-/// The store is taken for silent when the last call that it answered was
-/// sent so long ago: two renewals of the lease.
+/// The store counts as unresponsive when the last call that it responded to
+/// was sent this long ago: two renewals of the lease.
 ///
-/// The failure: the store answers nothing to one VM and serves the others.
-/// That VM's watch waits on, and a change of the configuration is not in
+/// The store may fail to respond to one VM and still serve the others. The
+/// watch of that VM keeps waiting, and a change of the configuration is not in
 /// force on it, nor on the VMs that follow it.
 const STORE_TIMEOUT: TimeSpan = TimeSpan::from_millis(1_050);
 
-/// A VM with news that are older than this asks another one than it
-/// follows. News of a source that answers in time are younger: its own age,
-/// and the time that it holds a call.
+/// A VM whose last update is older than this queries another VM than the one
+/// it follows. Updates of a source that responds in time are younger: their
+/// age is the source's own age plus the time for which it holds a call.
 const MAX_UPDATE_AGE: TimeSpan = TimeSpan::from_millis(1_500);
 
-/// How often a VM that the store is silent to asks another one.
+/// How often a VM to which the store does not respond queries another VM.
 const QUERY_INTERVAL: TimeSpan = TimeSpan::from_millis(400);
 
-/// From where changes are followed.
+/// The source from which changes are followed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum UpdateSource {
-    /// The VMs alone are read from the store.
+    /// Reads only the VMs' entries from the store.
     StoreVms,
-    /// Everything is read from the store.
+    /// Reads the full store.
     FullStore,
-    /// The store's changes after a revision.
+    /// Watches the store's changes after a revision.
     StoreChanges(u64),
-    /// Another VM's, after a revision.
+    /// Queries another VM for changes after a revision.
     Peer(SocketAddr, u64),
 }
 
-/// What has been read of the store.
+/// What has been read from the store.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 enum ReadState {
     /// Nothing.
     #[default]
     Unread,
-    /// Who the other VMs are, or everything.
+    /// The VMs' entries, or everything.
     VmsKnown,
-    /// Changes since are no longer to be had.
+    /// The history after the known revision is lost.
     HistoryLost,
 }
 
-/// The moment up to which the store's changes are known; shared with the
-/// traffic thread. It only moves forward.
+/// The time up to which the store's changes are known; shared with the traffic
+/// thread. It only moves forward.
 #[derive(Clone, Debug, Default)]
 pub struct FreshnessClock(Arc<AtomicU64>);
 
 impl FreshnessClock {
-    /// The moment.
+    /// The time up to which the store's changes are known; the default value
+    /// if they never were.
     #[must_use]
     pub fn current_at(&self) -> LocalTime {
         LocalTime::from_micros(self.0.load(Ordering::Relaxed))
     }
 
-    /// How long ago the store was as it is known; the longest time there is
-    /// if it never was.
+    /// The age of the known state of the store; the maximum if no state was
+    /// ever known.
     #[must_use]
     pub fn age(&self, now: LocalTime) -> TimeSpan {
         let current_at = self.current_at();
@@ -99,11 +103,11 @@
     }
 }
 
-/// The moment up to which another VM's answer tells the store's changes.
+/// The time up to which another VM's response covers the store's changes.
 ///
-/// It had held the call for `held` when it knew the store as it was `age`
-/// before. How long the answer was on the way is not known, and on a full
-/// link it is long, so the moment is counted from when the call was sent.
+/// The VM had held the call for `held` when its copy of the store was `age`
+/// old. The time that the response was in flight is not known, and on a full
+/// link it is long, so the result counts from when the call was sent.
 #[must_use]
 pub fn update_as_of(
     sent_at: LocalTime,
@@ -113,43 +117,43 @@
     sent_at + held - age
 }
 
-/// What a VM knows of its way to the store.
+/// The state of a VM's synchronization with the store.
 #[derive(Debug, Default)]
 pub struct SyncState {
-    /// When the store last answered; the start of the clock: never.
+    /// When the store last responded; the start of the clock if it never did.
     last_response_at: LocalTime,
-    /// When it came back after an outage.
+    /// When the store came back after an outage.
     recovered_at: LocalTime,
     clock: FreshnessClock,
-    /// Whether a call failed since it last answered.
+    /// Whether a call has failed since the store last responded.
     unavailable: bool,
     /// Whether this VM follows the store itself.
     follows_store: bool,
-    /// What has been read of the store.
+    /// What has been read from the store.
     read_state: ReadState,
-    /// VMs that could not be followed, with when that was.
+    /// The VMs that could not be followed, with the time of the failure.
     failed_peers: FastMap<SocketAddr, LocalTime>,
-    /// The VM that is followed, with since when its news are not fresh.
+    /// The followed VM whose updates are not fresh, with the time since when.
     stale_peer: Option<(SocketAddr, LocalTime)>,
     last_query_at: LocalTime,
 }
 
 impl SyncState {
-    /// The state of a VM that knows nothing; it sets the clock forward.
+    /// The state of a VM that knows nothing yet; it advances `clock`.
     #[must_use]
     pub fn open(clock: FreshnessClock) -> Self {
         Self { clock, ..Self::default() }
     }
 
-    /// Notes that the store has answered, here or at the source.
+    /// Records that the store has responded to this VM or to its source.
     pub fn record_response(&mut self, now: LocalTime) {
         let silence = now.since(self.last_response_at);
         let known = self.last_response_at > LocalTime::default();
-        // A watch without changes is silent for up to its own wait, so
-        // only a call that failed makes silence an outage.
+        // A watch without changes gets no response for up to its own wait, so
+        // silence is an outage only if a call failed.
         if known && self.unavailable && silence > MIN_OUTAGE {
             log::info!(
-                "[store] The store answers again after {} ms.",
+                "[store] The store responds again after {} ms.",
                 silence.as_millis()
             );
             self.recovered_at = now;
@@ -158,24 +162,25 @@
         self.unavailable = false;
     }
 
-    /// Notes that all changes up to a moment are known.
+    /// Records that all changes up to a time are known.
     pub fn record_current_at(&mut self, at: LocalTime) {
         self.clock.advance(at);
     }
 
-    /// How long ago the store was as this VM knows it.
+    /// The age of this VM's copy of the store.
     #[must_use]
     pub fn age(&self, now: LocalTime) -> TimeSpan {
         self.clock.age(now)
     }
 
-    /// The earliest moment at which the store may have taken a change that
-    /// is learnt now.
+    /// The earliest time at which the store may have accepted a change that
+    /// becomes known now.
     ///
-    /// A leaving server gets no new request some time after the store has
-    /// taken its word. Counted from when a VM learns of it, that is too late
-    /// if the VM that it follows has fallen silent meanwhile. After an outage
-    /// entries are missing that nobody took back, so they count from now.
+    /// A leaving server must get no new requests from a certain time after the
+    /// store has accepted its change of state. If that counted from when a VM
+    /// learns of it, it would be too late whenever the followed VM stopped
+    /// responding in the meantime. After an outage, entries are missing
+    /// although no server removed them, so they count from now.
     #[must_use]
     pub fn changed_since(&self, now: LocalTime) -> LocalTime {
         if self.may_miss_entries(now) {
@@ -184,31 +189,33 @@
         self.clock.current_at().max(now - MAX_LAG)
     }
 
-    /// Notes that a call to the store failed.
+    /// Records that a call to the store failed.
     pub fn record_failure(&mut self) {
         if !self.unavailable {
-            log::info!("[store] The store gives no answer.");
+            log::info!("[store] The store does not respond.");
         }
         self.unavailable = true;
     }
 
-    /// Notes that changes after the known revision can't be had any more.
+    /// Records that the changes after the known revision are no longer
+    /// available.
     pub const fn record_history_loss(&mut self) {
         self.read_state = ReadState::HistoryLost;
     }
 
-    /// Notes that the other VMs, or everything, was read.
+    /// Records that the other VMs' entries, or everything, was read.
     pub const fn record_read(&mut self) {
         self.read_state = ReadState::VmsKnown;
     }
 
-    /// Notes that a VM gave no answer.
+    /// Records that a VM did not respond.
     pub fn record_peer_failure(&mut self, now: LocalTime, peer: SocketAddr) {
         self.failed_peers.insert(peer, now);
         self.stale_peer = None;
     }
 
-    /// Notes that a VM's news are fresh, or that it does not know.
+    /// Records a VM's response, and whether its updates are fresh. A VM whose
+    /// updates are stale for too long counts as failed.
     pub fn record_peer_response(
         &mut self,
         now: LocalTime,
@@ -227,18 +234,18 @@
         }
     }
 
-    /// From where changes after `revision` are followed next: `peers` are
+    /// The source from which to follow changes after `revision`. `peers` are
     /// the VMs that may follow the store for this one, best first. One that
     /// could not be followed is replaced by the next.
     ///
-    /// If all that follow a VM followed the store while it restarts, each
-    /// with all servers' heartbeats, they would fill the link between regions
-    /// and more VMs would lose the one that they follow.
+    /// If all VMs that follow a VM followed the store while that VM restarts,
+    /// each would receive the heartbeats of all servers. They would fill the
+    /// link between regions, and more VMs would lose the VM that they follow.
     ///
-    /// A VM that starts reads who the others are, and has the rest from
-    /// one of them. If a whole fleet starts at once and each VM reads the
-    /// store whole, they fill the link between the regions: no reading ends
-    /// in its time, all begin again, and no server is reached.
+    /// A starting VM reads only the VMs' entries, and gets the rest from one
+    /// of those VMs. If a large fleet starts at once and each VM reads the
+    /// full store, the reads fill the link between the regions: no read ends
+    /// within its timeout, all start again, and no server is reached.
     pub fn next(
         &mut self,
         now: LocalTime,
@@ -264,17 +271,17 @@
         }
     }
 
-    /// Whether the store answers this VM; `proof` is when the last call
-    /// was sent that it answered.
+    /// Whether the store responds to this VM; `proof` is when the last call
+    /// that it responded to was sent.
     #[must_use]
     pub fn is_fresh(&self, now: LocalTime, proof: LocalTime) -> bool {
         !self.unavailable && now.since(proof) < STORE_TIMEOUT
     }
 
-    /// Whether other VMs may rely on this one's news.
+    /// Whether other VMs may rely on this VM's updates.
     ///
-    /// A lease that is renewed in time says nothing of the watch, which has a
-    /// connection of its own: the news themselves must be young as well.
+    /// A lease that is renewed in time proves nothing about the watch, which
+    /// has a connection of its own. So the last update must be recent as well.
     #[must_use]
     pub fn may_be_followed(&self, now: LocalTime, proof: LocalTime) -> bool {
         self.follows_store
@@ -282,12 +289,12 @@
             && self.age(now) < STORE_TIMEOUT
     }
 
-    /// Whether to ask another VM now: the store is silent to this one, or
-    /// the VMs that it follows are.
+    /// Whether to query another VM now, because the store or the VMs that this
+    /// one follows do not respond in time.
     pub fn query_due(&mut self, now: LocalTime, proof: LocalTime) -> bool {
         let pause = now.since(self.last_query_at) >= QUERY_INTERVAL;
-        // The lease of a VM that nobody follows is renewed too seldom to
-        // tell.
+        // The lease of a VM that no other VM follows is renewed too rarely to
+        // show whether the store responds.
         let silent = if self.follows_store {
             !self.is_fresh(now, proof)
         } else {
@@ -301,12 +308,12 @@
         due
     }
 
-    /// Whether a missing entry says nothing yet: the store is away, or has
-    /// just come back.
+    /// Whether entries may be missing although their owners live, because the
+    /// store is away or has just come back.
     #[must_use]
     pub fn may_miss_entries(&self, now: LocalTime) -> bool {
-        let recovered_at = self.recovered_at > LocalTime::default();
+        let had_outage = self.recovered_at > LocalTime::default();
         self.unavailable
-            || (recovered_at && now.since(self.recovered_at) < RECOVERY_GRACE)
+            || (had_outage && now.since(self.recovered_at) < RECOVERY_GRACE)
     }
 }
--- a/goldcrestramp-entry/src/control/tables.rs
+++ b/goldcrestramp-entry/src/control/tables.rs
@@ -1,7 +1,7 @@
-//! How a committed table reaches the other VMs.
+//! Replicates committed tables to the other VMs.
 //!
-//! The store's own watch tells of it too, only half a second later, in
-//! which keys that moved would be asked for at their former owner.
+//! The store's own watch delivers them too, but half a second later. In that
+//! time requests for keys that moved would be sent to their previous owner.
 
 use std::sync::Arc;
 
@@ -15,23 +15,25 @@
     records::VmInstance,
 };
 
-/// What the planning VM has told the others.
+/// The tables that the planning VM has replicated, by VM.
 #[derive(Debug, Default)]
 pub(crate) struct ReplicaTracker(FastMap<Arc<str>, ReplicaState>);
 
-/// What one run of a VM was told.
+/// The state of one VM instance's replica.
 #[derive(Debug)]
 struct ReplicaState {
     start: u64,
-    /// The versions that it said it has.
+    /// The versions that it reported.
     known: Vec<TableRevision>,
-    /// Whether a call is on its way. Two at once could overtake each other,
-    /// and the later change would be one of a version that is not there.
+    /// Whether a call is in flight. Two calls at once could overtake each
+    /// other, and the later patch would have a base version that the VM does
+    /// not have.
     in_flight: bool,
 }
 
 impl ReplicaTracker {
-    /// What a VM is known to have, if it may be told now.
+    /// The versions that a VM is known to have, if no call to it is in flight.
+    /// Marks a call as in flight.
     fn begin(
         &mut self,
         vm: &VmInstance,
@@ -70,7 +72,8 @@
 }
 
 impl ControlActor {
-    /// Takes a table that this VM has committed, and tells all others.
+    /// Records a table that this VM has committed, and replicates it to all
+    /// other VMs.
     pub(crate) fn replicate_table(&mut self, now: LocalTime, item: StoreItem) {
         let before = self.history.known_revisions();
         self.mirror.write(item);
@@ -84,8 +87,8 @@
         }
     }
 
-    /// Tells a VM what it does not have; of one that was never told, the
-    /// `usual` versions are assumed.
+    /// Sends a VM the tables that it does not have. A VM without a recorded
+    /// replica is assumed to have the `assumed` versions.
     fn replicate_to(&mut self, vm: &VmInstance, assumed: &[TableRevision]) {
         let Some(known) = self.replicas.begin(vm, assumed) else { return };
         let update = self.history.update_for(&known);
@@ -99,15 +102,15 @@
             let call = PeerCall::Tables(update);
             let known = match peers.call(vm.address, &call).await {
                 Some(PeerReply::Tables(known)) => Some(known),
-                // Its own watch tells it too, only later.
+                // Its own watch delivers them too, only later.
                 _ => None,
             };
-            // The actor is gone only when the process ends.
+            // Sending fails only when the process stops.
             let _gone = control.send(TablesReplicated { vm, known }).await;
         });
     }
 
-    /// Takes what a VM has after it was told of tables.
+    /// Records the versions that a VM has after a call.
     pub(crate) fn tables_replicated(&mut self, ended: TablesReplicated) {
         let TablesReplicated { vm, known } = ended;
         let responded = known.is_some();
@@ -117,7 +120,8 @@
         }
     }
 
-    /// Takes newer versions of tables; whether all of them are known now.
+    /// Applies newer versions of tables; returns whether all of them are known
+    /// now.
     pub(crate) fn apply_tables(
         &mut self,
         now: LocalTime,
@@ -136,7 +140,7 @@
                 Ok(None) => {}
                 Err(error) => {
                     log::debug!(
-                        "[control] Another version of {key}: {error}."
+                        "[control] An update of {key} was not applied: {error}."
                     );
                     all = false;
                 }
--- a/goldcrestramp-entry/src/control/term.rs
+++ b/goldcrestramp-entry/src/control/term.rs
@@ -1,4 +1,4 @@
-//! This VM's work while it is the one that plans.
+//! The work of this VM while it plans: tables, commits and orders.
 
 use std::sync::Arc;
 
@@ -28,33 +28,36 @@
     view::FleetView,
 };
 
-/// A first table is dealt out when no server has joined for so long: the
-/// servers of a fleet start within a second of each other.
+/// The first table of a service is created when no server has joined for this
+/// long. The servers of a fleet start within a second of each other.
 const SETTLE_TIME: TimeSpan = TimeSpan::from_millis(1_000);
 
-/// Runs of a first table, as far as each server has one and no more than
-/// the second figure: each is renewed on its own, and there have to be far
-/// fewer than the most that a service may have, or no busy run is cut.
+/// The number of ranges of a first table, as far as each server has at least
+/// one and at most `MAX_INITIAL_STRIPES`. Each range is renewed on its own,
+/// and there must be far fewer than a service's maximum, or no busy range
+/// could be split.
 const INITIAL_RANGES: u32 = 256;
 const MAX_INITIAL_STRIPES: u32 = 8;
 
 /// The term of the planning VM.
 #[derive(Debug)]
 pub(crate) struct PlannerTerm {
-    /// The revision of the planner's record: a condition of every commit.
+    /// The revision of the planner's record, which is a condition of every
+    /// commit.
     pub(crate) revision: u64,
-    /// The lease with which the record ends.
+    /// The lease of the planner's record.
     pub(crate) lease: u64,
-    /// When the last call was sent that proved the lease alive.
+    /// When the last call that proved the lease alive was sent.
     pub(crate) proof: LocalTime,
-    /// When a former planner may have sent its last grant.
+    /// The latest time at which a previous planner may have sent a grant.
     last_grant_at: LocalTime,
     services: ByService<ServicePlan>,
-    /// Services without a table: their servers, and since when.
+    /// The services without a table: their number of servers, and since when
+    /// it has not changed.
     unsettled: ByService<(usize, LocalTime)>,
-    /// Services whose first table is on its way.
+    /// The services whose first table is being committed.
     creating: FastSet<Arc<str>>,
-    /// The accounts of servers that name the rate they take.
+    /// The permits of servers that state the rate that they accept.
     pub(crate) rates: RateLedger<ServerInstance>,
     /// Lets orders of this term be sent until it ends.
     pub(crate) gate: Arc<OrderGate>,
@@ -91,17 +94,18 @@
         now.since(self.proof) < MAX_PROOF_AGE
     }
 
-    /// Whether all that happened up to this term's record is known, once
-    /// all changes up to `revision` are.
+    /// Whether all changes up to this term's record are known, if all changes
+    /// up to `revision` are.
     ///
-    /// A VM to which the store was silent may claim before it has learnt what
-    /// it missed; planning then would give keys to servers that have ended.
+    /// A VM to which the store did not respond may claim before it has caught
+    /// up. If it planned then, it would assign keys to servers that have
+    /// ended.
     const fn knows_its_start(&self, revision: u64) -> bool {
         revision >= self.revision
     }
 
-    /// Takes the knowledge that the planners before this one sent their last
-    /// grants before `last_grant_at`.
+    /// Records that the previous planners sent their last grants before
+    /// `last_grant_at`.
     pub(crate) fn inherit(&mut self, last_grant_at: LocalTime) {
         self.last_grant_at = self.last_grant_at.min(last_grant_at);
         for service in self.services.values_mut() {
@@ -109,7 +113,7 @@
         }
     }
 
-    /// Takes what a VM was asked for.
+    /// Records the load that a VM reported.
     pub(crate) fn record_load(&mut self, now: LocalTime, report: &LoadReport) {
         for (name, load) in report {
             if let Some(service) = self.services.get_mut(name) {
@@ -119,10 +123,11 @@
     }
 }
 
-/// What is known of the holder of keys.
+/// The status of the holder of keys.
 ///
-/// Only a run that started later proves that the holder has ended: entries
-/// lapse and return, so a former run's may be known while the holder's is not.
+/// Only an instance that started later proves that the holder has ended.
+/// Entries expire and return, so the entry of an earlier instance may be known
+/// while the holder's is not.
 fn holder_status(
     view: &FleetView,
     uncertain: bool,
@@ -141,7 +146,8 @@
     }
     let restarted =
         own.is_some_and(|own| own.started_ms > instance.started_ms);
-    // Orders name the server that they are for: its successor takes none.
+    // Orders name the server instance that they are for, so its successor
+    // accepts none of them.
     if restarted || view.has_successor(instance) {
         HolderStatus::Ended
     } else if uncertain {
@@ -151,7 +157,7 @@
     }
 }
 
-/// The life of a server that has an entry.
+/// The instance of a server that has an entry.
 pub(crate) fn instance_of(entry: &ServerEntry) -> ServerInstance {
     ServerInstance {
         id: Arc::clone(&entry.id),
@@ -161,7 +167,7 @@
 }
 
 impl ControlActor {
-    /// Plans and orders what is due.
+    /// Plans the next tables, commits them, and sends the orders that are due.
     pub(crate) fn run_planner(&mut self, now: LocalTime) {
         let view = Arc::clone(&self.view);
         let Some(routes) = &view.routes else { return };
@@ -183,7 +189,7 @@
                 };
                 let Ok(table) = AssignmentTable::decode(&item.value) else {
                     log::error!(
-                        "[control] The table of {name} is unreadable."
+                        "[control] The table of {name} cannot be decoded."
                     );
                     continue;
                 };
@@ -223,7 +229,8 @@
         }
     }
 
-    /// Commits a table, if this VM still plans and the table is as known.
+    /// Commits a table, on the condition that this VM still plans and the
+    /// table in the store is the known one.
     fn commit(
         &self,
         service: Arc<str>,
@@ -253,25 +260,27 @@
                 _ => None,
             });
             let ended = CommitEnded { service, table, committed };
-            // The actor is gone only when the process ends.
+            // Sending fails only when the process stops.
             let _gone = control.send(ended).await;
         });
     }
 
-    /// Takes the end of a commit.
+    /// Handles the end of a commit.
     pub(crate) fn commit_ended(&mut self, now: LocalTime, ended: CommitEnded) {
         let CommitEnded { service, table, committed } = ended;
         if let Ok(Some(revision)) = committed {
             self.record_table(now, &service, table, revision);
             return;
         }
-        // Not done, or not known to be done: the store itself tells.
+        // The commit was not done, or its outcome is not known; the store
+        // itself has the answer.
         log::info!("[control] A commit for {service} is read back.");
         let (store, control) = (Arc::clone(&self.store), self.address.clone());
         tokio::spawn(read_back(store, service, control));
     }
 
-    /// Takes what lies in the store after a commit of unknown effect.
+    /// Handles the tables that were read back after a commit of unknown
+    /// effect.
     pub(crate) fn read_back(&mut self, now: LocalTime, read: ReadBack) {
         let key = table_key(&read.service);
         let found = read.page.items.into_iter().find(|item| item.key == key);
@@ -282,13 +291,13 @@
             return;
         };
         let Ok(table) = AssignmentTable::decode(&item.value) else {
-            log::error!("[control] The table {key} is unreadable.");
+            log::error!("[control] The table {key} cannot be decoded.");
             return;
         };
         self.record_table(now, &read.service, table, item.revision);
     }
 
-    /// Takes a table that lies in the store.
+    /// Records a table that is in the store, and replicates it.
     fn record_table(
         &mut self,
         now: LocalTime,
@@ -307,7 +316,8 @@
         }
     }
 
-    /// Takes the end of an order; whether more can be done at once.
+    /// Handles the end of an order; returns whether more work may be due at
+    /// once.
     pub(crate) fn order_ended(
         &mut self,
         now: LocalTime,
@@ -326,17 +336,17 @@
         release
     }
 
-    /// Ends the term of the run that is meant, if it is this one.
+    /// Ends the term if `start` identifies this run of the process.
     pub(crate) fn step_down(&mut self, start: u64) -> PeerReply {
-        // Another run answers: the one that is meant is over.
+        // Another run is meant, and it has ended, since this one responds.
         if start != self.me.start {
             return PeerReply::SteppedDown;
         }
         if self.term.is_some() {
-            log::warn!("[control] Another VM plans; this one stops.");
+            log::warn!("[control] Another VM plans; this one steps down.");
             self.end_term();
         }
-        // Orders under way end within a second; the caller asks again.
+        // Orders in flight end within a second; the caller asks again.
         if self.has_orders_in_flight() {
             return PeerReply::Busy;
         }
@@ -344,8 +354,8 @@
     }
 }
 
-/// One line for each order that the server did not simply do, and for each
-/// release: they change who owns what.
+/// Logs each order that the server did not simply carry out, and each release,
+/// because these change who owns which keys.
 fn log_order(ended: &OrderEnded) {
     let OrderEnded { service, order, outcome } = ended;
     let grant = order.kind != OrderKind::Release;
@@ -365,7 +375,7 @@
     );
 }
 
-/// The first table of a service whose servers have settled.
+/// The first table of a service whose set of servers is stable.
 fn initial_table(
     term: &mut PlannerTerm,
     now: LocalTime,
@@ -388,22 +398,22 @@
     let stripes =
         (INITIAL_RANGES / servers.max(1)).clamp(1, MAX_INITIAL_STRIPES);
     let table = AssignmentTable::striped(&instances, stripes)?;
-    log::info!("[control] {name} gets its first table.");
+    log::info!("[control] The first table of {name} is being committed.");
     term.creating.insert(Arc::clone(name));
     Some((Arc::clone(name), 0, table))
 }
 
-/// Reads the tables until the store answers.
+/// Reads the tables, and retries until the store responds.
 async fn read_back(
     store: Arc<StoreClient>,
     service: Arc<str>,
     control: Address<ControlActor>,
 ) {
-    /// The pause after a failure.
+    /// The delay after a failure.
     const PAUSE: std::time::Duration = std::time::Duration::from_millis(300);
     while control.is_connected() {
         if let Ok(page) = store.read_all(TABLE_PREFIX).await {
-            // The actor is gone only when the process ends.
+            // Sending fails only when the process stops.
             let _gone = control.send(ReadBack { service, page }).await;
             return;
         }
--- a/goldcrestramp-entry/src/history.rs
+++ b/goldcrestramp-entry/src/history.rs
@@ -1,7 +1,7 @@
-//! The last versions of the tables of assignments.
+//! The recent versions of the assignment tables.
 //!
-//! A commit changes a few of some hundred runs. Whoever tells another VM of
-//! it sends what has changed since the version that this VM has, so recent
+//! A commit changes a few of some hundred ranges. A VM that replicates it
+//! sends the changes since the version that the other VM has, so recent
 //! versions are kept.
 
 use std::{collections::VecDeque, sync::Arc};
@@ -12,11 +12,11 @@
 
 use crate::{mirror::StoreMirror, records::TABLE_PREFIX};
 
-/// Versions kept of each table: four commits a second are many, and a VM
-/// that is four seconds behind is told everything.
+/// The number of versions kept of each table. 4 commits per second is a high
+/// rate, so a VM that is 4 s behind is sent the full table.
 const MAX_VERSIONS: usize = 16;
 
-/// A version of a table.
+/// Identifies a version of a table.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct TableRevision {
     /// The table's key in the store.
@@ -28,23 +28,23 @@
 /// A newer version of a table.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct TableUpdate {
-    /// Which version.
+    /// The version that the table has with this update.
     pub version: TableRevision,
-    /// What it is.
+    /// The contents.
     pub payload: TablePayload,
 }
 
-/// What a newer version is.
+/// The contents of a newer version.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum TablePayload {
-    /// What has changed since the version of revision `base`.
+    /// The changes since the version of revision `base`.
     Patch {
-        /// The revision of the version that was patched.
+        /// The revision of the version that the patch applies to.
         base: u64,
-        /// What has changed.
+        /// The changes.
         patch: TablePatch,
     },
-    /// All of it.
+    /// The full table.
     Full(AssignmentTable),
 }
 
@@ -54,14 +54,14 @@
     table: Arc<AssignmentTable>,
 }
 
-/// The last versions of every table that a VM has seen.
+/// The recent versions of every table that a VM has seen.
 #[derive(Debug, Default)]
 pub struct TableHistory {
     versions: FastMap<Arc<str>, VecDeque<TableVersion>>,
 }
 
 impl TableHistory {
-    /// Notes the tables that are known now; whether any is new.
+    /// Records the tables that are in the mirror; returns whether any is new.
     pub fn record(&mut self, mirror: &StoreMirror) -> bool {
         let mut any = false;
         for (key, item) in mirror.range(TABLE_PREFIX) {
@@ -95,7 +95,7 @@
         self.versions.iter().filter_map(newest).collect()
     }
 
-    /// The newest versions, for a VM that has `known` ones.
+    /// The updates for a VM that has the `known` versions.
     #[must_use]
     pub fn update_for(&self, known: &[TableRevision]) -> Vec<TableUpdate> {
         let mut update = Vec::new();
@@ -121,12 +121,12 @@
         update
     }
 
-    /// The table that news make of the known version; nothing if that one
-    /// is as new.
+    /// The table that results from an update of the known version; `None` if
+    /// the known version is at least as new.
     ///
     /// # Errors
     ///
-    /// [`TableError`] if they were made for another version.
+    /// [`TableError`] if the update is a patch for another version.
     pub fn resolve(
         &self,
         update: TableUpdate,
--- a/goldcrestramp-entry/src/mirror.rs
+++ b/goldcrestramp-entry/src/mirror.rs
@@ -1,4 +1,4 @@
-//! What lies in the store, as far as this VM knows.
+//! This VM's copy of the store.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -19,17 +19,18 @@
 pub struct MirrorValue {
     /// The value's bytes.
     pub value: Vec<u8>,
-    /// The store's revision at the change.
+    /// The store's revision of the last write.
     pub revision: u64,
-    /// The revision of the last change that said something new.
+    /// The revision of the last write that carried new information.
     pub changed: u64,
 }
 
-/// Removals that are remembered, so that another VM can be told only what
-/// has changed: a whole fleet of servers that leaves within a second.
+/// The number of removals that are kept, so that another VM can be sent only
+/// the changes. This is enough for a full fleet of servers that leaves within
+/// a second.
 const MAX_REMOVALS: usize = 512;
 
-/// What has changed in the store since a revision.
+/// The changes of the store since a revision.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MirrorDelta {
     items: Vec<(Arc<str>, MirrorValue)>,
@@ -37,34 +38,34 @@
     revision: u64,
 }
 
-/// A copy of the store that never goes back.
+/// A copy of the store that never goes back to an older state.
 ///
-/// Changes come from a watch, from whole readings, from the answers to own
-/// writes and from other VMs, in any order and more than once. An item's
-/// revision decides what is newer.
+/// Changes come from a watch, from full reads, from the responses to own
+/// writes and from other VMs, in any order and more than once. The revision of
+/// an item decides which value is newer.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct StoreMirror {
     items: BTreeMap<Arc<str>, MirrorValue>,
     /// The revision up to which all changes are known.
     revision: u64,
-    /// The revision up to which all changes were known when they last said
-    /// something new.
+    /// The revision up to which all changes were known when new information
+    /// last arrived.
     last_change_revision: u64,
     /// The last removals, oldest first.
     removed: VecDeque<(Arc<str>, u64)>,
-    /// All removals after this revision are remembered.
+    /// All removals after this revision are in `removed`.
     removed_since: u64,
 }
 
 impl StoreMirror {
-    /// The revision up to which all changes are known; 0: nothing is.
+    /// The revision up to which all changes are known; 0 if none are.
     #[must_use]
     pub const fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// The revision up to which all changes were known when they last said
-    /// something new.
+    /// The revision up to which all changes were known when new information
+    /// last arrived.
     #[must_use]
     pub const fn last_change_revision(&self) -> u64 {
         self.last_change_revision
@@ -76,12 +77,12 @@
         self.items.get(key)
     }
 
-    /// Takes an item out that is kept elsewhere.
+    /// Removes and returns an item that is kept elsewhere.
     pub fn extract(&mut self, key: &str) -> Option<MirrorValue> {
         self.items.remove(key)
     }
 
-    /// The items whose keys begin with `prefix`, in order.
+    /// The items whose keys begin with `prefix`, in key order.
     pub fn range<'a>(
         &'a self,
         prefix: &'a str,
@@ -91,12 +92,13 @@
             .take_while(move |(key, _)| key.starts_with(prefix))
     }
 
-    /// Takes changes, each of them and in order, up to `revision`; whether
-    /// they say something new.
+    /// Applies all changes up to `revision`, in order; returns whether any
+    /// carries new information.
     ///
-    /// Servers write a heartbeat each second, which changes nothing that a
-    /// VM goes by. Told on, those of hundreds of servers fill a narrow link
-    /// as soon as some VMs follow this one: they are taken, and are no news.
+    /// Servers write a heartbeat each second, which changes nothing that a VM
+    /// uses. Passed on, the heartbeats of hundreds of servers fill a narrow
+    /// link as soon as some VMs follow this one. So they are applied here, but
+    /// do not count as changes for other VMs.
     pub fn apply(&mut self, events: Vec<StoreEvent>, revision: u64) -> bool {
         let mut changed_any = false;
         for event in events {
@@ -119,7 +121,7 @@
         changed_any
     }
 
-    /// Notes up to which revision all changes are known.
+    /// Records up to which revision all changes are known.
     fn advance(&mut self, revision: u64, has_changes: bool) {
         self.revision = self.revision.max(revision);
         if has_changes {
@@ -127,15 +129,15 @@
         }
     }
 
-    /// Notes that something has changed that is kept elsewhere.
+    /// Records a change of data that is kept elsewhere.
     pub fn record_change(&mut self) {
         self.last_change_revision = self.revision;
     }
 
-    /// Takes one item that was written; changes before it may be missing.
+    /// Writes one item; changes before it may be missing.
     pub fn write(&mut self, item: StoreItem) {
-        // Between the known value and this one may have been another one,
-        // and who has that one has to be told.
+        // There may have been another value between the known one and this
+        // one, and a VM that has it must be sent the change.
         let changed = item.revision;
         self.write_if_newer(item, changed);
     }
@@ -166,8 +168,8 @@
         self.removed.push_back((key.into(), revision));
     }
 
-    /// What has changed since a revision, but for tables; nothing if
-    /// removals since then have been forgotten.
+    /// The changes since a revision, without tables; `None` if removals since
+    /// then are no longer kept.
     #[must_use]
     pub fn delta_since(&self, revision: u64) -> Option<MirrorDelta> {
         (revision >= self.removed_since).then_some(())?;
@@ -187,8 +189,8 @@
         })
     }
 
-    /// Takes what another VM says has changed; whether anything has. It is
-    /// `whole` if the tables of that time are known as well.
+    /// Applies another VM's changes; returns whether there were any. They are
+    /// `complete` if the tables of that time are known as well.
     pub fn apply_delta(&mut self, delta: MirrorDelta, complete: bool) -> bool {
         let changed_any = !delta.items.is_empty() || !delta.removed.is_empty();
         for (key, revision) in delta.removed {
@@ -202,13 +204,13 @@
         changed_any
     }
 
-    /// Takes a reading of the whole store that began at `revision`; an
-    /// older one than what is known is left aside.
+    /// Replaces the contents by a read of the full store that began at
+    /// `revision`. A read that is older than the known revision is ignored.
     pub fn replace(&mut self, items: Vec<StoreItem>, revision: u64) -> bool {
         if revision < self.revision {
             return false;
         }
-        // Own writes may be newer than the reading's begin.
+        // Own writes may be newer than the start of the read.
         let newer = |value: &MirrorValue| value.revision > revision;
         self.items.retain(|_key, value| newer(value));
         for item in items {
@@ -220,8 +222,7 @@
         true
     }
 
-    /// A copy for another VM, without tables: these are told by what has
-    /// changed in them.
+    /// A copy for another VM, without tables: those are sent as patches.
     #[must_use]
     pub fn without_tables(&self) -> Self {
         let mut copy = self.clone();
@@ -229,7 +230,8 @@
         copy
     }
 
-    /// Takes another VM's copy, if it is newer; tables stay as they are.
+    /// Replaces the contents by another VM's copy if it is newer; tables stay
+    /// as they are.
     pub fn adopt(&mut self, other: Self) -> bool {
         if other.revision <= self.revision {
             return false;
@@ -248,11 +250,11 @@
     }
 }
 
-/// Whether an item says what is known already.
+/// Whether an item carries no more information than the known value.
 fn is_equivalent(known: &MirrorValue, item: &StoreItem) -> bool {
     let parse = |value: &[u8]| ServerEntry::parse(&item.key, value);
-    // One that was known ahead of the other changes is news to those that
-    // follow this VM.
+    // A value that was known ahead of other changes still counts as a change
+    // for the VMs that follow this one.
     known.revision < item.revision
         && item.key.starts_with(SERVER_PREFIX)
         && parse(&known.value) == parse(&item.value)
--- a/goldcrestramp-entry/src/peers/client.rs
+++ b/goldcrestramp-entry/src/peers/client.rs
@@ -1,4 +1,4 @@
-//! Calls to other VMs.
+//! A client for calls to other VMs.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -12,26 +12,29 @@
     },
 };
 
-/// Between regions a call takes 24 ms; a VM that takes longer is full.
+/// The default timeout of a call. Between regions a call takes 24 ms; a VM
+/// that takes longer than this is overloaded.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The answer to a call that waits for news begins at once or within 0.4 s.
+/// The timeout of a call that waits for changes. Its response begins at once
+/// or within 0.4 s.
 const UPDATE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// A copy of the whole store begins later, as its maker has more to do.
+/// The timeout of a call for the full store, whose response begins later
+/// because it takes longer to build.
 const SNAPSHOT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A copy of the store is some hundred kilobytes at most.
+/// A snapshot of the store is a few hundred kilobytes at most.
 const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
-/// A client of the other VMs; cheap to clone.
+/// A client of the other VMs. It is cheap to clone.
 #[derive(Clone, Debug)]
 pub struct PeerClient {
     pool: Arc<CallPool>,
 }
 
 impl PeerClient {
-    /// Opens a client; nothing is sent yet.
+    /// Creates a client; it connects on the first call.
     #[must_use]
     pub fn open() -> Self {
         let pool = CallPool::open(
@@ -42,7 +45,8 @@
         Self { pool: Arc::new(pool) }
     }
 
-    /// Makes a call; nothing if no answer came.
+    /// Makes a call with the timeout of its kind; returns `None` if no
+    /// response arrived in time.
     pub async fn call(
         &self,
         address: SocketAddr,
@@ -58,7 +62,7 @@
         self.call_within(address, call, head_timeout).await
     }
 
-    /// Makes a call whose answer has to begin within `limit`.
+    /// Makes a call whose response must begin within `head_timeout`.
     pub async fn call_within(
         &self,
         address: SocketAddr,
--- a/goldcrestramp-entry/src/peers/message.rs
+++ b/goldcrestramp-entry/src/peers/message.rs
@@ -1,4 +1,7 @@
-//! What VMs tell one another.
+//! The messages between VMs.
+//!
+//! They are encoded with `postcard`, so the order and types of their fields
+//! and variants are fixed; the names are not.
 
 use goldcrestramp_types::TimeSpan;
 use serde::{Deserialize, Serialize};
@@ -13,87 +16,89 @@
 /// A call of one VM to another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum PeerCall {
-    /// Asks for what has changed in the store.
+    /// Requests the changes of the store.
     Sync {
-        /// What the asking VM knows.
+        /// The revisions that the calling VM knows.
         known: KnownRevisions,
-        /// Whether to wait for a change, if there is none yet.
+        /// Whether to wait for a change if there is none yet.
         wait: bool,
     },
-    /// Tells of tables that were committed.
+    /// Replicates tables that were committed.
     Tables(Vec<TableUpdate>),
-    /// Tells the planning VM what was asked for.
+    /// Reports a VM's load to the planning VM.
     Load(LoadReport),
-    /// Tells a former planner that another has taken its place.
+    /// Tells a previous planner that another VM has replaced it.
     StepDown {
-        /// The run of the program that is meant.
+        /// Identifies the VM instance that is meant, by its `start`.
         start: u64,
     },
-    /// Asks the planning VM for permits.
+    /// Requests permits from the planning VM.
     Permits(PermitRequests),
 }
 
-/// How much of the store a VM knows.
+/// The revisions up to which a VM knows the store.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct KnownRevisions {
     /// The revision up to which it knows all changes.
     pub revision: u64,
     /// The versions of the tables that it has.
     pub tables: Vec<TableRevision>,
-    /// How much of the configuration it knows.
+    /// The revisions of the configuration that it knows.
     pub configuration: ConfigurationRevision,
 }
 
-/// What has changed in the store.
+/// The changes of the store.
 ///
-/// Tables and the configuration stand apart, as they are told by what has
-/// changed in them.
+/// Tables and the configuration are separate, because they are sent as
+/// patches.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum StoreUpdate {
-    /// Nothing.
+    /// No changes.
     Unchanged,
-    /// Some of it.
+    /// The items that have changed.
     Delta {
-        /// Items that have changed.
+        /// The items that have changed or were removed.
         items: MirrorDelta,
-        /// Tables that have changed.
+        /// The tables that have changed.
         tables: Vec<TableUpdate>,
         /// The configuration, if it has changed.
         configuration: Option<ConfigurationUpdate>,
     },
-    /// More than is remembered: all of it.
+    /// The full store, because the changes since the known revision are no
+    /// longer available.
     Snapshot {
-        /// All other items.
+        /// All items except tables and the configuration.
         items: StoreMirror,
-        /// Tables that have changed.
+        /// The tables that have changed.
         tables: Vec<TableUpdate>,
         /// The configuration, if it has changed.
         configuration: Option<ConfigurationUpdate>,
     },
 }
 
-/// The answer to a call.
+/// The reply to a call.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum PeerReply {
-    /// It was taken.
+    /// The call was accepted.
     Accepted,
     /// The versions of the tables that the VM has now.
     Tables(Vec<TableRevision>),
     /// What has changed in the store.
     Update {
-        /// The changes.
+        /// The changes themselves.
         update: StoreUpdate,
-        /// How long ago the store was as these tell.
+        /// The age of the replying VM's copy of the store.
         age: TimeSpan,
-        /// For how long the call had waited for news by then.
+        /// How long the call had waited for changes by then.
         held: TimeSpan,
-        /// Whether the answering VM follows the store itself.
+        /// Whether the replying VM follows the store itself and its copy is
+        /// recent.
         fresh: bool,
     },
-    /// That run plans no more and has no order under way.
+    /// That instance does not plan and has no order in flight.
     SteppedDown,
-    /// That run still has orders under way.
+    /// That instance still has orders in flight.
     Busy,
-    /// The permits that were given.
+    /// The permits that were granted.
     Permits(PermitGrants),
 }
--- a/goldcrestramp-entry/src/peers/mod.rs
+++ b/goldcrestramp-entry/src/peers/mod.rs
@@ -1,8 +1,8 @@
-//! What VMs tell one another, over the ports that are theirs alone.
+//! Calls between VMs, on ports that only they use.
 //!
-//! Everything goes without it, only later: a VM that the store turns away
-//! learns from another, tables reach all VMs as soon as they are
-//! committed, and the planning VM learns what is asked for.
+//! The system works without them, only slower: through them a VM that the
+//! store does not serve gets its updates from another, tables reach all VMs as
+//! soon as they are committed, and the planning VM gets load reports.
 
 mod client;
 mod message;
@@ -14,5 +14,5 @@
     server::{PeerSource, serve_peers},
 };
 
-/// Where calls of other VMs are taken.
+/// The HTTP path at which calls of other VMs are accepted.
 const PEER_PATH: &str = "/peer";
--- a/goldcrestramp-entry/src/peers/server.rs
+++ b/goldcrestramp-entry/src/peers/server.rs
@@ -1,4 +1,4 @@
-//! Takes calls of other VMs.
+//! Serves calls of other VMs.
 
 use std::time::Duration;
 
@@ -16,24 +16,24 @@
     peers::{PEER_PATH, PeerCall, PeerReply},
 };
 
-/// A call is a load report or a table, some ten kilobytes.
+/// A call is a load report or a table, about ten kilobytes.
 const MAX_CALL_BYTES: usize = 4 * 1024 * 1024;
 
-/// A call that waits for changes waits so long at the most; its caller
-/// gives it up a little later. A frozen source is then left in time for a
-/// change of the configuration to be in force within 2 s.
+/// How long a call waits for changes at most; its caller times out a little
+/// later. If a source freezes, enough time remains for a change of the
+/// configuration to be in force within 2 s.
 const UPDATE_WAIT: Duration = Duration::from_millis(400);
 
-/// What calls are answered from.
+/// What is needed to reply to calls.
 #[derive(Clone, Debug)]
 pub struct PeerSource {
-    /// The control actor.
+    /// The control actor, which replies to the calls.
     pub control: Address<ControlActor>,
-    /// The revision up to which it knows the store.
+    /// The revision up to which it knows the relevant changes of the store.
     pub revisions: watch::Receiver<u64>,
 }
 
-/// Takes calls until the listener fails or the task is dropped.
+/// Serves calls until the listener fails or the task is dropped.
 pub async fn serve_peers(listener: TcpListener, source: PeerSource) {
     serve_http(listener, "peers", move |request| {
         respond(request, source.clone())
@@ -54,7 +54,7 @@
     let arrived = MonotonicClock.now();
     if let PeerCall::Sync { known, wait: true } = &call {
         let newer = source.revisions.wait_for(|at| *at > known.revision);
-        // Without news the answer says that this VM is still there.
+        // Without changes, the reply shows that this VM is alive.
         let _in_time = timeout(UPDATE_WAIT, newer).await;
     }
     let waited = MonotonicClock.now().since(arrived);
--- a/goldcrestramp-entry/src/view.rs
+++ b/goldcrestramp-entry/src/view.rs
@@ -1,4 +1,4 @@
-//! What the traffic thread knows of the fleet.
+//! The traffic thread's view of the fleet.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -15,20 +15,20 @@
     records::{TABLE_PREFIX, VM_PREFIX, VmInstance, decode},
 };
 
-/// An entry that vanished is remembered for so long, by which time its
-/// keys are elsewhere and its requests have ended.
+/// How long a removed entry is remembered. By then its keys have moved to
+/// other servers and its requests have ended.
 const REMOVED_RETENTION: TimeSpan = TimeSpan::from_millis(60_000);
 
-/// The routes of one configuration, ready to be looked up.
+/// The routes of one configuration, prepared for lookup.
 #[derive(Debug)]
 pub struct RouteTable {
     /// The configuration's version.
     pub version: u64,
-    /// Bounds on what callers may send.
+    /// Limits on requests of callers.
     pub limits: TrafficLimits,
     /// Whether each service is divided by key.
     divided: FastMap<Arc<str>, bool>,
-    /// The routes of each host, longest prefix first.
+    /// The routes of each host, longest path prefix first.
     hosts: FastMap<Arc<str>, Vec<Arc<RequestRoute>>>,
 }
 
@@ -56,8 +56,8 @@
         }
     }
 
-    /// The route of a request: of its host, with the longest prefix that
-    /// begins its path.
+    /// Finds the route of a request: the one of its host with the longest
+    /// prefix of its path.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<RequestRoute>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _port)| name);
@@ -81,7 +81,7 @@
     }
 }
 
-/// The host in lower case; shared if it is so already.
+/// The host in lower case; shares the string if it is lower case already.
 fn lower_case(host: &Arc<str>) -> Arc<str> {
     if host.bytes().any(|byte| byte.is_ascii_uppercase()) {
         return host.to_ascii_lowercase().into();
@@ -89,24 +89,24 @@
     Arc::clone(host)
 }
 
-/// One state of the fleet.
+/// A snapshot of the fleet.
 #[derive(Clone, Debug, Default)]
 pub struct FleetView {
-    /// The operators' configuration, once it is known.
+    /// The routes of the operators' configuration, once it is known.
     pub routes: Option<Arc<RouteTable>>,
-    /// The servers that say that they are there, by id; those at whose
-    /// address another has started since have ended.
+    /// The servers with an entry, by id. A server is left out if another has
+    /// started at its address since, because it has ended.
     pub servers: FastMap<Arc<str>, Arc<ServerEntry>>,
     /// The server that started last at each address.
     pub latest_by_address: AddressMap,
-    /// The servers that take new work, by service.
+    /// The servers that accept new work, by service.
     pub ready: FastMap<Arc<str>, Vec<Arc<ServerEntry>>>,
-    /// Servers that leave or have gone, with the earliest moment at which
-    /// the store may have taken that.
+    /// The servers that are draining or have no entry any more, by id, with
+    /// the earliest time at which the store may have accepted that change.
     pub leaving: FastMap<Arc<str>, LocalTime>,
-    /// The assignments of divided services.
+    /// The assignment tables of divided services.
     pub tables: FastMap<Arc<str>, Arc<AssignmentTable>>,
-    /// The VMs that are there.
+    /// The VMs with an entry.
     pub vms: Vec<VmInstance>,
 }
 
@@ -127,11 +127,11 @@
     latest_by_address
 }
 
-/// Whether another server than `id`, which started at `started_ms`, has
-/// started at its address since.
+/// Whether a server other than `id`, which started at `started_ms`, has
+/// started at the same address since.
 ///
-/// An address is given away only after its server has ended, while the entry
-/// of that server may stay until its heartbeats are missed.
+/// An address is reassigned only after its server has ended, but the entry of
+/// that server may remain until its missing heartbeats are detected.
 fn is_superseded(
     latest_by_address: &AddressMap,
     address: SocketAddr,
@@ -144,14 +144,14 @@
 }
 
 impl FleetView {
-    /// Whether another server has started at the address of this one since.
+    /// Whether another server has started at the address of `instance` since.
     #[must_use]
     pub fn has_successor(&self, instance: &ServerInstance) -> bool {
         let ServerInstance { id, started_ms, address } = instance;
         is_superseded(&self.latest_by_address, *address, id, *started_ms)
     }
 
-    /// The VMs in a failure domain, at least one.
+    /// The number of VMs in a failure domain, at least 1.
     #[must_use]
     pub fn vms_in(&self, domain: &str) -> usize {
         let inside = self.vms.iter().filter(|vm| *vm.domain == *domain);
@@ -159,7 +159,8 @@
     }
 }
 
-/// Values by key, read again only when their revision has changed.
+/// Parsed values by key. A value is parsed again only if its revision has
+/// changed.
 #[derive(Debug)]
 struct ParsedItems<Value>(FastMap<Arc<str>, (u64, Option<Value>)>);
 
@@ -170,7 +171,7 @@
 }
 
 impl<Value: Clone + PartialEq> ParsedItems<Value> {
-    /// Reads the items; whether any value has changed.
+    /// Reads the items; returns whether any parsed value has changed.
     fn read<'a>(
         &mut self,
         items: impl Iterator<Item = (&'a Arc<str>, &'a MirrorValue)>,
@@ -200,7 +201,7 @@
     }
 }
 
-/// Makes views of the mirror.
+/// Builds views from the mirror.
 #[derive(Debug, Default)]
 pub struct ViewBuilder {
     routes: Option<(u64, Arc<RouteTable>)>,
@@ -213,12 +214,12 @@
 }
 
 impl ViewBuilder {
-    /// The view of the mirror and of the newest configuration as they are
-    /// now; nothing if it has not changed. What has changed did so after
-    /// `since`.
+    /// Builds a view from the mirror and the newest configuration; returns
+    /// `None` if it has not changed. Changes are dated `since`, the earliest
+    /// time at which they may have happened.
     ///
-    /// Servers' heartbeats change the store all the time and say nothing
-    /// new: a view for each would wake every waiting request.
+    /// Heartbeats of servers change the store all the time but carry no new
+    /// information. A view for each would wake every waiting request.
     pub fn build(
         &mut self,
         now: LocalTime,
@@ -266,7 +267,7 @@
         }
     }
 
-    /// Puts a configuration in force, if it is a newer one.
+    /// Activates a configuration if it is newer than the current one.
     fn activate(&mut self, newest: &ConfigurationVersion) -> bool {
         let ConfigurationVersion { revision, configuration } = newest;
         let known = self.routes.as_ref().map_or(0, |(known, _)| *known);
@@ -283,7 +284,7 @@
         true
     }
 
-    /// Notes since when servers leave or are gone.
+    /// Records since when servers are draining or without an entry.
     fn update_leaving(&mut self, now: LocalTime, since: LocalTime) {
         let entries = self.servers.values().map(|(_, entry)| entry);
         let latest_by_address = latest_by_address(entries.clone());
