--- a/goldcrestramp-entry/src/control/sync.rs
+++ b/goldcrestramp-entry/src/control/sync.rs
@@ -292,16 +292,16 @@
     /// Whether to query another VM now, because the store or the VMs that this
     /// one follows do not respond in time.
     pub fn query_due(&mut self, now: LocalTime, proof: LocalTime) -> bool {
-        let pause = now.since(self.last_query_at) >= QUERY_INTERVAL;
+        let interval_elapsed = now.since(self.last_query_at) >= QUERY_INTERVAL;
         // The lease of a VM that no other VM follows is renewed too rarely to
         // show whether the store responds.
-        let silent = if self.follows_store {
+        let unresponsive = if self.follows_store {
             !self.is_fresh(now, proof)
         } else {
             let known = self.clock.current_at() > LocalTime::default();
             known && self.age(now) >= MAX_UPDATE_AGE
         };
-        let due = silent && pause;
+        let due = unresponsive && interval_elapsed;
         if due {
             self.last_query_at = now;
         }
--- a/goldcrestramp-entry/tests/configurations.rs
+++ b/goldcrestramp-entry/tests/configurations.rs
@@ -1,4 +1,4 @@
-//! Versions of the configuration are passed on as what has changed.
+//! Versions of the configuration are sent to other VMs as patches.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -13,7 +13,8 @@
 use proptest::prelude::*;
 use serde_json::{Value, json};
 
-/// The routes of a version: for each a name and the service it leads to.
+/// The routes of a version: for each route's number, the number of its
+/// service.
 type Routes = BTreeMap<u8, u8>;
 
 fn value(version: u64, routes: &Routes) -> MirrorValue {
@@ -38,48 +39,50 @@
 }
 
 fn newest(history: &ConfigurationHistory) -> Arc<FleetConfiguration> {
-    Arc::clone(&history.newest().expect("a version").configuration)
+    Arc::clone(&history.newest().expect("there is a version").configuration)
 }
 
-/// News as they come out at the other end of a link.
+/// The update after it was encoded and decoded.
 fn round_trip(update: &ConfigurationUpdate) -> ConfigurationUpdate {
-    let bytes = postcard::to_allocvec(update).expect("bytes");
-    postcard::from_bytes(&bytes).expect("news")
+    let bytes = postcard::to_allocvec(update).expect("the update encodes");
+    postcard::from_bytes(&bytes).expect("the update decodes")
 }
 
 #[test]
-fn a_change_of_one_route_is_told_in_few_bytes() {
+fn a_change_of_one_route_is_sent_in_few_bytes() {
     let mut routes: Routes = (0..200).map(|name| (name, 0)).collect();
     let mut source = ConfigurationHistory::default();
     source.apply_value(&value(1, &routes));
     let full = source
         .update_for(ConfigurationRevision::default())
-        .expect("all of it");
+        .expect("there is a full update");
 
     let known_revision = source.known_revision();
     routes.insert(7, 1);
     source.apply_value(&value(2, &routes));
-    let change = source.update_for(known_revision).expect("a change");
+    let change = source.update_for(known_revision).expect("there is a patch");
 
-    let bytes = |update| postcard::to_allocvec(update).expect("bytes").len();
+    let bytes = |update| {
+        postcard::to_allocvec(update).expect("the update encodes").len()
+    };
     assert!(bytes(&change) * 20 < bytes(&full));
 }
 
 #[test]
-fn a_configuration_s_change_of_another_version_is_refused() {
+fn a_configuration_patch_for_another_version_is_rejected() {
     let mut source = ConfigurationHistory::default();
     let mut follower = ConfigurationHistory::default();
     source.apply_value(&value(1, &Routes::from([(1, 0)])));
     let known_revision = source.known_revision();
     source.apply_value(&value(2, &Routes::from([(1, 1)])));
-    let change = source.update_for(known_revision).expect("a change");
+    let change = source.update_for(known_revision).expect("there is a patch");
 
     assert_eq!(follower.apply_update(change), Err(BaseMismatch));
     assert!(follower.newest().is_none());
 }
 
 #[test]
-fn a_lower_version_is_not_taken_back() {
+fn a_lower_version_is_not_applied() {
     let mut history = ConfigurationHistory::default();
     history.apply_value(&value(7, &Routes::new()));
     let mut other = ConfigurationHistory::default();
@@ -87,15 +90,17 @@
     other.apply_value(&older);
 
     assert!(!history.apply_value(&older));
-    let update =
-        other.update_for(ConfigurationRevision::default()).expect("all of it");
+    let update = other
+        .update_for(ConfigurationRevision::default())
+        .expect("there is a full update");
     assert_eq!(history.apply_update(update), Ok(false));
     assert_eq!(newest(&history).version, 7);
 }
 
-/// Guards against a copy with each call for a version that is not taken.
+/// Guards against a full copy with each call for a version that the follower
+/// does not apply.
 #[test]
-fn what_was_refused_is_not_told_again() {
+fn a_rejected_version_is_not_sent_again() {
     let mut source = ConfigurationHistory::default();
     let mut follower = ConfigurationHistory::default();
     let routes = Routes::from([(1, 0)]);
@@ -104,19 +109,20 @@
 
     let update = source
         .update_for(follower.known_revision())
-        .expect("a later revision");
+        .expect("the revision is later");
 
     assert_eq!(follower.apply_update(update), Ok(false));
     assert!(source.update_for(follower.known_revision()).is_none());
     let next = MirrorValue { revision: 99, ..value(8, &routes) };
     source.apply_value(&next);
-    let update =
-        source.update_for(follower.known_revision()).expect("a newer version");
+    let update = source
+        .update_for(follower.known_revision())
+        .expect("the version is newer");
     assert_eq!(follower.apply_update(update), Ok(true));
 }
 
 #[test]
-fn a_vm_that_is_far_behind_is_told_everything() {
+fn a_vm_that_is_far_behind_is_sent_the_full_configuration() {
     let mut source = ConfigurationHistory::default();
     let mut follower = ConfigurationHistory::default();
     follower.apply_value(&value(1, &Routes::from([(9, 9)])));
@@ -124,16 +130,19 @@
         source.apply_value(&value(version, &Routes::from([(1, 0)])));
     }
 
-    let update = source.update_for(follower.known_revision()).expect("news");
+    let update = source
+        .update_for(follower.known_revision())
+        .expect("there is an update");
 
     assert_eq!(follower.apply_update(update), Ok(true));
     assert_eq!(newest(&follower), newest(&source));
 }
 
 proptest! {
-    /// Whatever versions a VM has missed, it ends with what its source has.
+    /// Guards against patches that leave a VM at another configuration than
+    /// its source, whatever versions the VM has missed.
     #[test]
-    fn news_bring_a_vm_to_its_source_s_version(
+    fn updates_bring_a_vm_to_its_source_s_version(
         versions in prop::collection::vec(
             (prop::collection::btree_map(0..8_u8, 0..3_u8, 0..8), any::<bool>()),
             1..40,
@@ -146,7 +155,9 @@
             if !delivered {
                 continue;
             }
-            let update = source.update_for(follower.known_revision()).expect("news");
+            let update = source
+                .update_for(follower.known_revision())
+                .expect("there is an update");
             prop_assert_eq!(follower.apply_update(round_trip(&update)), Ok(true));
             prop_assert_eq!(newest(&follower), newest(&source));
             prop_assert!(source.update_for(follower.known_revision()).is_none());
--- a/goldcrestramp-entry/tests/knowledge.rs
+++ b/goldcrestramp-entry/tests/knowledge.rs
@@ -1,5 +1,5 @@
-//! What a VM knows of the store never goes back, and it knows when to
-//! doubt it.
+//! A VM's copy of the store never goes back to an older state, and the VM
+//! knows when the copy may be out of date.
 
 use std::net::SocketAddr;
 
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_mirror_takes_changes_in_any_order_and_more_than_once() {
+fn a_mirror_applies_changes_in_any_order_and_more_than_once() {
     let mut mirror = StoreMirror::default();
 
     mirror.apply(vec![written("k", "new", 5)], 5);
@@ -46,8 +46,8 @@
     assert_eq!(value(&mirror, "k"), None);
 }
 
-/// A VM is behind when it asks a peer; what it is told brings it to the
-/// peer's state, removals included.
+/// Guards against removals that a delta loses. A VM that is behind queries a
+/// peer, and the delta brings it to the peer's state.
 #[test]
 fn a_delta_brings_a_mirror_to_another_s_state() {
     let mut ahead = StoreMirror::default();
@@ -55,7 +55,7 @@
     let mut behind = ahead.clone();
 
     ahead.apply(vec![written("b", "2", 3), removed("a", 4)], 4);
-    let delta = ahead.delta_since(2).expect("remembered");
+    let delta = ahead.delta_since(2).expect("removals are kept");
     behind.apply_delta(delta, true);
 
     assert_eq!(value(&behind, "a"), None);
@@ -74,11 +74,12 @@
     .to_string()
 }
 
-/// Hundreds of servers write a heartbeat each second. Passed on, they fill
-/// the link of the VM that others follow, and requests wait behind them; a
-/// change of state is passed on, and a VM that misses beats misses nothing.
+/// Guards against heartbeats that fill the link of a followed VM, so that
+/// requests wait behind them: hundreds of servers write one each second.
+/// Changes of state are passed on, and a VM that gets no heartbeats misses
+/// nothing.
 #[test]
-fn heartbeats_are_taken_and_are_no_news_to_others() {
+fn heartbeats_are_applied_but_not_passed_on() {
     let mut mirror = StoreMirror::default();
     mirror.apply(vec![written("servers/s", &server_entry("ready", 1), 4)], 4);
 
@@ -86,33 +87,30 @@
 
     assert!(!mirror.apply(heartbeats, 7));
     assert_eq!(mirror.last_change_revision(), 4);
-    let delta = mirror.delta_since(4).expect("remembered");
+    let delta = mirror.delta_since(4).expect("removals are kept");
     let mut other = StoreMirror::default();
-    assert!(!other.apply_delta(delta, true), "nothing but the revision");
+    assert!(!other.apply_delta(delta, true), "only the revision changes");
     assert_eq!(other.revision(), 7);
 
     let draining = vec![written("servers/s", &server_entry("draining", 3), 9)];
 
     assert!(mirror.apply(draining, 9));
     assert_eq!(mirror.last_change_revision(), 9);
-    let delta = mirror.delta_since(7).expect("remembered");
+    let delta = mirror.delta_since(7).expect("removals are kept");
     assert!(other.apply_delta(delta, true));
     assert!(value(&other, "servers/s").is_some());
 }
 
-/// A VM has committed a table, so it knows revision 20 of that key. A
-/// server's leaving at revision 18 is told by the watch after that. It is
-/// news all the same: passed over, the server would go on getting requests.
+/// Guards against a server that keeps getting requests after it has left. A VM
+/// has committed a table, so it knows revision 20 of that key; the watch
+/// delivers a server's leaving at revision 18 after that, which must count as
+/// a change.
 #[test]
-fn news_from_before_an_own_commit_is_news() {
+fn a_change_from_before_an_own_commit_counts() {
     let mut mirror = StoreMirror::default();
     mirror.apply(vec![written("servers/s", &server_entry("ready", 1), 4)], 4);
     mirror.write(item("router/table/s", "own", 20));
-    assert_eq!(
-        mirror.last_change_revision(),
-        4,
-        "others can't be told of it yet"
-    );
+    assert_eq!(mirror.last_change_revision(), 4, "it is not passed on yet");
 
     let draining =
         vec![written("servers/s", &server_entry("draining", 2), 18)];
@@ -120,13 +118,14 @@
     assert!(mirror.apply(draining, 18));
     assert_eq!(mirror.last_change_revision(), 18);
     let committed = vec![written("router/table/s", "own", 20)];
-    assert!(mirror.apply(committed, 20), "those that follow may miss it");
+    assert!(mirror.apply(committed, 20), "followers may not have it");
 }
 
-/// Removals before a whole reading are not remembered: a VM that is behind
-/// it has to be told everything, or it would keep what is gone.
+/// Guards against entries that a VM keeps after their removal. Removals before
+/// a full read are not kept, so a VM that is behind it must be sent
+/// everything.
 #[test]
-fn a_delta_from_before_a_whole_reading_can_t_be_had() {
+fn there_is_no_delta_from_before_a_full_read() {
     let mut mirror = StoreMirror::default();
     mirror.apply(vec![written("a", "1", 1)], 1);
 
@@ -138,7 +137,7 @@
 }
 
 #[test]
-fn an_older_reading_or_copy_changes_nothing() {
+fn an_older_read_or_copy_changes_nothing() {
     let mut mirror = StoreMirror::default();
     mirror.apply(vec![written("a", "2", 8)], 8);
     let old = StoreMirror::default();
@@ -149,7 +148,8 @@
     assert_eq!(value(&mirror, "a"), Some(&b"2"[..]));
 }
 
-/// Guards against whole tables to every VM after a loss of history.
+/// Guards against full tables that are sent to every VM after a loss of
+/// history.
 #[test]
 fn a_copy_of_the_store_leaves_tables_as_they_are() {
     let mut source = StoreMirror::default();
@@ -166,10 +166,10 @@
     assert_eq!(value(&follower, "router/table/s"), Some(&b"own"[..]));
 }
 
-/// This VM's own commit is newer than a reading that began before it. The
-/// reading must not take the commit back.
+/// Guards against a read that reverts a commit. This VM's own commit is newer
+/// than a read that began before it.
 #[test]
-fn a_reading_keeps_what_was_written_after_its_begin() {
+fn a_read_keeps_what_was_written_after_its_start() {
     let mut mirror = StoreMirror::default();
     mirror.write(item("table", "new", 12));
 
@@ -178,8 +178,8 @@
     assert_eq!(value(&mirror, "table"), Some(&b"new"[..]));
 }
 
-/// The store comes back with an older configuration, or a lower version
-/// is written later: the one in force stays.
+/// Guards against an older configuration in force after a newer one. The store
+/// comes back with an older one, or a lower version is written later.
 #[test]
 fn a_configuration_never_reverts() {
     let configuration =
@@ -197,9 +197,9 @@
 
     history.apply_value(&value(5, 30));
     let second = builder.build(at(1), at(1), &mirror, history.newest());
-    let first = first.expect("a change");
+    let first = first.expect("the view has changed");
 
-    assert_eq!(first.routes.expect("in force").version, 7);
+    assert_eq!(first.routes.expect("routes are known").version, 7);
     assert!(second.is_none());
 }
 
@@ -222,13 +222,14 @@
     assert!(builder.build(at(870), at(870), &mirror, None).is_none());
     mirror.apply(vec![removed("servers/i", 4)], 4);
     let view = builder.build(at(900), at(700), &mirror, None);
-    let view = view.expect("it is gone");
+    let view = view.expect("the entry is removed");
     assert_eq!(view.leaving.get("i"), Some(&at(700)));
 }
 
-/// Guards against requests to a server whose address is another's by now.
+/// Guards against requests to a server whose address now belongs to another
+/// server.
 #[test]
-fn a_server_whose_address_another_has_is_gone() {
+fn a_server_whose_address_was_reused_is_removed() {
     let entry = |service: &str, started_ms: u64| {
         let entry = json!({
             "address": "10.0.0.9:80", "born": started_ms,
@@ -245,18 +246,18 @@
     mirror.write(item("servers/later", &entry("orders", 6), 3));
     let view = builder.build(at(900), at(700), &mirror, None);
 
-    let view = view.expect("news");
+    let view = view.expect("the view has changed");
     assert!(!view.servers.contains_key("former"));
     assert!(!view.ready.contains_key("stock"));
     assert_eq!(view.leaving.get("former"), Some(&at(700)));
     assert_eq!(view.ready["orders"].len(), 1);
 }
 
-/// The VM that is followed falls silent, so a server's leaving is learnt
-/// most of a second late. Counted from then, requests reach the server
-/// after the time that is allowed; counted from the last news, they don't.
+/// Guards against requests that reach a leaving server after the allowed time.
+/// The followed VM stops responding, so the change becomes known most of a
+/// second late; it must count from the last update before it.
 #[test]
-fn a_late_change_counts_from_the_news_before_it() {
+fn a_late_change_counts_from_the_update_before_it() {
     let mut sync = SyncState::default();
     sync.record_response(at(0));
     sync.record_current_at(at(100));
@@ -267,10 +268,11 @@
     assert_eq!(long, at(7_500), "the store itself was away");
 }
 
-/// Entries that ended in an outage were taken back by nobody, and most of
-/// them return: they count from when they are missed.
+/// Guards against entries that count as removed during an outage. They expired
+/// without being removed by anyone, and most of them return, so they count
+/// from when they are found missing.
 #[test]
-fn what_is_missing_after_an_outage_counts_from_now() {
+fn entries_missing_after_an_outage_count_from_now() {
     let mut sync = SyncState::default();
     sync.record_response(at(0));
     sync.record_current_at(at(0));
@@ -284,12 +286,12 @@
     SocketAddr::from(([10, 0, 0, 2], 7_540))
 }
 
-/// All VMs start again at once after a loss of power. Each reads the few
-/// bytes that say who the others are; if each read everything, the link to
-/// the store's region would be full for seconds, and so would be that of
-/// callers' requests.
+/// Guards against a link to the store's region that is full for seconds, and
+/// with it the link of callers' requests. After a loss of power all VMs start
+/// at once; each reads only the few bytes that list the other VMs, and not the
+/// full store.
 #[test]
-fn a_vm_that_starts_has_the_store_s_contents_from_its_peer() {
+fn a_starting_vm_gets_the_store_s_contents_from_its_peer() {
     let mut sync = SyncState::default();
     let first = sync.next(at(0), 0, std::iter::empty());
     sync.record_read();
@@ -312,10 +314,10 @@
     assert_eq!(alone, UpdateSource::StoreChanges(5));
 }
 
-/// The VM that others follow is restarted on a plan. If each of them then
-/// follows the store, all servers' heartbeats go to each and fill the link
-/// between regions. The next VM takes its place; only without any of those
-/// that may be followed do they follow the store.
+/// Guards against followers that all fall back to the store when their source
+/// is restarted on purpose. The heartbeats of all servers would then be sent
+/// to each and fill the link between regions. The next VM replaces the source;
+/// the store is used only if no VM that may be followed is left.
 #[test]
 fn a_peer_that_fails_is_replaced_by_the_next() {
     let second = SocketAddr::from(([10, 0, 0, 3], 7_540));
@@ -337,12 +339,12 @@
     assert_eq!(later, UpdateSource::Peer(peer(), 5));
 }
 
-/// The store answers nothing to the VM that others follow, and serves the
-/// others: a new configuration would not be in force on any of them. Two
-/// renewals without an answer tell. The next VM may have noticed it no
-/// sooner than they, so it is given the time to follow the store itself.
+/// Guards against a new configuration that is in force on none of the
+/// followers because the store does not respond to the VM that they follow.
+/// Two renewals without a response show it. The next VM may have noticed no
+/// sooner, so it gets the time to follow the store itself.
 #[test]
-fn a_vm_that_the_store_is_silent_to_is_not_followed_for_long() {
+fn a_vm_that_the_store_does_not_serve_is_not_followed_for_long() {
     let mut source = SyncState::default();
     source.next(at(0), 5, std::iter::empty());
     source.record_response(at(0));
@@ -363,45 +365,56 @@
     assert_eq!(at_last, UpdateSource::StoreChanges(5));
 }
 
-/// Guards against a source that knows nothing yet, or hears slowly.
+/// Guards against a source that has no update yet or gets updates late.
 #[test]
-fn a_vm_whose_own_news_are_old_is_not_followed() {
+fn a_vm_with_old_updates_is_not_followed() {
     let mut source = SyncState::default();
     source.next(at(0), 5, std::iter::empty());
     source.record_response(at(2_000));
 
-    assert!(!source.may_be_followed(at(2_000), at(2_000)), "it knows nothing");
+    assert!(
+        !source.may_be_followed(at(2_000), at(2_000)),
+        "it has no update yet"
+    );
     source.record_current_at(at(1_500));
     assert!(source.may_be_followed(at(2_000), at(2_000)));
     assert!(!source.may_be_followed(at(2_600), at(2_500)));
 }
 
-/// Guards against news that count as young after a long time on the way.
+/// Guards against an update that counts as recent after a long time in flight.
 #[test]
-fn the_time_on_the_way_makes_news_no_younger() {
+fn time_in_flight_makes_an_update_no_younger() {
     let ms = TimeSpan::from_millis;
 
     assert_eq!(update_as_of(at(1_000), ms(400), ms(50)), at(1_350));
     assert_eq!(update_as_of(at(1_000), ms(0), ms(700)), at(300));
 }
 
-/// Guards against a follower that waits for a source that has fallen silent.
+/// Guards against a follower that waits for a source that has stopped
+/// responding.
 #[test]
-fn a_vm_with_old_news_asks_another_than_it_follows() {
+fn a_vm_with_old_updates_queries_another_than_it_follows() {
     let mut follower = SyncState::default();
     follower.next(at(0), 5, [peer()].into_iter());
 
     assert!(!follower.query_due(at(9_000), at(0)), "it has just started");
     follower.record_current_at(at(10_000));
-    assert!(!follower.query_due(at(11_400), at(0)), "its source tells it");
+    assert!(
+        !follower.query_due(at(11_400), at(0)),
+        "its source responds in time"
+    );
     assert!(follower.query_due(at(11_500), at(11_400)));
-    assert!(!follower.query_due(at(11_600), at(11_400)), "it has just asked");
+    assert!(
+        !follower.query_due(at(11_600), at(11_400)),
+        "it has just queried"
+    );
     assert!(follower.query_due(at(11_900), at(11_400)));
 }
 
-/// Guards against a source that does not know that the store is silent to it.
+/// Guards against a source that does not notice that the store does not
+/// respond to it.
 #[test]
-fn a_vm_that_follows_the_store_asks_once_that_is_silent() {
+fn a_vm_that_follows_the_store_queries_another_once_it_times_out() {
     let mut source = SyncState::default();
     source.next(at(0), 5, std::iter::empty());
     source.record_current_at(at(10_000));
@@ -410,10 +423,10 @@
     assert!(source.query_due(at(11_100), at(10_000)));
 }
 
-/// A VM that was not fresh for a moment is followed on: only answers that
-/// are stale without a break count.
+/// Guards against dropping a source that was stale for a moment: only an
+/// unbroken series of stale responses counts.
 #[test]
-fn a_fresh_answer_ends_the_doubt() {
+fn a_fresh_response_ends_the_stale_time() {
     let mut follower = SyncState::default();
     follower.record_peer_response(at(0), peer(), false);
     follower.record_peer_response(at(400), peer(), true);
@@ -424,10 +437,11 @@
     assert_eq!(next, UpdateSource::Peer(peer(), 5));
 }
 
-/// Entries end while the store is away, and are back two seconds after its
-/// return. Until then a missing entry says nothing.
+/// Guards against servers that count as ended because of an outage. Entries
+/// expire while the store is away and are back two seconds after its return,
+/// so until then a missing entry is inconclusive.
 #[test]
-fn a_missing_entry_says_nothing_while_the_store_returns() {
+fn a_missing_entry_is_inconclusive_while_the_store_recovers() {
     let mut sync = SyncState::default();
     sync.record_response(at(0));
     assert!(!sync.may_miss_entries(at(10)));
--- a/goldcrestramp-entry/tests/permits.rs
+++ b/goldcrestramp-entry/tests/permits.rs
@@ -1,4 +1,4 @@
-//! Permits on their way between the threads of a VM.
+//! Permits are passed between the threads of a VM.
 
 use goldcrestramp_assignment::ServerInstance;
 use goldcrestramp_decisions::{PermitGrant, PermitRequest};
@@ -19,12 +19,13 @@
     PermitRequest { per_s: Some(3.0), age, wanted }
 }
 
-/// Guards against permits that lapse later when they are taken up later.
+/// Guards against permits that expire later because the traffic thread takes
+/// them later.
 #[test]
-fn permits_count_from_when_they_came() {
+fn permit_lifetime_counts_from_arrival() {
     let mailbox = PermitMailbox::default();
     mailbox.request(at(0), &server(), request(1));
-    let _asked = mailbox.begin(at(0));
+    let _sent = mailbox.begin(at(0));
 
     mailbox.finish(at(50), vec![(server(), PermitGrant::Permits(1))]);
 
@@ -33,19 +34,19 @@
     assert_eq!(grants[0].0, at(50));
 }
 
-/// Guards against old statements that pass for new ones.
+/// Guards against old rate statements that count as new ones.
 #[test]
-fn a_statement_ages_while_it_waits_to_be_asked() {
+fn a_request_ages_while_it_is_queued() {
     let mailbox = PermitMailbox::default();
     mailbox.request(at(0), &server(), request(1));
 
-    let asked = mailbox.begin(at(70)).expect("something to ask");
+    let sent = mailbox.begin(at(70)).expect("a request is queued");
 
-    assert_eq!(asked[0].1.age, TimeSpan::from_millis(170));
+    assert_eq!(sent[0].1.age, TimeSpan::from_millis(170));
 }
 
 #[test]
-fn one_answer_is_awaited_at_a_time() {
+fn one_call_is_in_flight_at_a_time() {
     let mailbox = PermitMailbox::default();
     mailbox.request(at(0), &server(), request(1));
     let first = mailbox.begin(at(0));
--- a/goldcrestramp-entry/tests/sources.rs
+++ b/goldcrestramp-entry/tests/sources.rs
@@ -1,4 +1,4 @@
-//! Which VM follows which.
+//! Which VM follows which, by capacity and failure domain.
 
 use goldcrestramp_entry::{
     control::{fallback_vms, is_large, source_vms},
@@ -18,7 +18,8 @@
     }
 }
 
-/// Whom a VM may follow; a region is what a domain's name begins with.
+/// The VMs that `me` may follow; the region of a domain is the first 5 bytes
+/// of its name.
 fn sources_of<'a>(
     me: &VmInstance,
     vms: &'a [VmInstance],
@@ -27,7 +28,7 @@
     source_vms(me, vms, |domain| domain.starts_with(region))
 }
 
-/// Two large VMs and four small ones in each failure domain: two of those in
+/// Two large VMs and four small ones in each failure domain: two domains in
 /// the north, one in the south.
 fn fleet() -> Vec<VmInstance> {
     let mut vms = Vec::new();
@@ -47,7 +48,7 @@
 }
 
 #[test]
-fn a_small_vm_follows_the_large_ones_of_its_domain_first() {
+fn a_small_vm_follows_the_large_vms_of_its_domain_first() {
     let vms = fleet();
 
     let sources = sources(&vms, "north-a-4");
@@ -57,9 +58,10 @@
     assert!(sources.iter().all(|vm| vm.capacity == LARGE));
 }
 
-/// Guards against narrow links that are filled by what the store tells.
+/// Guards against narrow links that are filled by the store's updates, if
+/// small VMs follow the store.
 #[test]
-fn without_a_large_vm_a_domain_follows_those_of_another() {
+fn without_a_large_vm_a_domain_follows_large_vms_of_others() {
     let mut vms = fleet();
     vms.retain(|vm| &*vm.domain != "north-a" || vm.capacity == SMALL);
 
@@ -72,7 +74,7 @@
     }
 }
 
-/// Guards against sources that have sources of their own.
+/// Guards against chains of sources, in which a source follows another source.
 #[test]
 fn the_first_source_follows_the_store() {
     for lost in 0..fleet().len() {
@@ -87,9 +89,10 @@
     }
 }
 
-/// Guards against a large VM that looks elsewhere while others count on it.
+/// Guards against a large VM that follows a VM of another domain while others
+/// count on it to replace the first.
 #[test]
-fn the_second_large_vm_takes_the_place_of_the_first() {
+fn the_second_large_vm_follows_the_first() {
     let vms = fleet();
     let small = sources(&vms, "north-a-4");
     let [first, second] = [small[0], small[1]];
@@ -109,9 +112,10 @@
     assert_eq!(followers.count(), 3);
 }
 
-/// Guards against silent sources that use up the time of a change.
+/// Guards against unresponsive sources that use up the time within which a
+/// change must be known.
 #[test]
-fn a_vm_has_three_sources_at_most() {
+fn a_vm_has_at_most_three_sources() {
     let vms = fleet();
 
     for me in &vms {
@@ -119,21 +123,22 @@
     }
 }
 
-/// Guards against asking a VM that has its news from the source that failed.
+/// Guards against querying a VM whose updates come from the source that
+/// failed.
 #[test]
-fn a_vm_whose_sources_fail_asks_large_ones() {
+fn a_vm_whose_sources_fail_queries_large_vms() {
     let vms = fleet();
     for me in &vms {
-        let advising = fallback_vms(me, &vms);
+        let fallback = fallback_vms(me, &vms);
 
-        assert!(advising.iter().all(|vm| vm.capacity == LARGE));
-        assert!(advising.iter().all(|vm| vm.vm != me.vm));
-        assert_eq!(advising.len(), if is_large(me, &vms) { 5 } else { 6 });
+        assert!(fallback.iter().all(|vm| vm.capacity == LARGE));
+        assert!(fallback.iter().all(|vm| vm.vm != me.vm));
+        assert_eq!(fallback.len(), if is_large(me, &vms) { 5 } else { 6 });
     }
 }
 
 #[test]
-fn among_small_vms_alone_all_may_be_asked() {
+fn without_large_vms_all_vms_may_be_queried() {
     let mut vms = fleet();
     vms.retain(|vm| vm.capacity == SMALL);
 
--- a/goldcrestramp-entry/tests/tables.rs
+++ b/goldcrestramp-entry/tests/tables.rs
@@ -1,5 +1,5 @@
-//! VMs tell one another of tables by what has changed in them, whatever
-//! versions they have and in whatever order they hear of it.
+//! Tables are sent to other VMs as patches, whatever versions the VMs have and
+//! in whatever order the updates arrive.
 
 use goldcrestramp_adapter::StoreItem;
 use goldcrestramp_assignment::{AssignmentTable, ServerInstance, TableError};
@@ -10,7 +10,7 @@
 };
 use goldcrestramp_types::SliceIndex;
 
-/// A table of so many servers: each number makes another table.
+/// A table of `servers` servers; each number makes a different table.
 fn table(servers: u16) -> AssignmentTable {
     let instances: Vec<ServerInstance> = (0..servers)
         .map(|number| ServerInstance {
@@ -19,7 +19,7 @@
             address: ([127, 0, 0, 1], 9_000 + number).into(),
         })
         .collect();
-    AssignmentTable::striped(&instances, 8).expect("servers")
+    AssignmentTable::striped(&instances, 8).expect("there are servers")
 }
 
 fn commit(mirror: &mut StoreMirror, servers: u16, revision: u64) {
@@ -27,8 +27,8 @@
     mirror.write(StoreItem { key: table_key("stock"), value, revision });
 }
 
-/// A history that has seen versions of 4, 5 and more servers, at the
-/// revisions 10, 20 and so on.
+/// A history of versions with 4, 5 and more servers, at the revisions 10, 20
+/// and so on.
 fn history(versions: u16) -> TableHistory {
     let mut mirror = StoreMirror::default();
     let mut history = TableHistory::default();
@@ -44,76 +44,84 @@
 }
 
 fn only(update: Vec<TableUpdate>) -> TableUpdate {
-    let [update] = update.try_into().expect("one table");
+    let [update] = update.try_into().expect("there is one table");
     update
 }
 
 fn owner(table: &AssignmentTable, key: u16) -> String {
-    let run = table.find(SliceIndex::from(key));
-    table.instance(run.instance).id.to_string()
+    let assigned = table.find(SliceIndex::from(key));
+    table.instance(assigned.instance).id.to_string()
 }
 
 #[test]
-fn a_vm_that_is_behind_is_told_what_has_changed() {
+fn a_vm_that_is_behind_is_sent_a_patch() {
     let ahead = history(4);
     let behind = history(2);
 
     let update = only(ahead.update_for(&behind.known_revisions()));
 
     assert!(matches!(update.payload, TablePayload::Patch { base: 20, .. }));
-    let resolved = behind.resolve(update).expect("its version");
-    let resolved = resolved.expect("a newer one");
+    let resolved = behind.resolve(update).expect("the base version matches");
+    let resolved = resolved.expect("the update is newer");
     for key in (0..u16::MAX).step_by(97) {
         assert_eq!(owner(&resolved, key), owner(&table(7), key));
     }
 }
 
 #[test]
-fn a_vm_with_the_newest_version_is_told_nothing() {
+fn a_vm_with_the_newest_version_is_sent_no_update() {
     let ahead = history(3);
 
     assert!(ahead.update_for(&ahead.known_revisions()).is_empty());
 }
 
-/// Two commits follow each other within the time of the way, and the later
-/// call overtakes the earlier. The change is one of a version that is not
-/// there: taken, keys would be sought at owners that they never had. The VM
-/// says what it has, and is told from there.
+/// Guards against lookups at owners that keys never had. Two commits follow
+/// each other within one network delay, and the later call overtakes the
+/// earlier, so its patch is for a version that the VM does not have. The VM
+/// reports its version, and is sent a patch from there.
 #[test]
-fn a_change_of_another_version_is_refused() {
+fn a_patch_for_another_version_is_rejected() {
     let planner = history(4);
     let behind = history(2);
     let later = only(planner.update_for(&[version_at(30)]));
 
-    let refused = behind.resolve(later);
-    assert_eq!(refused.err(), Some(TableError));
+    let rejected = behind.resolve(later);
+    assert_eq!(rejected.err(), Some(TableError));
 
     let retried = only(planner.update_for(&behind.known_revisions()));
-    assert!(behind.resolve(retried).expect("its version").is_some());
+    assert!(
+        behind.resolve(retried).expect("the base version matches").is_some()
+    );
 }
 
-/// The same change comes from the planning VM and from the one that is
-/// followed.
+/// Guards against an update that is applied twice: it arrives from the
+/// planning VM and from the followed one.
 #[test]
-fn a_change_that_is_known_changes_nothing() {
+fn a_known_update_changes_nothing() {
     let planner = history(4);
     let known = history(4);
     let update = only(planner.update_for(&[version_at(20)]));
 
-    let resolved = known.resolve(update).expect("as new");
+    let resolved = known.resolve(update).expect("the update is known");
 
     assert!(resolved.is_none());
 }
 
-/// A VM that was cut off has a version that nobody remembers, or none.
+/// Guards against patches that cannot be applied. A VM that was cut off has a
+/// version that is no longer kept, or none.
 #[test]
-fn a_vm_that_is_far_behind_is_told_everything() {
+fn a_vm_that_is_far_behind_is_sent_the_full_table() {
     let ahead = history(40);
 
     for known in [vec![], vec![version_at(10)]] {
         let update = only(ahead.update_for(&known));
 
         assert!(matches!(update.payload, TablePayload::Full(_)));
-        assert!(history(1).resolve(update).expect("whole").is_some());
+        assert!(
+            history(1)
+                .resolve(update)
+                .expect("the update is a full table")
+                .is_some()
+        );
     }
 }
