--- a/goldcrestramp-entry/src/configuration.rs
+++ b/goldcrestramp-entry/src/configuration.rs
@@ -168,7 +168,7 @@
             Ok(configuration) => configuration,
             Err(error) => {
                 log::warn!(
-                    "[control] {error}; the previous configuration stays in force."
+                    "[control] {error}; the previous one stays in force."
                 );
                 self.rejected = item.revision;
                 return false;
--- a/goldcrestramp-entry/src/control/handlers.rs
+++ b/goldcrestramp-entry/src/control/handlers.rs
@@ -261,7 +261,7 @@
         // whose lease cannot be renewed, and a successor asks it to step down.
         if self.term.is_some() && !self.sync.is_fresh(now(), self.proof) {
             log::warn!(
-                "[control] The store does not respond; grants are still renewed."
+                "[control] No response of the store: still renewing grants."
             );
             return;
         }
--- a/goldcrestramp-entry/src/control/source.rs
+++ b/goldcrestramp-entry/src/control/source.rs
@@ -119,7 +119,9 @@
         match self.configurations.apply_update(update) {
             Ok(changed) => AppliedUpdate { changed, complete: true },
             Err(error) => {
-                log::debug!("[control] An update was not applied: {error}.");
+                log::debug!(
+                    "[control] Skipped a configuration update: {error}."
+                );
                 AppliedUpdate { changed: false, complete: false }
             }
         }
--- a/goldcrestramp-entry/src/control/tables.rs
+++ b/goldcrestramp-entry/src/control/tables.rs
@@ -140,7 +140,7 @@
                 Ok(None) => {}
                 Err(error) => {
                     log::debug!(
-                        "[control] An update of {key} was not applied: {error}."
+                        "[control] Skipped an update of {key}: {error}."
                     );
                     all = false;
                 }
--- a/goldcrestramp-entry/src/peers/client.rs
+++ b/goldcrestramp-entry/src/peers/client.rs
@@ -24,7 +24,7 @@
 /// because it takes longer to build.
 const SNAPSHOT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A snapshot of the store is a few hundred kilobytes at most.
+/// A snapshot of the store is some hundred kilobytes at most.
 const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
 /// A client of the other VMs. It is cheap to clone.
--- a/goldcrestramp-entry/src/peers/server.rs
+++ b/goldcrestramp-entry/src/peers/server.rs
@@ -16,7 +16,7 @@
     peers::{PEER_PATH, PeerCall, PeerReply},
 };
 
-/// A call is a load report or a table, about ten kilobytes.
+/// A call is a load report or a table, some ten kilobytes.
 const MAX_CALL_BYTES: usize = 4 * 1024 * 1024;
 
 /// How long a call waits for changes at most; its caller times out a little
--- a/goldcrestramp-entry/tests/configurations.rs
+++ b/goldcrestramp-entry/tests/configurations.rs
@@ -158,9 +158,14 @@
             let update = source
                 .update_for(follower.known_revision())
                 .expect("there is an update");
-            prop_assert_eq!(follower.apply_update(round_trip(&update)), Ok(true));
+            prop_assert_eq!(
+                follower.apply_update(round_trip(&update)),
+                Ok(true)
+            );
             prop_assert_eq!(newest(&follower), newest(&source));
-            prop_assert!(source.update_for(follower.known_revision()).is_none());
+            prop_assert!(
+                source.update_for(follower.known_revision()).is_none()
+            );
         }
     }
 }
