--- a/goldcrestramp-entry/src/run.rs
+++ b/goldcrestramp-entry/src/run.rs
@@ -18,7 +18,7 @@
     ready::serve_ready,
     records::VmInstance,
     shared::SharedState,
-    traffic::{TrafficGate, spawn_traffic},
+    traffic::{TrafficHandle, spawn_traffic},
     view::FleetView,
 };
 
@@ -124,7 +124,7 @@
     settings: &NodeSettings,
     control: &ControlHandle,
     phases: &watch::Sender<StopPhase>,
-    gate: &TrafficGate,
+    gate: &TrafficHandle,
 ) {
     let begin = Instant::now();
     let grace = settings.grace.to_std();
--- a/goldcrestramp-entry/src/traffic/mod.rs
+++ b/goldcrestramp-entry/src/traffic/mod.rs
@@ -36,7 +36,7 @@
 
 /// The running traffic part of a VM.
 #[derive(Clone, Debug)]
-pub struct TrafficGate {
+pub struct TrafficHandle {
     connections: Rc<ConnectionCount>,
 }
 
@@ -66,7 +66,7 @@
     }
 }
 
-impl TrafficGate {
+impl TrafficHandle {
     /// Waits until no caller is connected.
     pub async fn wait_empty(&self) {
         loop {
@@ -86,12 +86,12 @@
     views: watch::Receiver<Arc<FleetView>>,
     phase: watch::Receiver<StopPhase>,
     shared: SharedState,
-) -> TrafficGate {
+) -> TrafficHandle {
     let state =
         TrafficState::open(settings, views.clone(), phase.clone(), shared);
     let state = Rc::new(state);
     let connections = Rc::<ConnectionCount>::default();
-    let gate = TrafficGate { connections: Rc::clone(&connections) };
+    let gate = TrafficHandle { connections: Rc::clone(&connections) };
     spawn_local(follow_views(Rc::clone(&state), views));
     spawn_local(serve_listener(state, listener, phase, connections));
     gate
