--- a/goldcrestramp-entry/src/framing.rs
+++ b/goldcrestramp-entry/src/framing.rs
@@ -1,42 +1,43 @@
-//! Where the requests on a caller's connection end.
+//! Finds the ends of the requests on a caller's connection.
 //!
-//! A pipelined request can be served before the ones ahead of it are
-//! answered only if it is found among the bytes that follow them. Bytes of
-//! a body must never pass for a request, or whoever writes a body could
-//! have requests run in its caller's name. So only what has one plain
-//! reading is followed: a head that the HTTP library's own parser takes,
-//! with no body or one of a single decimal length. Anything else ends it
-//! for the rest of the connection, on which requests are then served one
-//! after the other.
+//! A pipelined request can be served before the ones ahead of it have
+//! responses only if it is found in the bytes that follow them. Bytes of a
+//! body must never be taken for a request, or whoever writes a body could run
+//! requests in its caller's name. So only requests with one unambiguous
+//! reading are followed: a head that the HTTP library's own parser accepts,
+//! with no body or with a body of a single decimal length. Anything else is
+//! opaque: from there on, the requests of the connection are served one after
+//! the other.
 
 use http::{HeaderMap, HeaderName, HeaderValue, Method, Request, Uri};
 
-/// Headers of a request; the HTTP library takes no more either.
+/// The maximum number of headers of a request; the HTTP library accepts no
+/// more either.
 const MAX_HEADERS: usize = 100;
 
-/// What stands at the begin of some bytes.
+/// What some bytes begin with.
 #[derive(Debug)]
 pub enum FrameStep {
-    /// A part of a head.
+    /// An incomplete head.
     Incomplete,
-    /// A whole head.
+    /// A complete head.
     Framed(Box<FramedRequest>),
-    /// Something that is not followed.
+    /// Anything else; requests behind it are not looked for.
     Opaque,
 }
 
 /// A request whose end is known.
 #[derive(Debug)]
 pub struct FramedRequest {
-    /// The bytes of its head, with the empty line.
+    /// The size of its head in bytes, including the empty line.
     pub head_bytes: usize,
-    /// The bytes of its body.
+    /// The size of its body in bytes.
     pub body_bytes: u64,
     /// Its head, if it has no body.
     pub head: Option<Request<()>>,
 }
 
-/// Reads the head at the begin of some bytes.
+/// Reads the head with which `bytes` begin.
 ///
 /// # Example
 ///
@@ -45,7 +46,7 @@
 ///
 /// let bytes = b"GET /a HTTP/1.1\r\nHost: shop\r\n\r\nGET /b";
 /// let FrameStep::Framed(first) = frame_request(bytes) else {
-///     panic!("the first head is whole");
+///     panic!("the first head is complete");
 /// };
 /// assert_eq!(&bytes[first.head_bytes..], b"GET /b");
 /// ```
@@ -58,17 +59,17 @@
         Ok(httparse::Status::Partial) => return FrameStep::Incomplete,
         Err(_) => return FrameStep::Opaque,
     };
-    // Version 1.0 and named connection options may end the connection.
+    // HTTP/1.0 and connection options may close the connection.
     if request.version != Some(1) {
         return FrameStep::Opaque;
     }
-    framed(&request, head_bytes)
+    framed_request(&request, head_bytes)
         .map_or(FrameStep::Opaque, |found| FrameStep::Framed(Box::new(found)))
 }
 
-/// The request with its length; nothing if that does not follow from its
-/// head.
-fn framed(
+/// Returns the request with its body length; `None` if the length does not
+/// follow from its head.
+fn framed_request(
     request: &httparse::Request<'_, '_>,
     head_bytes: usize,
 ) -> Option<FramedRequest> {
@@ -84,7 +85,8 @@
     Some(FramedRequest { head_bytes, body_bytes, head: None })
 }
 
-/// Whether the end of a request follows from one length or from none.
+/// Whether the end of a request follows from a single length or from the
+/// absence of a body.
 fn has_plain_length(headers: &[httparse::Header<'_>]) -> bool {
     let lengths = values(headers, "content-length").count();
     let mut connections = values(headers, "connection");
@@ -95,7 +97,7 @@
             .all(|name| values(headers, name).next().is_none())
 }
 
-/// The values of the headers of a name.
+/// The values of the headers with a name.
 fn values<'a>(
     headers: &[httparse::Header<'a>],
     name: &str,
@@ -106,7 +108,7 @@
     named.map(|header| header.value)
 }
 
-/// Digits alone: a sign, a blank or a list has more than one reading.
+/// Accepts digits only: a sign, a blank or a list has more than one reading.
 fn decimal(value: &[u8]) -> Option<u64> {
     let digits = value.iter().all(u8::is_ascii_digit);
     let text = std::str::from_utf8(value).ok()?;
--- a/goldcrestramp-entry/src/http.rs
+++ b/goldcrestramp-entry/src/http.rs
@@ -1,4 +1,4 @@
-//! Connections as a client: to the store, backend servers and other VMs.
+//! Client connections to the store, backend servers and other VMs.
 
 use std::{
     net::SocketAddr,
@@ -23,86 +23,91 @@
 use socket2::{SockRef, TcpKeepalive};
 use tokio::{net::TcpSocket, time::timeout};
 
-/// The body of a request that is sent on.
+/// The body of a request: bytes in memory, or the body of an incoming request
+/// that is forwarded.
 pub type SendBody = Either<Full<Bytes>, Incoming>;
 
-/// The sender of one connection.
+/// The request sender of one connection.
 pub type ConnectionSender = SendRequest<SendBody>;
 
-/// The first packet of a connection may wait for its second try, which the
-/// kernel makes after a second; a new connection elsewhere is sooner.
+/// The timeout for opening a connection. If its first packet is lost, the
+/// kernel retries only after 1 s; a new connection elsewhere is sooner.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Bytes without an acknowledgement for so long end a connection. A peer
-/// behind a partition never answers; without this a request to it would
-/// hang until its deadline.
+/// How long bytes may stay unacknowledged before the connection is closed. A
+/// peer behind a partition never responds; without this timeout a request to
+/// it would hang until its deadline.
 const USER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Probes of a connection that is silent: it can go silent for good while
-/// new ones work, and nothing else shows it to one that only listens.
-const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
-const KEEPALIVE_TRIES: u32 = 2;
+/// Keepalive probes of an idle connection. A connection can fail silently for
+/// good while new ones work, and nothing else shows it to a process that only
+/// listens on it.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+const KEEPALIVE_RETRIES: u32 = 2;
 
-/// What happens to bytes on the way when a connection is given up.
+/// What happens to bytes in flight when a connection is given up.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CloseMode {
     /// They may still arrive.
     Close,
-    /// They are discarded: a late order must not come after newer ones.
+    /// They are discarded: a late order must not arrive after newer ones.
     Reset,
 }
 
-/// How much of an answer the limit of a call covers.
+/// The part of a response that the timeout of a call covers.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum TimeoutScope {
-    /// All of it: short answers, whose callers act on their absence.
+    /// The full response: for short responses, whose absence makes the caller
+    /// act.
     FullResponse,
-    /// Its head. The rest may take any time, as long as it does not stall:
-    /// a large answer that is given up half way and asked for again would
-    /// cross a full link any number of times and never be had.
+    /// The head of the response. The rest may take any time, as long as it
+    /// does not stall: if a large response were given up half way and
+    /// requested again, it could cross a full link any number of times and
+    /// never complete.
     ResponseHead,
 }
 
-/// Why a call brought no answer.
+/// Why a call got no response.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CallFailure {
-    /// No byte of it was sent.
+    /// No byte of the call was sent.
     NotSent,
-    /// The connection ended; it may have been carried out.
+    /// The connection was closed; the call may have been carried out.
     Unknown,
-    /// No answer came in time; it may be carried out later.
+    /// No response arrived in time; the call may be carried out later.
     TimedOut,
 }
 
-/// An answer that was read whole.
+/// A response that was read completely.
 #[derive(Clone, Debug)]
 pub struct CallResponse {
-    /// The status.
+    /// The status code of the response.
     pub status: StatusCode,
-    /// The headers.
+    /// The headers of the response.
     pub headers: HeaderMap,
-    /// The body.
+    /// The complete body, without trailers.
     pub body: Bytes,
 }
 
-/// Opens a connection.
+/// Opens a connection to `address`; `close_mode` decides what happens to bytes
+/// in flight when it is given up.
 ///
 /// # Errors
 ///
-/// The error of the socket when it can't be made in time.
+/// The error of the socket when the connection can't be opened in time.
 pub async fn dial(
     address: SocketAddr,
-    end: CloseMode,
+    close_mode: CloseMode,
 ) -> std::io::Result<ConnectionSender> {
     let socket = TcpSocket::new_v4()?;
     let options = SockRef::from(&socket);
     options.set_tcp_user_timeout(Some(USER_TIMEOUT))?;
     let keepalive = TcpKeepalive::new()
-        .with_time(KEEPALIVE_IDLE)
-        .with_interval(KEEPALIVE_IDLE)
-        .with_retries(KEEPALIVE_TRIES);
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_RETRIES);
     options.set_tcp_keepalive(&keepalive)?;
-    if end == CloseMode::Reset {
+    if close_mode == CloseMode::Reset {
         options.set_linger(Some(Duration::ZERO))?;
     }
     let stream = timeout(CONNECT_TIMEOUT, socket.connect(address)).await??;
@@ -112,7 +117,8 @@
         .await
         .map_err(std::io::Error::other)?;
     tokio::spawn(async move {
-        // Its error reaches whoever waits for an answer on it.
+        // A sender that waits for a response on the connection gets the error,
+        // too.
         if let Err(error) = connection.await {
             log::debug!("[link] A connection to {address} ended: {error}.");
         }
@@ -120,95 +126,96 @@
     Ok(sender)
 }
 
-/// A call to one of the system's own interfaces or a server's.
+/// A call to one of the system's own interfaces or to a server.
 #[derive(Clone, Debug)]
 pub struct CallRequest {
-    /// Where it goes.
+    /// The address of the peer.
     pub address: SocketAddr,
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
     /// The path with its query.
     pub path: String,
-    /// Headers besides the host and the length.
+    /// Headers other than the host and the length.
     pub headers: HeaderMap,
-    /// The body.
+    /// The body; empty if there is none.
     pub body: Bytes,
 }
 
-/// Kept connections by address.
+/// Idle connections by address.
 type IdleConnections = FastMap<SocketAddr, Vec<ConnectionSender>>;
 
-/// Over which connections a call may go.
+/// Which connections a call may use.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ConnectionReuse {
-    /// A kept one, or a new one.
+    /// An idle connection, or a new one.
     Any,
-    /// A kept one only.
+    /// An idle connection only.
     Kept,
 }
 
-/// Calls over kept connections, one call at a time on each.
+/// A pool of connections, each of which carries one call at a time.
 #[derive(Debug)]
 pub struct CallPool {
-    end: CloseMode,
+    close_mode: CloseMode,
     scope: TimeoutScope,
-    answer_bytes_most: usize,
+    max_response_bytes: usize,
     idle: Mutex<IdleConnections>,
 }
 
-/// Connections kept to one address; more are only open in a rush.
+/// Idle connections kept per address; more are open only during a burst.
 const MAX_IDLE: usize = 2;
 
 impl CallPool {
-    /// Opens a pool with no connection.
+    /// Returns a pool without connections.
     #[must_use]
     pub fn open(
-        end: CloseMode,
+        close_mode: CloseMode,
         scope: TimeoutScope,
-        answer_bytes_most: usize,
+        max_response_bytes: usize,
     ) -> Self {
-        Self { end, scope, answer_bytes_most, idle: Mutex::default() }
+        Self { close_mode, scope, max_response_bytes, idle: Mutex::default() }
     }
 
-    /// Makes a call; it is given up if what the pool's scope covers of its
-    /// answer has not come after `limit`, or if the rest stalls.
+    /// Makes a call. It is given up if the part of the response that the
+    /// pool's scope covers has not arrived within `limit`, or if the rest
+    /// stalls.
     ///
     /// # Errors
     ///
-    /// A [`CallFailure`] when no whole answer came.
+    /// A [`CallFailure`] when no complete response arrived.
     pub async fn call(
         &self,
         request: CallRequest,
-        reach: ConnectionReuse,
+        reuse: ConnectionReuse,
         limit: Duration,
     ) -> Result<CallResponse, CallFailure> {
         let address = request.address;
         let sender = match self.take_idle(address).await {
             Some(sender) => sender,
-            None if reach == ConnectionReuse::Kept => {
+            None if reuse == ConnectionReuse::Kept => {
                 return Err(CallFailure::NotSent);
             }
-            None => dial(address, self.end)
+            None => dial(address, self.close_mode)
                 .await
                 .map_err(|_error| CallFailure::NotSent)?,
         };
         let progress = CallProgress::begin();
-        let most = self.answer_bytes_most;
-        let exchange = exchange(sender, request, limit, most, &progress);
-        let exchanged = match self.scope {
+        let max_bytes = self.max_response_bytes;
+        let exchange = exchange(sender, request, limit, max_bytes, &progress);
+        let outcome = match self.scope {
             TimeoutScope::ResponseHead => exchange.await,
             TimeoutScope::FullResponse => timeout(limit, exchange)
                 .await
                 .unwrap_or(Err(CallFailure::TimedOut)),
         };
-        let (sender, answer) = exchanged.inspect_err(|failure| {
+        let (sender, response) = outcome.inspect_err(|failure| {
             if *failure == CallFailure::TimedOut {
                 progress.log_given_up(address);
             }
         })?;
         progress.log_if_large(address);
-        self.keep(address, sender);
-        Ok(answer)
+        self.put_idle(address, sender);
+        Ok(response)
     }
 
     async fn take_idle(
@@ -227,7 +234,7 @@
         self.idle().get_mut(&address)?.pop()
     }
 
-    fn keep(&self, address: SocketAddr, sender: ConnectionSender) {
+    fn put_idle(&self, address: SocketAddr, sender: ConnectionSender) {
         let mut idle = self.idle();
         let kept = idle.entry(address).or_default();
         if kept.len() < MAX_IDLE && !sender.is_closed() {
@@ -236,12 +243,13 @@
     }
 
     fn idle(&self) -> MutexGuard<'_, IdleConnections> {
-        // A list of connections is valid whatever happened to its holder.
+        // A panic of the lock's holder leaves the list of connections valid.
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// The sender, if its connection still takes a request.
+/// Returns the sender once it is ready, or `None` if its connection no longer
+/// accepts a request.
 pub async fn usable(mut sender: ConnectionSender) -> Option<ConnectionSender> {
     if sender.is_closed() {
         return None;
@@ -249,19 +257,20 @@
     sender.ready().await.ok().map(|()| sender)
 }
 
-/// An answer whose next bytes do not come for so long is given up.
+/// A response is given up if its next bytes do not arrive within this time.
 const BODY_IDLE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Answers at least this long are logged: they hold up others on a link.
-const LARGE_ANSWER_BYTES: usize = 64 * 1024;
+/// Responses of at least this size are logged: they delay others on the same
+/// link.
+const LARGE_RESPONSE_BYTES: usize = 64 * 1024;
 
-/// How far an answer has come.
+/// The progress of a response.
 #[derive(Debug)]
 struct CallProgress {
     sent_at: LocalTime,
-    /// Milliseconds until the answer's head came; 0 until then.
+    /// Milliseconds until the head of the response arrived; 0 until then.
     head_ms: AtomicU64,
-    /// Bytes of the answer's body.
+    /// Bytes of the body received.
     bytes: AtomicUsize,
 }
 
@@ -274,18 +283,18 @@
         }
     }
 
-    fn took_ms(&self) -> u64 {
+    fn elapsed_ms(&self) -> u64 {
         MonotonicClock.now().since(self.sent_at).as_millis()
     }
 
-    fn head_came(&self) {
-        self.head_ms.store(self.took_ms(), Ordering::Relaxed);
+    fn record_head(&self) {
+        self.head_ms.store(self.elapsed_ms(), Ordering::Relaxed);
     }
 
     fn log_given_up(&self, address: SocketAddr) {
         log::info!(
             head_ms = self.head_ms.load(Ordering::Relaxed),
-            took_ms = self.took_ms(),
+            took_ms = self.elapsed_ms(),
             bytes = self.bytes.load(Ordering::Relaxed);
             "[link] A call to {address} was given up."
         );
@@ -293,12 +302,12 @@
 
     fn log_if_large(&self, address: SocketAddr) {
         let bytes = self.bytes.load(Ordering::Relaxed);
-        if bytes >= LARGE_ANSWER_BYTES {
+        if bytes >= LARGE_RESPONSE_BYTES {
             log::info!(
                 head_ms = self.head_ms.load(Ordering::Relaxed),
-                took_ms = self.took_ms(),
+                took_ms = self.elapsed_ms(),
                 bytes = bytes;
-                "[link] A large answer came from {address}."
+                "[link] A large response arrived from {address}."
             );
         }
     }
@@ -308,41 +317,42 @@
     mut sender: ConnectionSender,
     request: CallRequest,
     limit: Duration,
-    answer_bytes_most: usize,
+    max_response_bytes: usize,
     progress: &CallProgress,
 ) -> Result<(ConnectionSender, CallResponse), CallFailure> {
-    let silent = |_elapsed| CallFailure::TimedOut;
+    let timed_out = |_elapsed| CallFailure::TimedOut;
     let sent = sender.try_send_request(http_request(request));
-    let sent = timeout(limit, sent).await.map_err(silent)?;
+    let sent = timeout(limit, sent).await.map_err(timed_out)?;
     let response = sent.map_err(|mut error| match error.take_message() {
         Some(_unsent) => CallFailure::NotSent,
         None => CallFailure::Unknown,
     })?;
-    progress.head_came();
+    progress.record_head();
     let (parts, body) = response.into_parts();
-    let mut body = Limited::new(body, answer_bytes_most);
+    let mut body = Limited::new(body, max_response_bytes);
     let mut bytes = BytesMut::new();
     loop {
         let frame = timeout(BODY_IDLE_TIMEOUT, body.frame()).await;
-        let Some(frame) = frame.map_err(silent)? else { break };
+        let Some(frame) = frame.map_err(timed_out)? else { break };
         let frame = frame.map_err(|_error| CallFailure::Unknown)?;
-        // Trailers are of no use here.
+        // Trailers are ignored.
         if let Ok(data) = frame.into_data() {
             bytes.extend_from_slice(&data);
             progress.bytes.store(bytes.len(), Ordering::Relaxed);
         }
     }
     let body = bytes.freeze();
-    let answer =
+    let response =
         CallResponse { status: parts.status, headers: parts.headers, body };
-    Ok((sender, answer))
+    Ok((sender, response))
 }
 
 fn http_request(request: CallRequest) -> Request<SendBody> {
     let body = Either::Left(Full::new(request.body));
     let mut sent = Request::new(body);
     *sent.method_mut() = request.method;
-    // Paths are made by this program from escaped texts and numbers.
+    // Paths are built by this program from escaped texts and numbers, so they
+    // parse.
     *sent.uri_mut() = request.path.parse().unwrap_or_default();
     *sent.headers_mut() = request.headers;
     let host = request.address.to_string();
--- a/goldcrestramp-entry/src/listen.rs
+++ b/goldcrestramp-entry/src/listen.rs
@@ -1,4 +1,4 @@
-//! Listeners of this VM's own interfaces.
+//! Listeners of this VM's own HTTP interfaces.
 
 use std::{convert::Infallible, sync::Arc, time::Duration};
 
@@ -9,34 +9,34 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpListener;
 
-/// After a connection that could not be taken, mostly for want of a
-/// descriptor, the next one is waited for so long.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+/// The delay after a failed accept, which is mostly due to a lack of
+/// descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Answers requests until the task is dropped; `part` names the interface
-/// in logs.
-pub(crate) async fn serve_http<Handler, Answer>(
+/// Serves requests until the task is dropped; `part` names the interface in
+/// logs.
+pub(crate) async fn serve_http<Handler, ResponseFuture>(
     listener: TcpListener,
     part: &'static str,
     handler: Handler,
 ) where
-    Handler: Fn(Request<Incoming>) -> Answer + Send + Sync + 'static,
-    Answer: Future<Output = Response<Full<Bytes>>> + Send + 'static,
+    Handler: Fn(Request<Incoming>) -> ResponseFuture + Send + Sync + 'static,
+    ResponseFuture: Future<Output = Response<Full<Bytes>>> + Send + 'static,
 {
     let handler = Arc::new(handler);
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _address)) => stream,
             Err(error) => {
-                log::warn!("[{part}] No connection was taken: {error}.");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                log::warn!("[{part}] Accept failed: {error}.");
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
         let handler = Arc::clone(&handler);
         let service = service_fn(move |request| {
-            let answer = handler(request);
-            async move { Ok::<_, Infallible>(answer.await) }
+            let response = handler(request);
+            async move { Ok::<_, Infallible>(response.await) }
         });
         tokio::spawn(async move {
             let connection = http1::Builder::new()
--- a/goldcrestramp-entry/src/ready.rs
+++ b/goldcrestramp-entry/src/ready.rs
@@ -1,4 +1,5 @@
-//! Tells the balancer whether this VM takes new connections.
+//! The readiness check: the balancer asks whether this VM accepts new
+//! connections.
 
 use std::sync::Arc;
 
@@ -10,25 +11,27 @@
 
 use crate::{listen::serve_http, run::StopPhase, view::FleetView};
 
-/// Answers until the listener's task is dropped.
+/// Serves readiness checks until the listener's task is dropped.
 ///
 /// A VM is ready once it knows a configuration: without one it could only
-/// refuse. It stays so while the store is away, as it serves on.
+/// refuse requests. It stays ready while the store is unreachable, since it
+/// continues to serve.
 pub(crate) async fn serve_ready(
     listener: TcpListener,
     views: watch::Receiver<Arc<FleetView>>,
     phase: watch::Receiver<StopPhase>,
 ) {
     serve_http(listener, "ready", move |request| {
-        let known = views.borrow().routes.is_some();
-        let serving = *phase.borrow() == StopPhase::Serving;
-        let answer = answer(request.uri().path(), known && serving);
-        async move { answer }
+        let has_configuration = views.borrow().routes.is_some();
+        let is_serving = *phase.borrow() == StopPhase::Serving;
+        let response =
+            respond(request.uri().path(), has_configuration && is_serving);
+        async move { response }
     })
     .await;
 }
 
-fn answer(path: &str, ready: bool) -> Response<Full<Bytes>> {
+fn respond(path: &str, ready: bool) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     *response.status_mut() = match (path == READY_PATH, ready) {
         (false, _) => StatusCode::NOT_FOUND,
--- a/goldcrestramp-entry/src/store.rs
+++ b/goldcrestramp-entry/src/store.rs
@@ -13,24 +13,26 @@
     TimeoutScope,
 };
 
-/// A call without an answer is given up after so long: the store answers
-/// in milliseconds, and in a quarter of a second when it is slow.
-const CALL_LIMIT: Duration = Duration::from_millis(1_500);
+/// The timeout of a call: the store responds in milliseconds, and in 250 ms
+/// when it is slow.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// A page of items is waited for longer until it begins: pages of several
-/// VMs may stand before it on a link, and one that is given up is asked for
-/// again.
-const PAGE_LIMIT: Duration = Duration::from_secs(4);
+/// The timeout for the begin of a page of items. It is longer, since pages of
+/// several VMs may be queued ahead of it on a link, and a page that is given
+/// up is requested again.
+const PAGE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// An answer is at most a page of items: 1 MB, a third more as text.
+/// The maximum size of a response: at most a page of items, which is 1 MB and
+/// a third more as text.
 const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
 
-/// Why the store gave no usable answer.
+/// Why a call to the store got no usable response.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StoreFailure {
-    /// Nothing was done.
+    /// The call was not carried out.
     NotDone,
-    /// It may have been done, or may be later: read it back.
+    /// The call may have been carried out, or may be later; read the result
+    /// back.
     Unknown,
 }
 
@@ -45,12 +47,12 @@
 
 impl std::error::Error for StoreFailure {}
 
-/// Everything that begins with a prefix.
+/// All items whose keys begin with a prefix.
 #[derive(Clone, Debug)]
 pub struct StorePage {
     /// The items in the order of their keys.
     pub items: Vec<StoreItem>,
-    /// A revision from which changes have to be followed.
+    /// The revision from which changes have to be followed.
     pub revision: u64,
 }
 
@@ -62,7 +64,7 @@
 }
 
 impl StoreClient {
-    /// Opens a client; nothing is sent yet.
+    /// Creates a client; nothing is sent yet.
     #[must_use]
     pub fn open(address: SocketAddr) -> Self {
         let pool = CallPool::open(
@@ -73,12 +75,12 @@
         Self { address, pool }
     }
 
-    /// Makes a call.
+    /// Sends a call and decodes the response.
     ///
     /// # Errors
     ///
-    /// A [`StoreFailure`] when the store can't be reached, turns the call
-    /// away or gives an answer that can't be read.
+    /// A [`StoreFailure`] when the store can't be reached, refuses the call or
+    /// sends a response that can't be decoded.
     pub async fn call(
         &self,
         call: &StoreCall,
@@ -92,20 +94,20 @@
         }
         let address = self.address;
         let request = CallRequest { address, method, path, headers, body };
-        let limit = match call {
-            StoreCall::Watch { wait, .. } => CALL_LIMIT + wait.to_std(),
-            StoreCall::Range { .. } => PAGE_LIMIT,
-            _ => CALL_LIMIT,
+        let timeout = match call {
+            StoreCall::Watch { wait, .. } => CALL_TIMEOUT + wait.to_std(),
+            StoreCall::Range { .. } => PAGE_TIMEOUT,
+            _ => CALL_TIMEOUT,
         };
-        let answer =
-            self.pool.call(request, ConnectionReuse::Any, limit).await;
-        let answer = answer.map_err(|failure| match failure {
+        let response =
+            self.pool.call(request, ConnectionReuse::Any, timeout).await;
+        let response = response.map_err(|failure| match failure {
             CallFailure::NotSent => StoreFailure::NotDone,
             CallFailure::Unknown | CallFailure::TimedOut => {
                 StoreFailure::Unknown
             }
         })?;
-        match call.decode(answer.status, &answer.body) {
+        match call.decode(response.status, &response.body) {
             Ok(StoreReply::Refused(status)) => {
                 log::debug!("[store] A call was refused: {status}.");
                 Err(StoreFailure::NotDone)
@@ -118,11 +120,11 @@
         }
     }
 
-    /// Reads everything that begins with `prefix`.
+    /// Reads all items whose keys begin with `prefix`.
     ///
-    /// Pages are no snapshot, so the first page's revision is the one from
-    /// which changes are followed: what changed while later pages were
-    /// read is told again.
+    /// Pages are not one snapshot, so the first page's revision is the one
+    /// from which changes are followed: changes made while later pages were
+    /// read are reported again.
     ///
     /// # Errors
     ///
--- a/goldcrestramp-entry/src/traffic/choose.rs
+++ b/goldcrestramp-entry/src/traffic/choose.rs
@@ -22,8 +22,8 @@
 
 /// A draining server gets no new requests after this share of the drain time
 /// that the settings allow. Its keys have been moved by then, unless no VM can
-/// plan at the moment. The rest of the time is for transit and for waits in
-/// flight.
+/// plan at the moment. The rest of the time is for transit and for delays on
+/// the path.
 const DRAIN_SEND_PERCENT: u64 = 80;
 
 /// A new owner gets its first request this long after its table arrived: its
--- a/goldcrestramp-entry/src/traffic/mod.rs
+++ b/goldcrestramp-entry/src/traffic/mod.rs
@@ -93,10 +93,10 @@
         TrafficState::open(settings, views.clone(), phase.clone(), shared);
     let state = Rc::new(state);
     let connections = Rc::<ConnectionCount>::default();
-    let gate = TrafficHandle { connections: Rc::clone(&connections) };
+    let handle = TrafficHandle { connections: Rc::clone(&connections) };
     spawn_local(follow_views(Rc::clone(&state), views));
     spawn_local(serve_listener(state, listener, phase, connections));
-    gate
+    handle
 }
 
 /// Applies each new view and wakes the requests that wait for one.
--- a/goldcrestramp-entry/tests/calls.rs
+++ b/goldcrestramp-entry/tests/calls.rs
@@ -1,4 +1,4 @@
-//! When calls are given up.
+//! Tests of the timeouts of calls.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -12,27 +12,29 @@
     net::TcpListener,
 };
 
-/// The bytes of the server's answer, and the pause before each.
-const ANSWER_BYTES: usize = 20;
-const PAUSE: Duration = Duration::from_millis(50);
+/// The size of the server's response, and the delay before each byte.
+const RESPONSE_BYTES: usize = 20;
+const BYTE_DELAY: Duration = Duration::from_millis(50);
 
-/// Half of the time that the answer takes.
-const LIMIT: Duration = Duration::from_millis(500);
+/// The timeout of a call: half of the time that the response takes.
+const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A server whose answer comes byte by byte.
+/// Starts a server that sends its response byte by byte.
 async fn slow_server() -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener =
+        TcpListener::bind("127.0.0.1:0").await.expect("listener binds");
+    let address = listener.local_addr().expect("listener has an address");
     tokio::spawn(async move {
-        let (mut stream, _) = listener.accept().await.expect("a caller");
+        let (mut stream, _) =
+            listener.accept().await.expect("caller connects");
         let mut request = [0; 1_024];
-        let _read = stream.read(&mut request).await.expect("a request");
+        let _read = stream.read(&mut request).await.expect("request is read");
         let head = format!(
-            "HTTP/1.1 200 OK\r\ncontent-length: {ANSWER_BYTES}\r\n\r\n"
+            "HTTP/1.1 200 OK\r\ncontent-length: {RESPONSE_BYTES}\r\n\r\n"
         );
-        stream.write_all(head.as_bytes()).await.expect("a caller");
-        for _ in 0..ANSWER_BYTES {
-            tokio::time::sleep(PAUSE).await;
+        stream.write_all(head.as_bytes()).await.expect("head is sent");
+        for _ in 0..RESPONSE_BYTES {
+            tokio::time::sleep(BYTE_DELAY).await;
             if stream.write_all(b"x").await.is_err() {
                 return;
             }
@@ -50,21 +52,22 @@
         body: "".into(),
     };
     let pool = CallPool::open(CloseMode::Close, scope, 1_024);
-    let answer = pool.call(request, ConnectionReuse::Any, LIMIT).await;
-    answer.map(|answer| answer.body.len())
+    let response =
+        pool.call(request, ConnectionReuse::Any, CALL_TIMEOUT).await;
+    response.map(|response| response.body.len())
 }
 
-/// Guards against orders that are under way without end.
+/// Guards against orders that stay in flight without end.
 #[tokio::test]
-async fn a_call_for_a_short_answer_ends_while_bytes_come() {
+async fn a_call_for_a_full_response_times_out_while_bytes_arrive() {
     assert_eq!(
         call(TimeoutScope::FullResponse).await,
         Err(CallFailure::TimedOut)
     );
 }
 
-/// Guards against giving a long answer up half way.
+/// Guards against giving up a long response half way.
 #[tokio::test]
-async fn an_answer_that_is_coming_is_not_given_up() {
-    assert_eq!(call(TimeoutScope::ResponseHead).await, Ok(ANSWER_BYTES));
+async fn a_response_whose_head_arrived_is_not_given_up() {
+    assert_eq!(call(TimeoutScope::ResponseHead).await, Ok(RESPONSE_BYTES));
 }
--- a/goldcrestramp-entry/tests/framing.rs
+++ b/goldcrestramp-entry/tests/framing.rs
@@ -1,11 +1,11 @@
-//! Finding requests among bytes that strangers send.
+//! Finding requests in bytes from untrusted callers.
 
 use goldcrestramp_entry::framing::{FrameStep, frame_request};
 use proptest::{collection::vec, prelude::*};
 
-/// The paths of the requests that are found, and whether it went on to the
-/// end of the bytes.
-fn found(bytes: &[u8]) -> (Vec<String>, bool) {
+/// The paths of the requests without a body that are found, and whether all of
+/// the bytes were read.
+fn find_requests(bytes: &[u8]) -> (Vec<String>, bool) {
     let mut paths = Vec::new();
     let mut rest = bytes;
     loop {
@@ -26,27 +26,29 @@
     let bytes = b"GET /a HTTP/1.1\r\nHost: s\r\n\r\n\
         GET /b HTTP/1.1\r\nHost: s\r\nConnection: keep-alive\r\n\r\n";
 
-    assert_eq!(found(bytes), (vec!["/a".into(), "/b".into()], true));
+    assert_eq!(find_requests(bytes), (vec!["/a".into(), "/b".into()], true));
 }
 
-/// A caller sends an order whose body reads like a request. Taken for one,
-/// it would run without its caller having asked for it.
+/// Guards against request smuggling: the body of an order reads like a
+/// request. If it were taken for one, it would run without its caller having
+/// sent it.
 #[test]
-fn a_body_is_no_request() {
-    let inner = "GET /smuggled HTTP/1.1\r\nHost: s\r\n\r\n";
+fn a_body_is_not_read_as_a_request() {
+    let smuggled = "GET /smuggled HTTP/1.1\r\nHost: s\r\n\r\n";
     let bytes = format!(
-        "POST /a HTTP/1.1\r\nHost: s\r\nContent-Length: {}\r\n\r\n{inner}\
+        "POST /a HTTP/1.1\r\nHost: s\r\nContent-Length: {}\r\n\r\n{smuggled}\
          GET /b HTTP/1.1\r\nHost: s\r\n\r\n",
-        inner.len()
+        smuggled.len()
     );
 
-    assert_eq!(found(bytes.as_bytes()), (vec!["/b".into()], true));
+    assert_eq!(find_requests(bytes.as_bytes()), (vec!["/b".into()], true));
 }
 
-/// Where a body's end has two readings, one reader takes the rest for a
-/// body and another for a request. Nothing is read ahead behind it.
+/// Guards against an ambiguous body length: one reader takes the following
+/// bytes for the body and another for a request. Nothing behind it is read
+/// ahead.
 #[test]
-fn what_has_two_readings_is_not_followed() {
+fn an_ambiguous_request_is_opaque() {
     let heads = [
         "Transfer-Encoding: chunked\r\n",
         "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n",
@@ -69,12 +71,12 @@
 
         assert!(matches!(step, FrameStep::Opaque), "{head:?}");
     }
-    let old = frame_request(b"GET /a HTTP/1.0\r\n\r\n");
-    assert!(matches!(old, FrameStep::Opaque));
+    let old_version = frame_request(b"GET /a HTTP/1.0\r\n\r\n");
+    assert!(matches!(old_version, FrameStep::Opaque));
 }
 
 #[test]
-fn a_part_of_a_head_is_waited_for() {
+fn a_part_of_a_head_is_incomplete() {
     let whole = b"GET /a HTTP/1.1\r\nHost: s\r\n\r\n";
     for end in 0..whole.len() {
         let step = frame_request(&whole[..end]);
@@ -83,15 +85,15 @@
     }
 }
 
-/// Cases of each property: few in a run by hand, more where the
-/// environment asks for them.
+/// The number of cases of each property: few in a run by hand, more where the
+/// environment sets it.
 fn cases() -> ProptestConfig {
-    let asked = std::env::var("GOLDCRESTRAMP_FUZZ_CASES").ok();
-    let cases = asked.and_then(|text| text.parse().ok()).unwrap_or(2_000);
+    let requested = std::env::var("GOLDCRESTRAMP_FUZZ_CASES").ok();
+    let cases = requested.and_then(|text| text.parse().ok()).unwrap_or(2_000);
     ProptestConfig { cases, failure_persistence: None, ..Default::default() }
 }
 
-/// Pieces of requests, so that random bytes come near to valid ones.
+/// Pieces of requests, so that random bytes come close to valid requests.
 fn piece() -> impl Strategy<Value = Vec<u8>> {
     let texts = [
         "GET /a HTTP/1.1\r\n",
@@ -115,7 +117,7 @@
 proptest! {
     #![proptest_config(cases())]
 
-    /// No bytes break the reader, and it never reads past them.
+    /// Guards against bytes that make the reader panic or read past their end.
     #[test]
     fn any_bytes_are_read_safely(pieces in vec(piece(), 0..20)) {
         let bytes = pieces.concat();
@@ -130,18 +132,19 @@
         }
     }
 
-    /// Bytes that come in parts are read as when they come at once.
+    /// Guards against a head that is read differently when its bytes arrive in
+    /// parts than when they arrive at once with more behind it.
     #[test]
-    fn a_whole_head_is_read_the_same_with_more_behind(
+    fn a_complete_head_is_read_the_same_with_more_bytes_behind(
         pieces in vec(piece(), 0..12),
         more in vec(any::<u8>(), 0..40),
     ) {
         let bytes = pieces.concat();
         if let FrameStep::Framed(first) = frame_request(&bytes) {
             let longer = [bytes.as_slice(), &more].concat();
-            let again = frame_request(&longer);
+            let second_read = frame_request(&longer);
             let same = matches!(
-                again,
+                second_read,
                 FrameStep::Framed(ref second)
                     if second.head_bytes == first.head_bytes
                         && second.body_bytes == first.body_bytes
