--- a/goldcrestramp-entry/src/traffic/attempt.rs
+++ b/goldcrestramp-entry/src/traffic/attempt.rs
@@ -74,7 +74,7 @@
     }
 }
 
-/// The route and the limits of an attempt.
+/// The proximity of the server and the limits of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptPlan {
     pub(crate) proximity: ServerProximity,
--- a/goldcrestramp-entry/src/traffic/choose.rs
+++ b/goldcrestramp-entry/src/traffic/choose.rs
@@ -27,8 +27,8 @@
 const DRAIN_SEND_PERCENT: u64 = 80;
 
 /// A new owner gets its first request this long after its table arrived: its
-/// grant is in flight from the planning VM, at most from another region. A
-/// request that arrives before the grant would be refused.
+/// grant is in flight from the planning VM, which is in another region at the
+/// farthest. A request that arrives before the grant would be refused.
 const GRANT_TRANSIT: TimeSpan = TimeSpan::from_millis(30);
 
 /// Keys that are moved to another owner are usually served again within this
--- a/goldcrestramp-entry/src/traffic/connection.rs
+++ b/goldcrestramp-entry/src/traffic/connection.rs
@@ -41,9 +41,9 @@
     },
 };
 
-/// Bytes of a connection that are buffered before the library reads them. If a
-/// VM has as many connections as descriptors, their buffers use half of its
-/// memory.
+/// The maximum number of bytes of a connection that are buffered before the
+/// library reads them. If a VM has as many connections as descriptors, their
+/// buffers leave half of its memory free.
 const MAX_RECEIVED_BYTES: usize = 24 * 1024;
 
 /// Heads longer than this are subject to the library's own limits.
@@ -125,7 +125,7 @@
                 Ok(_bytes) => self.find_requests(),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 Err(error) => {
-                    log::debug!("[gateway] Reading failed: {error}.");
+                    log::debug!("[gateway] Read from caller failed: {error}.");
                     return;
                 }
             }
--- a/goldcrestramp-entry/src/traffic/serve.rs
+++ b/goldcrestramp-entry/src/traffic/serve.rs
@@ -357,7 +357,7 @@
 }
 
 impl TrafficState {
-    /// The reason for a request that no route matches.
+    /// The reason with which a request ends that no route matches.
     ///
     /// To its caller, "no such route" is final. If this VM's updates are older
     /// than the time within which a configuration must be in force, a newer
--- a/goldcrestramp-entry/src/traffic/wait.rs
+++ b/goldcrestramp-entry/src/traffic/wait.rs
@@ -14,7 +14,7 @@
 /// requests again without an event.
 const RECHECK_INTERVAL: TimeSpan = TimeSpan::from_millis(100);
 
-/// The first delay before a retry to an owner that refused a request. It
+/// The base delay before a retry to an owner that refused a request. It
 /// doubles with each attempt, since a server that sheds load needs time to
 /// work off its queue.
 const OWNER_RETRY_DELAY: TimeSpan = TimeSpan::from_millis(40);
