--- a/goldcrestramp-decisions/src/attempt_budget.rs
+++ b/goldcrestramp-decisions/src/attempt_budget.rs
@@ -1,38 +1,40 @@
-//! How many sends beyond the first of each request a VM may make.
+//! Bounds the retries of a VM: the attempts beyond the first of each request.
 //!
-//! The load: many servers fail or shed at once, and every VM sends again.
-//! The operators bound what all VMs together may send beyond the first of
-//! each request in any window. VMs can't ask one another when they are cut
-//! off, so each keeps to its own part: the ratio of what it was asked
-//! itself, and an equal part of the constant. How many share it is what the
-//! VM knows of the fleet: too few while it starts, or when some are thought
-//! lost that still serve. So a VM that has just started takes little of it,
-//! and a fleet that shrinks counts as large for a window more.
+//! Without a bound, many servers that fail or shed load at once make every VM
+//! send again. The operators bound the retries of all VMs together in any
+//! window: a ratio of the requests plus a constant. VMs that are cut off can't
+//! coordinate, so each keeps to its own part: the ratio of the requests that
+//! it received itself, and an equal share of the constant. The share depends
+//! on how many VMs this VM knows, which is too few while it starts, or when
+//! VMs that still serve are believed to be lost. So a VM that has just started
+//! takes only a small part of the constant, and after the fleet shrinks, its
+//! largest size in the last window still counts.
 
 use std::collections::VecDeque;
 
 use goldcrestramp_types::{LocalTime, TimeSpan};
 
-/// The window is counted in this many steps; one more is kept, so that a
+/// The window is counted in this many steps. One more step is kept, so that a
 /// window that begins within a step is never underestimated.
 const STEPS: u64 = 10;
 
-/// The part of what is allowed that is used: requests are counted by the
-/// operators when callers send them, here when they are read.
-const USED_PERCENT: u64 = 70;
+/// The percentage of the allowed retries that is used. The operators count a
+/// request when its caller sends it, and this VM when it reads it.
+const USABLE_PERCENT: u64 = 70;
 
-/// The most of the constant that a VM takes while it may not know the
-/// others: enough for its first requests, of which the ratio allows none.
-const START_SHARE: u64 = 12;
+/// The maximum share of the constant for a VM that may not know the other VMs
+/// yet. It is enough for the first requests, for which the ratio allows no
+/// retries.
+const MAX_START_SHARE: u64 = 12;
 
-/// What the operators allow.
+/// The operators' bound on retries.
 #[derive(Clone, Copy, Debug)]
 pub struct BudgetSettings {
     /// The length of the window.
     pub window: TimeSpan,
-    /// Sends beyond the first for each thousand requests.
+    /// Retries allowed for each thousand requests.
     pub per_mille: u64,
-    /// Sends beyond those, for all VMs together.
+    /// Retries allowed in addition in a window, for all VMs together.
     pub constant: u64,
 }
 
@@ -40,12 +42,12 @@
 struct WindowStep {
     number: u64,
     requests: u64,
-    repeats: u64,
-    /// The most VMs that were known.
+    retries: u64,
+    /// The largest number of VMs known in this step.
     vms: u64,
 }
 
-/// The sends of one VM to one service.
+/// The retries of one VM to one service.
 ///
 /// # Example
 ///
@@ -64,56 +66,55 @@
 pub struct AttemptBudget {
     settings: BudgetSettings,
     steps: VecDeque<WindowStep>,
-    /// When a whole part of the constant may first be taken.
-    share_from: LocalTime,
+    /// From when on a full share of the constant may be taken.
+    full_share_at: LocalTime,
 }
 
 impl AttemptBudget {
-    /// A budget of which nothing was used.
+    /// Creates a budget with no retries used.
     #[must_use]
     pub fn new(settings: BudgetSettings) -> Self {
-        let share_from = LocalTime::default();
-        Self { settings, steps: VecDeque::new(), share_from }
+        let full_share_at = LocalTime::default();
+        Self { settings, steps: VecDeque::new(), full_share_at }
     }
 
-    /// The budget of a VM that started at `started`: what its former run
-    /// has taken of the constant is forgotten, and other VMs may not be
-    /// known yet.
+    /// Sets the start of the VM. For one window its share of the constant is
+    /// reduced: the retries of its previous instance aren't known, and the
+    /// other VMs may not be known yet.
     #[must_use]
     pub fn with_start(self, started: LocalTime) -> Self {
-        Self { share_from: started + self.settings.window, ..self }
+        Self { full_share_at: started + self.settings.window, ..self }
     }
 
-    /// Counts a request that came in.
+    /// Counts a request that this VM received.
     pub fn record_request(&mut self, now: LocalTime) {
         self.step(now).requests += 1;
     }
 
-    /// Takes a send beyond the first, if one is left; `vms` share the
-    /// constant.
+    /// Takes a retry if one remains. `vms` VMs share the constant.
     pub fn try_take(&mut self, now: LocalTime, vms: usize) -> bool {
-        let left = self.has_remaining(now, vms);
-        self.step(now).repeats += u64::from(left);
-        left
+        let granted = self.has_remaining(now, vms);
+        self.step(now).retries += u64::from(granted);
+        granted
     }
 
-    /// Whether a send beyond the first is left.
+    /// Whether a retry remains. Takes none.
     pub fn has_remaining(&mut self, now: LocalTime, vms: usize) -> bool {
         let step = self.step(now);
         step.vms = step.vms.max(vms as u64);
-        let requests: u64 = self.steps.iter().map(|s| s.requests).sum();
-        let repeats: u64 = self.steps.iter().map(|s| s.repeats).sum();
+        let requests: u64 = self.steps.iter().map(|step| step.requests).sum();
+        let retries: u64 = self.steps.iter().map(|step| step.retries).sum();
         let allowed =
             requests * self.settings.per_mille / 1_000 + self.share(now);
-        (repeats + 1) * 100 <= allowed * USED_PERCENT
+        (retries + 1) * 100 <= allowed * USABLE_PERCENT
     }
 
-    /// This VM's part of the constant.
+    /// This VM's share of the constant.
     fn share(&self, now: LocalTime) -> u64 {
         let vms = self.steps.iter().map(|step| step.vms).max();
         let share = self.settings.constant / vms.unwrap_or(1).max(1);
-        if now < self.share_from {
-            return share.min(START_SHARE);
+        if now < self.full_share_at {
+            return share.min(MAX_START_SHARE);
         }
         share
     }
--- a/goldcrestramp-decisions/src/denial.rs
+++ b/goldcrestramp-decisions/src/denial.rs
@@ -1,42 +1,46 @@
-//! Whether an owner that denied a key is asked for it again.
+//! Decides whether to retry an owner that denied a key.
 //!
-//! The load: many servers end at once, or stop holding their keys, and the
-//! table names them for seconds longer. Asked again by each request, they or
-//! whoever has their addresses by now get several times the arrivals, and the
-//! budget of repeats is spent on what can't succeed.
+//! When many servers stop at once or lose their keys, the table still names
+//! them as owners for seconds. If every request retried them, they, or
+//! whichever processes have their addresses by then, would get several times
+//! the arrivals, and the retry budget would be spent on attempts that can't
+//! succeed.
 
 use goldcrestramp_types::{LocalTime, TimeSpan};
 
-/// A grant is on its way to its server for at most this long after its table
-/// is known, one repetition of it included.
-const GRANT_SETTLES: TimeSpan = TimeSpan::from_millis(1_000);
+/// A grant reaches its server within this time after its table is known,
+/// including one retransmission.
+const MAX_GRANT_DELAY: TimeSpan = TimeSpan::from_millis(1_000);
 
 /// An owner's statement that it does not hold a key.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct OwnerDenial {
-    /// The token of the assignment by which it was asked.
+    /// The token of the assignment that the request named.
     pub token: u64,
-    /// When it stated so.
+    /// When the owner denied the key.
     pub denied_at: LocalTime,
 }
 
-/// What a request does about its key's owner.
+/// What to do with a request for a key.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum DenialAction {
-    /// It is sent to the owner.
+    /// Send it to the owner.
     Retry,
-    /// It waits for another assignment.
+    /// Wait for another assignment.
     AwaitChange {
-        /// For how long the key has been known to be without an owner.
+        /// How long ago the owner denied the key. Since then the key is known
+        /// to have no owner.
         denied_for: TimeSpan,
     },
 }
 
-/// Decides whether an owner is asked, given what it last told this request.
+/// Decides whether to send a request to an owner, given the owner's last
+/// denial to this request.
 ///
-/// `known_since` is when this VM learnt of the assignment with `token`. An
-/// owner that denies a settled assignment has ended or lost its hold; only
-/// another assignment changes that. A young one may overtake its grant.
+/// `known_since` is when this VM learned of the assignment with `token`. An
+/// owner that denies an assignment whose grant must have arrived has stopped
+/// or lost its grant, and only another assignment changes that. A request
+/// under a new assignment may arrive before its grant, so it is retried.
 ///
 /// # Example
 ///
@@ -46,9 +50,9 @@
 ///
 /// let at = |millis: u64| LocalTime::from_micros(millis * 1_000);
 /// let denial = OwnerDenial { token: 7, denied_at: at(5_000) };
-/// let step = |token| denial_action(Some(denial), token, at(0), at(5_000));
-/// assert!(matches!(step(7), DenialAction::AwaitChange { .. }));
-/// assert_eq!(step(8), DenialAction::Retry);
+/// let action = |token| denial_action(Some(denial), token, at(0), at(5_000));
+/// assert!(matches!(action(7), DenialAction::AwaitChange { .. }));
+/// assert_eq!(action(8), DenialAction::Retry);
 /// ```
 #[must_use]
 pub fn denial_action(
@@ -61,7 +65,7 @@
     let Some(OwnerDenial { denied_at, .. }) = denial else {
         return DenialAction::Retry;
     };
-    if denied_at.since(known_since) < GRANT_SETTLES {
+    if denied_at.since(known_since) < MAX_GRANT_DELAY {
         return DenialAction::Retry;
     }
     DenialAction::AwaitChange { denied_for: now.since(denied_at) }
--- a/goldcrestramp-decisions/src/placement/assign.rs
+++ b/goldcrestramp-decisions/src/placement/assign.rs
@@ -1,4 +1,4 @@
-//! Slices that have to find a new place.
+//! Assigns slices that need a new target.
 
 use goldcrestramp_types::{SliceIndex, SliceSet};
 
@@ -7,23 +7,24 @@
     view::{PlannedMove, TargetView},
 };
 
-/// Spreads the slices of a place that is lost or drains over the open
-/// ones: heaviest first, each to where the use is then lowest.
+/// Spreads the slices of a target that is lost or drains over the targets that
+/// accept slices: heaviest first, each to the target with the lowest
+/// utilization.
 ///
-/// `source` is the place's position. Nothing is given out while no place
-/// is open.
+/// `source` is the position of the previous target. No slice is assigned while
+/// no target accepts slices.
 #[must_use]
 pub fn assign_orphans(
     source: usize,
     orphans: &SliceSet,
-    places: &[TargetView],
+    targets: &[TargetView],
     loads: &LoadEstimate,
 ) -> Vec<PlannedMove> {
-    let mut shares: Vec<PlaceShare> = places
+    let mut shares: Vec<TargetShare> = targets
         .iter()
         .enumerate()
-        .filter(|(place, view)| view.open && *place != source)
-        .map(|(place, view)| PlaceShare::of(place, view, loads))
+        .filter(|(index, view)| view.accepts_slices && *index != source)
+        .map(|(index, view)| TargetShare::of(index, view, loads))
         .collect();
     let mut slices: Vec<SliceIndex> = orphans.iter().collect();
     slices.sort_by(|a, b| {
@@ -34,7 +35,8 @@
     for slice in slices {
         let load = loads.of(slice);
         let lightest = shares.iter_mut().min_by(|a, b| {
-            let lighter = a.use_with(load).total_cmp(&b.use_with(load));
+            let lighter =
+                a.utilization_with(load).total_cmp(&b.utilization_with(load));
             lighter.then(a.held.total_cmp(&b.held))
         });
         let Some(share) = lightest else {
@@ -42,31 +44,31 @@
         };
         share.used += load;
         share.held += 1.0 / share.slots;
-        moves.push(PlannedMove { slice, source, target: share.place });
+        moves.push(PlannedMove { slice, source, target: share.index });
     }
     moves
 }
 
-/// A place while slices are given out.
+/// A target while slices are assigned to it.
 #[derive(Debug)]
-struct PlaceShare {
-    place: usize,
+struct TargetShare {
+    index: usize,
     slots: f64,
     used: f64,
-    /// Slices held a slot: decides where the load is equal, as at a start
-    /// when none is known.
+    /// Held slices per slot. It breaks ties of equal load, for example at a
+    /// start, when no load is known.
     held: f64,
 }
 
-impl PlaceShare {
-    fn of(place: usize, view: &TargetView, loads: &LoadEstimate) -> Self {
+impl TargetShare {
+    fn of(index: usize, view: &TargetView, loads: &LoadEstimate) -> Self {
         let slots = f64::from(view.slots.max(1));
-        let used = loads.of_place(view);
+        let used = loads.of_target(view);
         let held = u32::try_from(view.held.len()).unwrap_or(u32::MAX);
-        Self { place, slots, used, held: f64::from(held) / slots }
+        Self { index, slots, used, held: f64::from(held) / slots }
     }
 
-    fn use_with(&self, load: f64) -> f64 {
+    fn utilization_with(&self, load: f64) -> f64 {
         (self.used + load) / self.slots
     }
 }
--- a/goldcrestramp-decisions/src/placement/balance.rs
+++ b/goldcrestramp-decisions/src/placement/balance.rs
@@ -1,4 +1,4 @@
-//! Moves that are worth their cost.
+//! Plans the moves that are worth their cost.
 
 use goldcrestramp_types::{FastMap, LocalTime, SliceIndex};
 
@@ -10,75 +10,76 @@
     waiting::waiting_requests,
 };
 
-/// Slices of a place that are weighed as candidates, heaviest first.
+/// The slices of a target that are candidates for a move, heaviest first.
 ///
-/// Lighter ones bring less than their cold start costs.
+/// Lighter ones save less than their cold start costs.
 const CANDIDATE_LIMIT: usize = 24;
 
-/// Asks for moves of one service's slices.
+/// Plans the moves of one service's slices.
 #[derive(Clone, Debug)]
 pub struct PlacementPlanner {
     settings: PlacementSettings,
     budget: MoveBudget,
-    resting: FastMap<SliceIndex, LocalTime>,
-    relieving: bool,
+    cooling_down: FastMap<SliceIndex, LocalTime>,
+    rebalancing: bool,
 }
 
 impl PlacementPlanner {
-    /// A planner that has asked for nothing yet.
+    /// Creates a planner that has planned no moves.
     #[must_use]
     pub fn new(settings: PlacementSettings) -> Self {
         let budget = MoveBudget::new(settings.moves_per_minute);
-        let resting = FastMap::default();
-        Self { settings, budget, resting, relieving: false }
+        let cooling_down = FastMap::default();
+        Self { settings, budget, cooling_down, rebalancing: false }
     }
 
-    /// The moves to begin at `now`, most useful first.
+    /// The moves to start at `now`, most useful first.
     ///
-    /// `loads` is fed from the same places; moves that were asked for
-    /// before must show in `places`, or be asked for again.
+    /// `loads` must come from the same targets. Planned moves must show in
+    /// `targets` at the next call, or they are planned again.
     pub fn decide(
         &mut self,
         now: LocalTime,
-        places: &[TargetView],
+        targets: &[TargetView],
         loads: &LoadEstimate,
     ) -> Vec<PlannedMove> {
         self.budget.refill(now);
-        self.resting.retain(|_, until| *until > now);
-        let mut round = BalanceRound::new(places, loads, &self.settings);
-        if !round.needed(self.relieving) {
-            self.relieving = false;
+        self.cooling_down.retain(|_, until| *until > now);
+        let mut round = BalanceRound::new(targets, loads, &self.settings);
+        if !round.is_needed(self.rebalancing) {
+            self.rebalancing = false;
             return Vec::new();
         }
-        self.relieving = true;
+        self.rebalancing = true;
         let mut moves = Vec::new();
-        while round.needed(true) {
-            let resting = |slice| self.resting.contains_key(&slice);
-            let Some(chosen) = round.best_move(resting) else {
+        while round.is_needed(true) {
+            let cooling_down = |slice| self.cooling_down.contains_key(&slice);
+            let Some(chosen) = round.best_move(cooling_down) else {
                 break;
             };
             if !self.budget.take() {
                 break;
             }
             round.apply(chosen);
-            self.resting.insert(chosen.slice, now + self.settings.rest);
+            self.cooling_down
+                .insert(chosen.slice, now + self.settings.cooldown);
             moves.push(chosen);
         }
         moves
     }
 }
 
-/// One slice that may leave a place.
+/// A slice that may leave its target.
 #[derive(Clone, Copy, Debug)]
 struct MoveCandidate {
     slice: SliceIndex,
     load: f64,
 }
 
-/// The places' loads while moves are chosen.
+/// The targets' loads while moves are chosen.
 #[derive(Debug)]
 struct BalanceRound<'a> {
-    places: &'a [TargetView],
+    targets: &'a [TargetView],
     settings: &'a PlacementSettings,
     used: Vec<f64>,
     candidates: Vec<Vec<MoveCandidate>>,
@@ -87,62 +88,74 @@
 
 impl<'a> BalanceRound<'a> {
     fn new(
-        places: &'a [TargetView],
+        targets: &'a [TargetView],
         loads: &LoadEstimate,
         settings: &'a PlacementSettings,
     ) -> Self {
         let used: Vec<f64> =
-            places.iter().map(|place| loads.of_place(place)).collect();
-        let candidates = places
+            targets.iter().map(|view| loads.of_target(view)).collect();
+        let candidates = targets
             .iter()
             .zip(&used)
-            .map(|(place, used)| candidates(place, *used, loads, settings));
-        let open = places.iter().filter(|place| place.open);
-        let slots: f64 = open.map(|place| f64::from(place.slots)).sum();
+            .map(|(view, used)| candidates(view, *used, loads, settings));
+        let accepting = targets.iter().filter(|view| view.accepts_slices);
+        let slots: f64 = accepting.map(|view| f64::from(view.slots)).sum();
         let mean = used.iter().sum::<f64>() / slots.max(1.0);
-        Self { places, settings, candidates: candidates.collect(), used, mean }
+        Self {
+            targets,
+            settings,
+            candidates: candidates.collect(),
+            used,
+            mean,
+        }
     }
 
-    /// Whether an open place is out of the band; the band is narrower once
-    /// relief has begun.
-    fn needed(&self, relieving: bool) -> bool {
+    /// Whether the utilization of a target that accepts slices is outside the
+    /// band around the mean. The band is narrower while moves are being made
+    /// (hysteresis).
+    fn is_needed(&self, rebalancing: bool) -> bool {
         let settings = self.settings;
         let band =
-            if relieving { settings.end_band } else { settings.begin_band };
-        let mut open = self.open();
-        open.any(|place| (self.use_of(place) - self.mean).abs() > band)
+            if rebalancing { settings.end_band } else { settings.start_band };
+        let mut accepting = self.accepting();
+        accepting
+            .any(|index| (self.utilization_of(index) - self.mean).abs() > band)
     }
 
-    /// The move with the greatest saving beyond its cost, from the fullest
-    /// place that has one.
+    /// The move with the greatest saving beyond its cost, from the most
+    /// utilized target that has one.
     fn best_move(
         &self,
-        resting: impl Fn(SliceIndex) -> bool,
+        cooling_down: impl Fn(SliceIndex) -> bool,
     ) -> Option<PlannedMove> {
-        let mut sources: Vec<usize> =
-            self.open().filter(|p| self.use_of(*p) > self.mean).collect();
-        sources.sort_by(|a, b| self.use_of(*b).total_cmp(&self.use_of(*a)));
+        let mut sources: Vec<usize> = self
+            .accepting()
+            .filter(|p| self.utilization_of(*p) > self.mean)
+            .collect();
+        sources.sort_by(|a, b| {
+            self.utilization_of(*b).total_cmp(&self.utilization_of(*a))
+        });
         let mut sources = sources.into_iter();
-        // One that holds little but a hot slice has nothing to give away;
-        // the next one may.
-        sources.find_map(|source| self.best_from(source, &resting))
+        // A target that holds little but a hot slice has nothing to move away.
+        // The next one may.
+        sources.find_map(|source| self.best_from(source, &cooling_down))
     }
 
     fn best_from(
         &self,
         source: usize,
-        resting: impl Fn(SliceIndex) -> bool,
+        cooling_down: impl Fn(SliceIndex) -> bool,
     ) -> Option<PlannedMove> {
         let mut best = None;
-        let mut most = 0.0;
-        for target in self.open().filter(|place| *place != source) {
+        let mut best_gain = 0.0;
+        for target in self.accepting().filter(|index| *index != source) {
             for candidate in &self.candidates[source] {
-                if resting(candidate.slice) {
+                if cooling_down(candidate.slice) {
                     continue;
                 }
                 let gain = self.gain(source, target, candidate.load);
-                if gain > most {
-                    most = gain;
+                if gain > best_gain {
+                    best_gain = gain;
                     let slice = candidate.slice;
                     best = Some(PlannedMove { slice, source, target });
                 }
@@ -151,7 +164,7 @@
         best
     }
 
-    /// Waiting saved within the horizon, less the waiting that the move
+    /// The waiting saved within the horizon, less the waiting that the move
     /// causes, in request-seconds.
     fn gain(&self, source: usize, target: usize, load: f64) -> f64 {
         let before = self.waiting(source, 0.0) + self.waiting(target, 0.0);
@@ -160,14 +173,16 @@
         saved - self.cost(source, target, load)
     }
 
-    /// Requests that come while the slice has no owner wait half of that
-    /// time on average; its new owner starts cold.
+    /// The waiting that a move causes. Requests that arrive while the slice
+    /// has no owner wait half of that time on average, and its new owner
+    /// starts cold.
     fn cost(&self, source: usize, target: usize, load: f64) -> f64 {
         let settings = self.settings;
         let rate = load / settings.service_s;
         let handover = rate * settings.handover_s * settings.handover_s / 2.0;
-        let far = self.places[source].region != self.places[target].region;
-        let factor = if far { settings.region_factor } else { 1.0 };
+        let crosses_region =
+            self.targets[source].region != self.targets[target].region;
+        let factor = if crosses_region { settings.region_factor } else { 1.0 };
         (handover + settings.cold_start) * factor
     }
 
@@ -182,36 +197,38 @@
         self.used[chosen.target] += candidate.load;
     }
 
-    /// Requests waiting at a place whose load changes by `change`.
-    fn waiting(&self, place: usize, change: f64) -> f64 {
-        let slots = self.places[place].slots;
-        let used = (self.used[place] + change) / f64::from(slots.max(1));
+    /// The mean number of requests that wait at a target if its load changes
+    /// by `change`.
+    fn waiting(&self, index: usize, change: f64) -> f64 {
+        let slots = self.targets[index].slots;
+        let used = (self.used[index] + change) / f64::from(slots.max(1));
         waiting_requests(used, slots)
     }
 
-    fn use_of(&self, place: usize) -> f64 {
-        self.used[place] / f64::from(self.places[place].slots.max(1))
+    fn utilization_of(&self, index: usize) -> f64 {
+        self.used[index] / f64::from(self.targets[index].slots.max(1))
     }
 
-    fn open(&self) -> impl Iterator<Item = usize> + '_ {
-        (0..self.places.len()).filter(|place| self.places[*place].open)
+    fn accepting(&self) -> impl Iterator<Item = usize> + '_ {
+        (0..self.targets.len())
+            .filter(|index| self.targets[*index].accepts_slices)
     }
 }
 
-/// The heaviest slices that may leave a place.
+/// The heaviest slices that may leave a target.
 ///
-/// The hottest stays: its keys would wait for the handover and meet a cold
-/// server just when they are asked for most, and its load would only move
-/// the queue elsewhere. A second hot one may go, or two hot slices that
-/// met on one server would stay together. Slices with long work in
-/// progress stay, because the move would wait for it.
+/// The hottest slice stays: its keys would wait for the handover and reach a
+/// cold server just when they are requested most, and its load would only move
+/// the queue elsewhere. A second hot slice may move, or two hot slices on one
+/// server would stay together. Slices with long work in progress stay, because
+/// the move would wait for it.
 fn candidates(
-    place: &TargetView,
+    view: &TargetView,
     used: f64,
     loads: &LoadEstimate,
     settings: &PlacementSettings,
 ) -> Vec<MoveCandidate> {
-    let mut list: Vec<MoveCandidate> = place
+    let mut list: Vec<MoveCandidate> = view
         .held
         .iter()
         .map(|slice| MoveCandidate { slice, load: loads.of(slice) })
@@ -221,7 +238,7 @@
     if list.first().is_some_and(|hottest| hottest.load > hot) {
         list.remove(0);
     }
-    list.retain(|candidate| !place.long_work.contains(candidate.slice));
+    list.retain(|candidate| !view.long_work.contains(candidate.slice));
     list.truncate(CANDIDATE_LIMIT);
     list
 }
--- a/goldcrestramp-decisions/src/placement/baseline.rs
+++ b/goldcrestramp-decisions/src/placement/baseline.rs
@@ -1,4 +1,4 @@
-//! Simpler placements, to judge the one in use against.
+//! Simpler placements, baselines for the one in use.
 
 use goldcrestramp_types::{SliceCount, SliceIndex, SliceSet};
 
@@ -7,46 +7,48 @@
     view::{PlannedMove, TargetView},
 };
 
-/// Places a slice by its number alone: rendezvous hashing, each place's
-/// chance in proportion to its slots.
+/// Places slices by their numbers alone: rendezvous hashing, where each
+/// target's chance is proportional to its slots.
 ///
-/// Slices move only when a place comes or goes, and no load is seen.
+/// Slices move only when the set of targets that accept slices changes, and
+/// load is ignored.
 #[must_use]
 pub fn hash_placement(
     count: SliceCount,
-    places: &[TargetView],
+    targets: &[TargetView],
 ) -> Vec<SliceSet> {
-    let mut held = vec![SliceSet::new(); places.len()];
+    let mut held = vec![SliceSet::new(); targets.len()];
     for slice in count.indices() {
-        let open = (0..places.len()).filter(|place| places[*place].open);
-        let best = open.max_by(|a, b| {
-            let left = score(slice, *a, places[*a].slots);
-            left.total_cmp(&score(slice, *b, places[*b].slots))
+        let accepting =
+            (0..targets.len()).filter(|index| targets[*index].accepts_slices);
+        let best = accepting.max_by(|a, b| {
+            let left = score(slice, *a, targets[*a].slots);
+            left.total_cmp(&score(slice, *b, targets[*b].slots))
         });
-        if let Some(place) = best {
-            held[place].insert(slice);
+        if let Some(index) = best {
+            held[index].insert(slice);
         }
     }
     held
 }
 
-/// Moves the heaviest slice that fits from the fullest place to the
-/// emptiest, until no such move brings them closer.
+/// Moves the heaviest slice that fits from the most to the least utilized
+/// target, until no such move brings them closer.
 ///
-/// Every round, with no regard to cost, rest or budget.
+/// It runs every round and ignores cost, cooldown and budget.
 #[must_use]
 pub fn greedy_moves(
-    places: &[TargetView],
+    targets: &[TargetView],
     loads: &LoadEstimate,
     limit: usize,
 ) -> Vec<PlannedMove> {
     let mut used: Vec<f64> =
-        places.iter().map(|place| loads.of_place(place)).collect();
+        targets.iter().map(|view| loads.of_target(view)).collect();
     let mut held: Vec<SliceSet> =
-        places.iter().map(|place| place.held.clone()).collect();
+        targets.iter().map(|view| view.held.clone()).collect();
     let mut moves = Vec::new();
     while moves.len() < limit {
-        let Some(chosen) = greedy_move(places, loads, &used, &held) else {
+        let Some(chosen) = greedy_move(targets, loads, &used, &held) else {
             break;
         };
         let load = loads.of(chosen.slice);
@@ -60,17 +62,20 @@
 }
 
 fn greedy_move(
-    places: &[TargetView],
+    targets: &[TargetView],
     loads: &LoadEstimate,
     used: &[f64],
     held: &[SliceSet],
 ) -> Option<PlannedMove> {
-    let use_of =
-        |place: usize| used[place] / f64::from(places[place].slots.max(1));
-    let open = || (0..places.len()).filter(|place| places[*place].open);
-    let by_use = |a: &usize, b: &usize| use_of(*a).total_cmp(&use_of(*b));
-    let source = open().max_by(by_use)?;
-    let target = open().min_by(by_use)?;
+    let utilization_of =
+        |index: usize| used[index] / f64::from(targets[index].slots.max(1));
+    let accepting =
+        || (0..targets.len()).filter(|index| targets[*index].accepts_slices);
+    let by_utilization = |a: &usize, b: &usize| {
+        utilization_of(*a).total_cmp(&utilization_of(*b))
+    };
+    let source = accepting().max_by(by_utilization)?;
+    let target = accepting().min_by(by_utilization)?;
     let half = (used[source] - used[target]) / 2.0;
     let fits = held[source].iter().filter(|slice| {
         let load = loads.of(*slice);
@@ -78,16 +83,16 @@
     });
     let heaviest = fits
         .max_by(|a, b| loads.of(*a).total_cmp(&loads.of(*b)).then(b.cmp(a)))?;
-    // A gap of a hundredth of a slot is even enough.
-    let closer = half > 0.005;
-    closer.then_some(PlannedMove { slice: heaviest, source, target })
+    // Targets within a hundredth of a slot count as balanced.
+    let brings_closer = half > 0.005;
+    brings_closer.then_some(PlannedMove { slice: heaviest, source, target })
 }
 
-/// The slice's score at a place: `-slots / ln(h)` with `h` evenly spread
-/// in (0, 1) gives each place its share.
-fn score(slice: SliceIndex, place: usize, slots: u32) -> f64 {
-    let place = u64::try_from(place).unwrap_or(u64::MAX);
-    let mixed = mix(u64::from(slice.get()) << 32 | place);
+/// The slice's score at a target: `-slots / ln(h)` with `h` uniform in (0, 1)
+/// gives each target its share.
+fn score(slice: SliceIndex, index: usize, slots: u32) -> f64 {
+    let index = u64::try_from(index).unwrap_or(u64::MAX);
+    let mixed = mix(u64::from(slice.get()) << 32 | index);
     #[expect(clippy::cast_precision_loss, reason = "52 bits are enough")]
     let spread = ((mixed >> 12) as f64 + 0.5) / (1_u64 << 52) as f64;
     -f64::from(slots) / spread.ln()
--- a/goldcrestramp-decisions/src/placement/budget.rs
+++ b/goldcrestramp-decisions/src/placement/budget.rs
@@ -1,46 +1,46 @@
-//! How many moves may be asked for.
+//! A budget of moves.
 
 use goldcrestramp_types::{LocalTime, TimeSpan};
 
-/// Moves that may be asked for now; refilled evenly over a minute.
+/// The moves that may be planned now, refilled in even steps over a minute.
 ///
-/// Without it a wrong report, or a load that swings, would move slices as
-/// fast as reports come, and each is without an owner for a moment.
+/// Without it a wrong report or an oscillating load would move slices as often
+/// as reports arrive, and each moved slice is without an owner for a moment.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct MoveBudget {
     per_minute: u32,
-    left: u32,
+    remaining: u32,
     refill_at: LocalTime,
 }
 
 impl MoveBudget {
-    /// A full budget.
+    /// Creates a full budget.
     pub(super) fn new(per_minute: u32) -> Self {
-        let left = burst(per_minute);
-        Self { per_minute, left, refill_at: LocalTime::default() }
+        let remaining = burst(per_minute);
+        Self { per_minute, remaining, refill_at: LocalTime::default() }
     }
 
-    /// Adds what has become free by `now`.
+    /// Refills the budget if it is due at `now`.
     pub(super) fn refill(&mut self, now: LocalTime) {
         if now < self.refill_at {
             return;
         }
-        self.left = burst(self.per_minute);
-        self.refill_at = now + REFILL_EVERY;
+        self.remaining = burst(self.per_minute);
+        self.refill_at = now + REFILL_INTERVAL;
     }
 
-    /// Takes one move; false when none is left.
+    /// Takes one move. Returns false if none remains.
     pub(super) fn take(&mut self) -> bool {
-        let any = self.left > 0;
-        self.left = self.left.saturating_sub(1);
-        any
+        let is_available = self.remaining > 0;
+        self.remaining = self.remaining.saturating_sub(1);
+        is_available
     }
 }
 
-/// How often the budget is filled again.
-const REFILL_EVERY: TimeSpan = TimeSpan::from_millis(10_000);
+/// The interval between refills.
+const REFILL_INTERVAL: TimeSpan = TimeSpan::from_millis(10_000);
 
-/// A sixth of a minute's moves may be asked for at once.
+/// The moves of one refill interval: a sixth of a minute's moves.
 fn burst(per_minute: u32) -> u32 {
     per_minute.div_ceil(6)
 }
--- a/goldcrestramp-decisions/src/placement/load.rs
+++ b/goldcrestramp-decisions/src/placement/load.rs
@@ -1,76 +1,76 @@
-//! The load of each slice, smoothed.
+//! The smoothed load of each slice.
 
 use goldcrestramp_types::{LocalTime, SliceCount, SliceIndex, TimeSpan};
 
 use super::view::{TargetReport, TargetView};
 
-/// The slots that each slice of a service has in use.
+/// The mean number of slots that each slice of a service uses.
 #[derive(Clone, Debug)]
 pub struct LoadEstimate {
     half_life: TimeSpan,
     slices: Vec<f64>,
-    seen: Option<LocalTime>,
+    observed_at: Option<LocalTime>,
 }
 
 impl LoadEstimate {
-    /// An estimate that knows of no load.
+    /// Creates an estimate without load.
     #[must_use]
     pub fn new(count: SliceCount, half_life: TimeSpan) -> Self {
         let slices = vec![0.0; count.get() as usize];
-        Self { half_life, slices, seen: None }
+        Self { half_life, slices, observed_at: None }
     }
 
-    /// The slots that a slice has in use.
+    /// The slots that a slice uses.
     #[must_use]
     pub fn of(&self, slice: SliceIndex) -> f64 {
         self.slices.get(slice.position()).copied().unwrap_or(0.0)
     }
 
-    /// The slots that all slices of a place have in use.
+    /// The slots that all slices of a target use.
     #[must_use]
-    pub fn of_place(&self, place: &TargetView) -> f64 {
-        place.held.iter().map(|slice| self.of(slice)).sum()
+    pub fn of_target(&self, target: &TargetView) -> f64 {
+        target.held.iter().map(|slice| self.of(slice)).sum()
     }
 
-    /// Takes in the places' reports of the interval that ends at `now`.
+    /// Applies the targets' reports of the interval that ends at `now`.
     ///
-    /// One report moves the estimate only in part: a burst of a second is
-    /// over before a move could answer it.
+    /// A report changes the estimate only in part: a burst of a second is over
+    /// before a move could help.
     pub fn observe<'a>(
         &mut self,
         now: LocalTime,
         reports: impl IntoIterator<Item = (&'a TargetView, &'a TargetReport)>,
     ) {
         let weight = self.weight(now);
-        for (place, report) in reports {
-            self.take(place, report, weight);
+        for (target, report) in reports {
+            self.apply(target, report, weight);
         }
-        self.seen = Some(now);
+        self.observed_at = Some(now);
     }
 
-    /// How much of the estimate a report replaces.
+    /// The weight of a report that arrives at `now`, from 0 to 1.
     fn weight(&self, now: LocalTime) -> f64 {
-        let Some(seen) = self.seen else {
+        let Some(observed_at) = self.observed_at else {
             return 1.0;
         };
-        let passed = micros(now.since(seen));
-        1.0 - 0.5_f64.powf(passed / micros(self.half_life).max(1.0))
+        let elapsed = micros(now.since(observed_at));
+        1.0 - 0.5_f64.powf(elapsed / micros(self.half_life).max(1.0))
     }
 
-    fn take(
+    fn apply(
         &mut self,
-        place: &TargetView,
+        target: &TargetView,
         report: &TargetReport,
         weight: f64,
     ) {
         let heavy: f64 = report.heavy.iter().map(|(_, load)| load).sum();
-        let others = place.held.len().saturating_sub(report.heavy.len());
+        let others = target.held.len().saturating_sub(report.heavy.len());
         let rest = (report.busy - heavy).max(0.0) / count(others).max(1.0);
-        for slice in place.held.iter() {
+        for slice in target.held.iter() {
             self.blend(slice, rest, weight);
         }
         for (slice, load) in &report.heavy {
-            // Undo the even share, then count what was measured.
+            // Undoes the even share, then counts what was measured.
             self.blend(*slice, *load - rest, weight);
             self.add(*slice, rest, weight);
         }
--- a/goldcrestramp-decisions/src/placement/mod.rs
+++ b/goldcrestramp-decisions/src/placement/mod.rs
@@ -1,23 +1,23 @@
-//! Which server, or failure domain, gets which slice.
+//! Decides which server, or failure domain, gets which slice.
 //!
-//! The load that this answers: a few keys get much of the traffic, and
-//! others do so minutes later; servers come, go and drain. Without it the
-//! server of a hot key queues while others idle, and slices that a lost
-//! server had stay where they fell.
+//! A few keys get much of the traffic, other keys minutes later, and servers
+//! are added, removed and drained. Without placement the server of a hot key
+//! queues while others idle, and the slices of a lost server stay wherever
+//! they were reassigned.
 //!
-//! The same decision serves servers within a failure domain and failure
-//! domains within a deployment: both are *places* with slots. Rules on
-//! failure domain and region are in the list of places: one that may not
-//! own a slice is not open.
+//! The same planner serves servers within a failure domain and failure domains
+//! within a deployment: both are *targets* with slots. Rules on failure domain
+//! and region are applied in the list of targets: one that may not own a slice
+//! doesn't accept slices.
 //!
-//! - [`LoadEstimate`] smooths what places report of their slices.
-//! - [`PlacementPlanner`] asks for moves: only where a place is out of the
-//!   band around the mean, only while the saved waiting outweighs what the
-//!   move costs, within a budget of moves a minute. A hot slice stays;
-//!   others leave its server.
-//! - [`assign_orphans`] spreads the slices of a place that is gone.
-//! - [`hash_placement`] and [`greedy_moves`] are baselines: what is simpler
-//!   must be beaten, or used.
+//! - [`LoadEstimate`] smooths the loads that targets report for their slices.
+//! - [`PlacementPlanner`] plans moves: only where a target is outside the band
+//!   around the mean, only while the saved waiting outweighs the cost of the
+//!   move, within a budget of moves a minute. A hot slice stays, and others
+//!   leave its server.
+//! - [`assign_orphans`] spreads the slices of a target that is lost or drains.
+//! - [`hash_placement`] and [`greedy_moves`] are baselines. They are simpler,
+//!   so the planner is worth keeping only while it beats them.
 
 mod assign;
 mod balance;
--- a/goldcrestramp-decisions/src/placement/settings.rs
+++ b/goldcrestramp-decisions/src/placement/settings.rs
@@ -1,49 +1,51 @@
-//! The figures of placement, with their grounds.
+//! Settings of placement, with their reasons.
 
 use goldcrestramp_types::TimeSpan;
 
-/// When a move is worth its cost.
+/// Settings that decide when a move is worth its cost.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementSettings {
-    /// A place whose use is so far from the mean is brought back.
+    /// A target whose utilization deviates from the mean by more than this is
+    /// rebalanced.
     ///
-    /// At 60% mean use a server of 4 slots then stands at 75%, where its
-    /// queue begins to be felt (1.6 requests waiting, against 0.5).
-    pub begin_band: f64,
-    /// It is left alone again once it is so close. Between the two bands
-    /// nothing is begun, or slices would go to and fro with the noise.
+    /// At 60% mean utilization a server of 4 slots is then at 75%, where its
+    /// queue becomes noticeable (1.6 requests waiting, against 0.5).
+    pub start_band: f64,
+    /// Rebalancing ends once the deviation is below this. Between the two
+    /// bands none is started, or slices would move back and forth with the
+    /// noise.
     pub end_band: f64,
-    /// For how long a saving is counted, in seconds.
+    /// The time for which a saving is counted, in seconds.
     ///
-    /// Hot sets change every few minutes: what is saved beyond a minute
-    /// may never come.
+    /// The set of hot keys changes every few minutes, so a saving beyond a
+    /// minute may never be realized.
     pub horizon_s: f64,
-    /// How long the slice's requests wait while it is handed over, in
-    /// seconds: a release and a grant, each with the next renewal.
+    /// How long the slice's requests wait during a handover, in seconds: a
+    /// release and a grant, each with the next renewal.
     pub handover_s: f64,
-    /// The mean time that a request holds a slot, in seconds.
+    /// The mean time that a request uses a slot, in seconds.
     pub service_s: f64,
-    /// Waiting caused by the new owner's cold start, in request-seconds.
+    /// The waiting caused by the new owner's cold start, in request-seconds.
     pub cold_start: f64,
-    /// By how much a move between regions costs more.
+    /// The factor by which a move between regions costs more.
     pub region_factor: f64,
-    /// A slice with more than this part of its place's load is hot: it
-    /// stays, and others leave.
+    /// A slice with more than this part of its target's load is hot: it stays,
+    /// and others leave.
     pub hot_share: f64,
-    /// A slice that has moved rests for so long.
-    pub rest: TimeSpan,
-    /// The most moves a minute.
+    /// How long a slice is not moved again after a move.
+    pub cooldown: TimeSpan,
+    /// The maximum number of moves a minute.
     pub moves_per_minute: u32,
-    /// How fast old load is forgotten: the time after which half remains.
+    /// The half-life of the load estimate.
     pub half_life: TimeSpan,
 }
 
 impl PlacementSettings {
-    /// For servers within a failure domain.
+    /// Settings for servers within a failure domain.
     #[must_use]
     pub const fn within_domain() -> Self {
         Self {
-            begin_band: 0.15,
+            start_band: 0.15,
             end_band: 0.05,
             horizon_s: 60.0,
             handover_s: 0.6,
@@ -51,24 +53,24 @@
             cold_start: 1.0,
             region_factor: 1.0,
             hot_share: 0.25,
-            rest: TimeSpan::from_millis(60_000),
+            cooldown: TimeSpan::from_millis(60_000),
             moves_per_minute: 60,
             half_life: TimeSpan::from_millis(5_000),
         }
     }
 
-    /// For failure domains: a handover takes three writes to the store,
-    /// and the traffic of a slice in another region is paid by volume.
+    /// Settings for failure domains. A handover takes three writes to the
+    /// store, and the traffic of a slice in another region is paid by volume.
     #[must_use]
     pub const fn between_domains() -> Self {
         Self {
-            begin_band: 0.20,
+            start_band: 0.20,
             end_band: 0.10,
             horizon_s: 300.0,
             handover_s: 2.0,
             cold_start: 2.0,
             region_factor: 5.0,
-            rest: TimeSpan::from_millis(600_000),
+            cooldown: TimeSpan::from_millis(600_000),
             moves_per_minute: 20,
             half_life: TimeSpan::from_millis(60_000),
             ..Self::within_domain()
--- a/goldcrestramp-decisions/src/placement/view.rs
+++ b/goldcrestramp-decisions/src/placement/view.rs
@@ -1,4 +1,4 @@
-//! What placement sees, and what it asks for.
+//! The input and output of placement.
 
 use goldcrestramp_types::{SliceIndex, SliceSet};
 
@@ -7,10 +7,10 @@
 pub struct TargetView {
     /// How many requests it runs at once.
     pub slots: u32,
-    /// Whether it may be given slices: the rules let it, it is reachable
-    /// and not draining.
-    pub open: bool,
-    /// A number for its region; moves between regions cost more.
+    /// Whether slices may be assigned to it: the rules allow it, it is
+    /// reachable and not draining.
+    pub accepts_slices: bool,
+    /// The number of its region. Moves between regions cost more.
     pub region: u16,
     /// The slices that it holds.
     pub held: SliceSet,
@@ -18,23 +18,23 @@
     pub long_work: SliceSet,
 }
 
-/// What a place reports of its load.
+/// The load that a target reports.
 #[derive(Clone, Debug, Default)]
 pub struct TargetReport {
     /// The slots in use, averaged over the report's interval.
     pub busy: f64,
-    /// The slots in use by its heaviest slices; the rest is spread evenly
-    /// over its other slices.
+    /// The slots in use by each of its heaviest slices. The rest is spread
+    /// evenly over its other slices.
     pub heavy: Vec<(SliceIndex, f64)>,
 }
 
-/// A move that placement asks for; places by their position.
+/// A planned move. Targets are given by their positions.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PlannedMove {
-    /// The slice.
+    /// The slice to move.
     pub slice: SliceIndex,
-    /// Who holds it.
+    /// The position of the current holder.
     pub source: usize,
-    /// Who is to hold it.
+    /// The position of the new holder.
     pub target: usize,
 }
--- a/goldcrestramp-decisions/src/pool.rs
+++ b/goldcrestramp-decisions/src/pool.rs
@@ -1,18 +1,18 @@
-//! Which server of a service that any of its servers may serve.
+//! Chooses a server for a request that any server of a service may serve.
 //!
-//! The load: servers of one service that differ in speed by two to three
-//! times, some of them slow, silent or failing for seconds; a slow link
-//! between regions whose volume is paid for. Dealt in turn, the slowest
-//! server decides; sent to the nearest alone, a failure domain with few
-//! servers is full while its neighbour is idle.
+//! Servers of one service differ in speed by two to three times, some of them
+//! are slow, silent or failing for seconds, and the link between regions is
+//! slow and paid by volume. Plain round robin is as slow as the slowest
+//! server. Sending only to the nearest servers overloads a failure domain with
+//! few servers while its neighbour is idle.
 //!
-//! Each VM weighs what it saw itself: the usual time of an answer, times
-//! what it already has under way there, plus the cost of the way. What
-//! others have under way shows in the time of an answer.
+//! Each VM uses what it measured itself: the typical response time, scaled by
+//! its own requests in flight there, plus the cost of the distance. The
+//! requests in flight from other VMs show in the response time.
 
 use goldcrestramp_types::TimeSpan;
 
-/// How far away a server is.
+/// How close a server is.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum ServerProximity {
     /// In the same failure domain.
@@ -24,9 +24,9 @@
 }
 
 impl ServerProximity {
-    /// What a request loses by the way alone: the round trip, and for the
-    /// neighbour a little, so that a tie is served near.
-    const fn base(self) -> TimeSpan {
+    /// The latency cost: the round trip, and for another failure domain a
+    /// little, so that a tie is served in the same one.
+    const fn latency_cost(self) -> TimeSpan {
         match self {
             Self::SameDomain => TimeSpan::ZERO,
             Self::SameRegion => TimeSpan::from_millis(4),
@@ -34,12 +34,13 @@
         }
     }
 
-    /// What an answer of so many bytes costs, as time. Volume between
-    /// failure domains is paid for, and a far answer of 90 kB fills a link
-    /// of 30 Mbit/s for 24 ms: it waits near for twice the usual time of a
-    /// download before it goes next door, and goes far when nothing else
-    /// can answer.
-    const fn volume(self, bytes: u64) -> TimeSpan {
+    /// The volume cost of a response of `bytes`, as time. Volume between
+    /// failure domains is paid for, and a response of 90 kB from another
+    /// region fills a link of 30 Mbit/s for 24 ms. So a download waits in its
+    /// own failure domain for up to twice its typical time before it is sent
+    /// to another one, and it is sent to another region only when nothing else
+    /// can respond.
+    const fn volume_cost(self, bytes: u64) -> TimeSpan {
         let micros_per_kilobyte = match self {
             Self::SameDomain => 0,
             Self::SameRegion => 2_500,
@@ -48,24 +49,24 @@
         TimeSpan::from_micros(bytes * micros_per_kilobyte / 1_000)
     }
 
-    /// The cost of the way of an answer, as time.
+    /// The cost of the distance for a response of `bytes`, as time.
     #[must_use]
     pub const fn cost(self, bytes: u64) -> TimeSpan {
-        self.base().plus(self.volume(bytes))
+        self.latency_cost().plus(self.volume_cost(bytes))
     }
 }
 
-/// One server as this VM sees it.
+/// A server with this VM's measurements.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolCandidate {
-    /// How far away it is.
+    /// How close the server is.
     pub proximity: ServerProximity,
-    /// What may be under way there at once, by this VM.
+    /// How many requests this VM may have in flight to it.
     pub limit: usize,
-    /// What is under way there, by this VM; more than the limit if
+    /// How many requests this VM has in flight to it. More than the limit if
     /// requests wait for it.
     pub in_flight: usize,
-    /// The usual time of an answer.
+    /// The typical response time.
     pub latency: TimeSpan,
 }
 
@@ -74,14 +75,14 @@
 pub enum PoolChoice {
     /// Send it to the candidate at this position.
     Send(usize),
-    /// Wait: the server that would answer first is full.
+    /// Wait: the server that would respond first is at its limit.
     Full,
-    /// No server could answer in the time that is left.
+    /// No server could respond within the remaining time.
     TooLate,
 }
 
-/// Chooses a server for a request with `left` time and an answer of about
-/// `bytes`.
+/// Chooses a server for a request with `remaining` time and a response of
+/// about `bytes`.
 ///
 /// # Example
 ///
@@ -102,31 +103,33 @@
 ///     in_flight: 0,
 ///     ..near
 /// };
-/// let left = TimeSpan::from_millis(1_000);
-/// let choice = choose_server(&[near, next], left, 1_500);
+/// let remaining = TimeSpan::from_millis(1_000);
+/// let choice = choose_server(&[near, next], remaining, 1_500);
 /// assert_eq!(choice, PoolChoice::Send(1));
 /// ```
 #[must_use]
 pub fn choose_server(
     candidates: &[PoolCandidate],
-    left: TimeSpan,
+    remaining: TimeSpan,
     bytes: u64,
 ) -> PoolChoice {
     let mut best: Option<(TimeSpan, usize)> = None;
     for (position, candidate) in candidates.iter().enumerate() {
-        let expected = candidate.latency.plus(candidate.proximity.base());
-        // Nothing is sent to one that is held back, nor waited for.
-        if expected > left || candidate.limit == 0 {
+        let expected =
+            candidate.latency.plus(candidate.proximity.latency_cost());
+        // A limit of 0 means that the server is suspended: no request is sent
+        // to it or waits for it.
+        if expected > remaining || candidate.limit == 0 {
             continue;
         }
         let cost = cost_of(candidate, bytes);
-        if best.is_none_or(|(least, _)| cost < least) {
+        if best.is_none_or(|(lowest, _)| cost < lowest) {
             best = Some((cost, position));
         }
     }
     let Some((_cost, position)) = best else {
-        let held = candidates.iter().any(|c| c.latency <= left);
-        return if held { PoolChoice::Full } else { PoolChoice::TooLate };
+        let in_time = candidates.iter().any(|c| c.latency <= remaining);
+        return if in_time { PoolChoice::Full } else { PoolChoice::TooLate };
     };
     let chosen = &candidates[position];
     if chosen.in_flight < chosen.limit {
@@ -136,16 +139,18 @@
     }
 }
 
-/// The time until the answer, as far as it depends on the choice.
+/// The expected time until the response, as far as it depends on the choice,
+/// plus the cost of the distance.
 fn cost_of(candidate: &PoolCandidate, bytes: u64) -> TimeSpan {
-    let busy = candidate.in_flight as u64;
+    let in_flight = candidate.in_flight as u64;
     let limit = candidate.limit.max(1) as u64;
-    // Half of the way to the limit is free slots; beyond it requests begin
-    // to wait for one another, and beyond the limit for a turn each.
-    let percent = if busy < limit {
-        100 + 100 * busy / limit
+    // Up to the limit requests use free slots for the first half, and then
+    // begin to wait for one another. Beyond the limit each one adds a full
+    // turn of waiting.
+    let percent = if in_flight < limit {
+        100 + 100 * in_flight / limit
     } else {
-        200 + 100 * (busy - limit + 1) / limit
+        200 + 100 * (in_flight - limit + 1) / limit
     };
     candidate.latency.percent(percent).plus(candidate.proximity.cost(bytes))
 }
--- a/goldcrestramp-decisions/src/rate.rs
+++ b/goldcrestramp-decisions/src/rate.rs
@@ -1,55 +1,55 @@
-//! Who may send to a server that names the rate it takes from all.
+//! Shares the rate limit that a server states for the whole fleet.
 //!
-//! The load: a server in need takes three requests a second, from a fleet
-//! of hundreds of VMs that can't see what the others send. Equal parts would
-//! be one request in minutes for each VM and unused by most of them; a burst
-//! of one for each is many times what the server takes. So one VM, the
-//! planning one, issues permits from an account of each such server, and the
-//! others ask it for them when requests wait for one. A permit is for one
-//! send and lapses soon, so what is sent within any span is bounded by what
-//! was given out in it and shortly before.
+//! A server under pressure may accept three requests a second from a fleet of
+//! hundreds of VMs that can't see each other's traffic. An equal share would
+//! be one request in minutes for each VM, which most of them don't use, and a
+//! burst of one request from each VM is many times what the server accepts. So
+//! one VM, the one that plans, issues permits from an account for each such
+//! server, and the others request permits when requests wait for one. A permit
+//! allows one attempt and expires soon, so the attempts within any span are
+//! bounded by the permits issued in it and shortly before.
 
 use std::{collections::VecDeque, hash::Hash};
 
 use goldcrestramp_types::{FastMap, LocalTime, TimeSpan};
 use serde::{Deserialize, Serialize};
 
-/// A permit lapses so long after it was received.
-const PERMIT_LIFE: TimeSpan = TimeSpan::from_millis(800);
+/// How long a permit is valid after it was received.
+const PERMIT_TTL: TimeSpan = TimeSpan::from_millis(800);
 
-/// A server that takes less gets so many requests a second all the same:
-/// its answers are the only way to learn that the limit has ended.
-const PROBES_PER_S: f64 = 0.25;
+/// The minimum rate of permits for a server, also when it states a lower
+/// limit: its responses are the only way to learn that the limit has ended.
+const MIN_RATE_PER_S: f64 = 0.25;
 
-/// The account of a server holds what it takes in this time, one at the
-/// least.
+/// The capacity of a server's account: the permits of this many seconds, but
+/// at least one.
 const BURST_S: f64 = 0.8;
 
-/// Without an answer about permits for so long, a VM goes by its own part of
-/// the limit.
-const ISSUER_SILENT: TimeSpan = TimeSpan::from_millis(1_500);
+/// A VM that gets no grant for this long uses its own share of the limit.
+const ISSUER_TIMEOUT: TimeSpan = TimeSpan::from_millis(1_500);
 
-/// Requests that wait for permits, for this time of a VM's equal part.
-const WAITING_S: f64 = 0.5;
+/// The maximum number of requests that wait for permits, in seconds of a VM's
+/// equal share.
+const MAX_WAIT_S: f64 = 0.5;
 
-/// While nothing is heard of the issuer, each VM may save one request up and
-/// send it when the others do. So only this many VMs send, and as many more as
-/// the server takes requests in this time.
+/// Without an issuer each VM may save up one request and send it when the
+/// others do. So only this many VMs send, plus as many as the server accepts
+/// requests in `SENDERS_S` seconds.
 const MIN_SENDERS: f64 = 4.0;
 const SENDERS_S: f64 = 2.0;
 
-/// A VM among those that send to a server.
+/// The position of a VM among those that send to a server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct FleetPosition {
-    /// The VMs that are known.
+    /// The number of VMs known.
     pub vms: usize,
-    /// How many of them come before it in an order that all agree on.
+    /// How many of them precede it in an order on which all agree.
     pub rank: usize,
 }
 
 impl FleetPosition {
-    /// The requests a second that it sends without an issuer.
-    fn own_rate(self, per_s: f64) -> f64 {
+    /// The requests a second that the VM sends without an issuer.
+    fn fallback_rate(self, per_s: f64) -> f64 {
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
@@ -66,59 +66,59 @@
     }
 }
 
-/// What a VM tells of a server when it asks for permits.
+/// A VM's request for permits, with the limit that it knows of.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PermitRequest {
-    /// The requests a second that the server takes from all VMs; nothing:
-    /// it names no limit.
+    /// The requests a second that the server accepts from all VMs. `None`: it
+    /// states no limit.
     pub per_s: Option<f64>,
-    /// How long ago it said so.
+    /// How long ago the server stated this.
     pub age: TimeSpan,
-    /// Requests that wait for a permit.
+    /// The number of requests that wait for a permit.
     pub wanted: u32,
 }
 
-/// What is answered to it.
+/// The response to a [`PermitRequest`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum PermitGrant {
-    /// The server names no limit any more.
+    /// The server no longer states a limit.
     Unlimited,
-    /// So many requests may be sent.
+    /// The number of requests that may be sent.
     Permits(u32),
 }
 
-/// The rate at which permits for a server are given out.
+/// The rate at which permits for a server are issued, a second.
 fn rate_of(per_s: f64) -> f64 {
-    per_s.max(PROBES_PER_S)
+    per_s.max(MIN_RATE_PER_S)
 }
 
-/// What may be given out of a rate; empty at first.
+/// A token bucket, empty at first.
 #[derive(Clone, Copy, Debug)]
 struct RateBucket {
-    filled: f64,
+    tokens: f64,
     filled_at: LocalTime,
 }
 
 impl RateBucket {
     const fn empty(now: LocalTime) -> Self {
-        Self { filled: 0.0, filled_at: now }
+        Self { tokens: 0.0, filled_at: now }
     }
 
-    fn fill(&mut self, now: LocalTime, per_s: f64, most: f64) {
+    fn refill(&mut self, now: LocalTime, per_s: f64, capacity: f64) {
         let passed = now.since(self.filled_at).to_std().as_secs_f64();
-        self.filled = (self.filled + passed * per_s).min(most);
+        self.tokens = (self.tokens + passed * per_s).min(capacity);
         self.filled_at = now;
     }
 
-    /// Takes as many of `wanted` as there are.
+    /// Takes up to `wanted` tokens, as far as there are whole ones.
     fn take(&mut self, wanted: u32) -> u32 {
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
             reason = "bounded by what is wanted"
         )]
-        let taken = self.filled.min(f64::from(wanted)) as u32;
-        self.filled -= f64::from(taken);
+        let taken = self.tokens.min(f64::from(wanted)) as u32;
+        self.tokens -= f64::from(taken);
         taken
     }
 }
@@ -130,7 +130,7 @@
     bucket: RateBucket,
 }
 
-/// The accounts of all servers that name a limit.
+/// The accounts of all servers that state a limit, kept by the issuer.
 ///
 /// # Example
 ///
@@ -162,8 +162,8 @@
 }
 
 impl<Key: Clone + Eq + Hash> RateLedger<Key> {
-    /// Takes what a VM tells of a server, and gives it what permits there
-    /// are.
+    /// Applies the limit that a VM reports for a server, and grants it the
+    /// available permits.
     pub fn request_permits(
         &mut self,
         now: LocalTime,
@@ -171,12 +171,12 @@
         request: PermitRequest,
     ) -> PermitGrant {
         let stated_at = now - request.age;
-        let fresh = || ServerAccount {
+        let new_account = || ServerAccount {
             per_s: request.per_s,
             stated_at,
             bucket: RateBucket::empty(now),
         };
-        let account = self.0.entry(server.clone()).or_insert_with(fresh);
+        let account = self.0.entry(server.clone()).or_insert_with(new_account);
         if stated_at > account.stated_at {
             if account.per_s.is_none() {
                 account.bucket = RateBucket::empty(now);
@@ -188,23 +188,23 @@
             return PermitGrant::Unlimited;
         };
         let rate = rate_of(per_s);
-        account.bucket.fill(now, rate, (rate * BURST_S).max(1.0));
+        account.bucket.refill(now, rate, (rate * BURST_S).max(1.0));
         PermitGrant::Permits(account.bucket.take(request.wanted))
     }
 
-    /// The requests a second that a server takes, if it names a limit.
+    /// The requests a second granted for a server, if it states a limit.
     #[must_use]
     pub fn limit_of(&self, server: &Key) -> Option<f64> {
         self.0.get(server)?.per_s.map(rate_of)
     }
 
-    /// Forgets servers that are gone.
+    /// Removes the accounts of servers for which `keep` is false.
     pub fn retain(&mut self, keep: impl Fn(&Key) -> bool) {
         self.0.retain(|server, _account| keep(server));
     }
 }
 
-/// What one VM may send to one server.
+/// The permits of one VM for one server.
 ///
 /// # Example
 ///
@@ -213,29 +213,30 @@
 /// use goldcrestramp_types::LocalTime;
 ///
 /// let now = LocalTime::from_micros(0);
-/// let place = FleetPosition { vms: 10, rank: 3 };
+/// let position = FleetPosition { vms: 10, rank: 3 };
 /// let mut allowance = RateAllowance::default();
-/// assert!(allowance.has_permit(now, place));
+/// assert!(allowance.has_permit(now, position));
 /// allowance.record_limit(now, Some(3.0));
-/// assert!(!allowance.has_permit(now, place));
+/// assert!(!allowance.has_permit(now, position));
 /// allowance.record_grant(now, PermitGrant::Permits(1));
-/// assert!(allowance.has_permit(now, place));
+/// assert!(allowance.has_permit(now, position));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct RateAllowance {
     per_s: Option<f64>,
     stated_at: LocalTime,
-    /// When each permit lapses.
+    /// When each permit expires, oldest first.
     permits: VecDeque<LocalTime>,
-    /// When it was last heard about permits.
-    heard_at: LocalTime,
-    /// The part that is kept to while nothing is heard.
-    own: Option<RateBucket>,
+    /// When the last grant was received, or since when the server states a
+    /// limit.
+    granted_at: LocalTime,
+    /// This VM's own share, used while no grants are received.
+    fallback: Option<RateBucket>,
 }
 
 impl RateAllowance {
-    /// Takes what an answer says of the server's limit; whether that is
-    /// another one than before.
+    /// Records the limit that a response states. Returns whether it differs
+    /// from the previous one.
     pub fn record_limit(
         &mut self,
         now: LocalTime,
@@ -243,8 +244,8 @@
     ) -> bool {
         if self.per_s.is_none() && per_s.is_some() {
             self.permits.clear();
-            self.heard_at = now;
-            self.own = None;
+            self.granted_at = now;
+            self.fallback = None;
         }
         self.stated_at = now;
         let changed = self.per_s != per_s;
@@ -252,28 +253,32 @@
         changed
     }
 
-    /// Takes the answer to a request for permits, which came at `came_at`.
-    pub fn record_grant(&mut self, came_at: LocalTime, grant: PermitGrant) {
-        self.heard_at = self.heard_at.max(came_at);
-        self.own = None;
+    /// Records the grant that was received at `received_at`.
+    pub fn record_grant(
+        &mut self,
+        received_at: LocalTime,
+        grant: PermitGrant,
+    ) {
+        self.granted_at = self.granted_at.max(received_at);
+        self.fallback = None;
         match grant {
-            // The server may have named a limit since.
-            PermitGrant::Unlimited if came_at < self.stated_at => {}
+            // Ignored if the server has stated a limit since.
+            PermitGrant::Unlimited if received_at < self.stated_at => {}
             PermitGrant::Unlimited => self.per_s = None,
             PermitGrant::Permits(permits) => {
-                let lapses_at = came_at + PERMIT_LIFE;
-                self.permits.extend((0..permits).map(|_| lapses_at));
+                let expires_at = received_at + PERMIT_TTL;
+                self.permits.extend((0..permits).map(|_| expires_at));
             }
         }
     }
 
-    /// The limit that the server names.
+    /// The limit that the server states, in requests a second.
     #[must_use]
     pub const fn limit(&self) -> Option<f64> {
         self.per_s
     }
 
-    /// What is told of the server to ask for so many permits.
+    /// Creates a request for `wanted` permits.
     #[must_use]
     pub fn permit_request(
         &self,
@@ -284,8 +289,8 @@
         PermitRequest { per_s: self.per_s, age, wanted }
     }
 
-    /// How many requests may wait for a permit in a fleet of `vms`: more
-    /// would wait in vain.
+    /// How many requests may wait for a permit in a fleet of `vms`. Any more
+    /// would time out.
     #[must_use]
     pub fn max_waiting(&self, vms: usize) -> usize {
         #[expect(
@@ -294,40 +299,45 @@
             clippy::cast_precision_loss,
             reason = "small counts"
         )]
-        let part =
-            |per_s: f64| (per_s * WAITING_S / vms.max(1) as f64) as usize;
-        self.per_s.map_or(usize::MAX, |per_s| part(per_s).max(1))
+        let share =
+            |per_s: f64| (per_s * MAX_WAIT_S / vms.max(1) as f64) as usize;
+        self.per_s.map_or(usize::MAX, |per_s| share(per_s).max(1))
     }
 
-    /// Whether a request may be sent now.
+    /// Whether a request may be sent now. Takes no permit.
     pub fn has_permit(
         &mut self,
         now: LocalTime,
-        place: FleetPosition,
+        position: FleetPosition,
     ) -> bool {
         let Some(per_s) = self.per_s else { return true };
-        while self.permits.front().is_some_and(|lapses| *lapses <= now) {
+        while self.permits.front().is_some_and(|expires_at| *expires_at <= now)
+        {
             self.permits.pop_front();
         }
         if !self.permits.is_empty() {
             return true;
         }
-        if now.since(self.heard_at) < ISSUER_SILENT {
+        if now.since(self.granted_at) < ISSUER_TIMEOUT {
             return false;
         }
-        let own = self.own.get_or_insert(RateBucket::empty(now));
-        own.fill(now, place.own_rate(per_s), 1.0);
-        own.filled >= 1.0
+        let fallback = self.fallback.get_or_insert(RateBucket::empty(now));
+        fallback.refill(now, position.fallback_rate(per_s), 1.0);
+        fallback.tokens >= 1.0
     }
 
-    /// Uses a permit for a send, if there is one.
-    pub fn try_take(&mut self, now: LocalTime, place: FleetPosition) -> bool {
-        if !self.has_permit(now, place) {
+    /// Takes a permit for an attempt, if there is one.
+    pub fn try_take(
+        &mut self,
+        now: LocalTime,
+        position: FleetPosition,
+    ) -> bool {
+        if !self.has_permit(now, position) {
             return false;
         }
         if self.per_s.is_some() && self.permits.pop_front().is_none() {
-            let own = self.own.as_mut();
-            return own.is_some_and(|own| own.take(1) == 1);
+            let fallback = self.fallback.as_mut();
+            return fallback.is_some_and(|fallback| fallback.take(1) == 1);
         }
         true
     }
--- a/goldcrestramp-decisions/src/rebalancing/mod.rs
+++ b/goldcrestramp-decisions/src/rebalancing/mod.rs
@@ -1,14 +1,14 @@
-//! Which runs of keys move between servers, and when.
+//! Decides which ranges of keys move between servers, and when.
 //!
-//! The load: a few busy keys lie side by side and others become busy
-//! within a second, while each key has one owner. A server that holds the
-//! busy run is asked several times what it can do, and its neighbours are
-//! idle. Moving keys costs the callers of these keys a short wait and
-//! nothing to the others, so few busy keys are moved and many cold ones
-//! are left where they are.
+//! Each key has one owner, a few busy adjacent keys may get most requests, and
+//! other keys become busy within a second. Then the server that holds the busy
+//! range gets several times the requests that it can handle, while other
+//! servers are idle. Moving keys makes the callers of these keys wait for a
+//! short time and costs other callers nothing. So few busy keys are moved, and
+//! many cold ones stay where they are.
 
 mod load;
-mod place;
+mod target;
 
 use std::cell::OnceCell;
 
@@ -16,99 +16,100 @@
 
 use crate::{
     queueing::bisect,
-    rebalancing::{load::count, place::common_level},
+    rebalancing::{load::count, target::common_marginal},
 };
 
 pub use self::{
     load::RangeLoad,
-    place::{
+    target::{
         PlacedRange, TargetLoad, least_loaded_target, target_utilization,
     },
 };
 
-/// A dense part is moved if it has this part of what is to move; a run
-/// that has more is moved whole before.
+/// A dense part is moved if it has this part of the rate to move. A range that
+/// has more is moved as a whole instead.
 const MIN_DENSE_FRACTION: f32 = 0.5;
 
-/// Of a whole run the dense part alone is moved if it has this part of the
-/// run's load: the cold rest stays.
+/// Of a whole range only the dense part is moved if it has this part of the
+/// range's load: the cold rest stays.
 const MIN_TRIMMED_FRACTION: f32 = 0.8;
 
-/// A move has to carry this part of what should move, or callers of these
-/// keys wait for nothing.
-const WORTH_PART: f32 = 0.03;
+/// The minimum part of the rate to move that a move must have, or callers of
+/// these keys would wait for nothing.
+const MIN_MOVE_FRACTION: f32 = 0.03;
 
-/// A move has to save this part of what the moved keys have at a server:
-/// their callers wait for about a tenth of a second while it lasts, and the
-/// load of single keys is not known better.
-const GAIN_PART: f32 = 0.1;
+/// The part of the moved keys' cost at a server that a move must save: their
+/// callers wait for about a tenth of a second during the move, and the loads
+/// of single keys aren't known more exactly.
+const MIN_GAIN_FRACTION: f32 = 0.1;
 
-/// What a moved key costs, in the unit of what a move saves: of two parts
-/// that save nearly as much the one with fewer keys moves.
+/// The cost of a moved key, in the unit of the saving: of two parts that save
+/// nearly as much, the one with fewer keys moves.
 const KEY_COST: f32 = 0.001;
 
-/// A server that has joined is given keys while it has less than this part
-/// of the mean use, by servers that have more than the second part.
-const JOINED_PART: f32 = 0.25;
-const GIVING_PART: f32 = 0.5;
+/// A server that has joined is given keys while its utilization is below the
+/// first of these parts of the mean, by servers whose utilization is above the
+/// second part.
+const JOINED_FRACTION: f32 = 0.25;
+const GIVING_FRACTION: f32 = 0.5;
 
-/// What a move has to save at the least, in requests that wait at any
-/// moment: less is within the noise of what a second counts.
+/// The minimum saving of a move, as the mean number of requests that wait.
+/// Less is within the noise of the counts of a second.
 const MIN_GAIN: f32 = 0.7;
 
-/// One move a round for so many servers, but no fewer than the second
-/// figure.
-const SERVERS_A_MOVE: usize = 16;
+/// A round has one move for this many servers, but at least `MIN_MOVES`.
+const SERVERS_PER_MOVE: usize = 16;
 const MIN_MOVES: usize = 12;
 
-/// Runs of a service: each is a grant that is renewed on its own.
+/// The maximum number of ranges of a service: each is a grant that is renewed
+/// on its own.
 const MAX_RANGES: usize = 600;
 
-/// The figures that decide when keys move.
+/// Settings that decide when keys move.
 #[derive(Clone, Copy, Debug)]
 pub struct RebalanceSettings {
-    /// A move has to save the callers so much: requests that are at the
-    /// servers at any moment.
+    /// The minimum saving of a move, as the mean number of requests that are
+    /// at the servers.
     pub min_gain: f32,
-    /// The most moves of one round.
+    /// The maximum number of moves in a round.
     pub max_moves: usize,
-    /// The most runs of a service: each is renewed on its own.
+    /// The maximum number of ranges of a service: each is renewed on its own.
     pub max_ranges: usize,
 }
 
 impl RebalanceSettings {
-    /// The figures for a service with so many servers.
+    /// Settings for a service with `servers` servers.
     ///
-    /// A run that gets a third of all requests has to be given to several
-    /// servers within two seconds. But all VMs are told of each move, twice:
+    /// A range that gets a third of all requests must be spread over several
+    /// servers within two seconds. But each move is sent to all VMs twice:
     /// with many moves a round, tables fill the narrow links of a fleet, and
     /// configurations come into force late.
     #[must_use]
     pub const fn for_servers(servers: usize) -> Self {
-        let part = servers / SERVERS_A_MOVE;
+        let part = servers / SERVERS_PER_MOVE;
         let max_moves = if part > MIN_MOVES { part } else { MIN_MOVES };
         Self { min_gain: MIN_GAIN, max_moves, max_ranges: MAX_RANGES }
     }
 }
 
-/// A move from one place to another.
+/// A move from one server to another.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RangeMove {
-    /// The keys; they lie in one run.
+    /// The keys to move. They are part of one range.
     pub range: SliceRange,
     /// The position of the new holder.
     pub target: usize,
 }
 
-/// The moves to begin now, most useful first.
+/// The moves to start now, most useful first.
 #[must_use]
 pub fn rebalancing_moves(
-    runs: &[PlacedRange],
-    places: &[TargetLoad],
+    ranges: &[PlacedRange],
+    targets: &[TargetLoad],
     load: &RangeLoad,
     settings: &RebalanceSettings,
 ) -> Vec<RangeMove> {
-    let mut round = RebalanceRound::new(runs, places, load, settings);
+    let mut round = RebalanceRound::new(ranges, targets, load, settings);
     let mut moves = Vec::new();
     while moves.len() < settings.max_moves {
         let Some(chosen) = round.next_move() else { break };
@@ -119,80 +120,83 @@
 
 /// The loads while moves are chosen.
 struct RebalanceRound<'a> {
-    runs: Vec<PlacedRange>,
-    places: &'a [TargetLoad],
+    ranges: Vec<PlacedRange>,
+    targets: &'a [TargetLoad],
     load: &'a RangeLoad,
     settings: &'a RebalanceSettings,
-    uses: Vec<f32>,
-    /// What one more request costs at each place, in seconds.
+    utilizations: Vec<f32>,
+    /// The marginal cost at each target: what one more request costs, in
+    /// seconds.
     marginals: Vec<f32>,
     mean: f32,
-    /// What one more request would cost anywhere if loads could be dealt
-    /// out as finely as one likes, in seconds.
+    /// The marginal cost if loads could be spread in arbitrarily fine parts,
+    /// in seconds. It is then the same at all targets.
     level: OnceCell<f32>,
-    /// Places that have nothing to give in this round.
-    spent: Vec<bool>,
+    /// Targets that have no worthwhile move left in this round.
+    exhausted: Vec<bool>,
 }
 
 impl<'a> RebalanceRound<'a> {
     fn new(
-        runs: &[PlacedRange],
-        places: &'a [TargetLoad],
+        ranges: &[PlacedRange],
+        targets: &'a [TargetLoad],
         load: &'a RangeLoad,
         settings: &'a RebalanceSettings,
     ) -> Self {
-        let uses = target_utilization(runs, places, load);
-        let open = places.iter().filter(|place| place.accepts_keys).count();
+        let utilizations = target_utilization(ranges, targets, load);
+        let accepting =
+            targets.iter().filter(|target| target.accepts_keys).count();
         #[expect(clippy::cast_precision_loss, reason = "a few servers")]
-        let mean = uses.iter().sum::<f32>() / open.max(1) as f32;
-        let pairs = places.iter().zip(&uses);
+        let mean = utilizations.iter().sum::<f32>() / accepting.max(1) as f32;
+        let pairs = targets.iter().zip(&utilizations);
         let marginals = pairs.map(|(p, used)| p.delay().marginal(*used));
         Self {
             marginals: marginals.collect(),
-            runs: runs.to_vec(),
-            places,
+            ranges: ranges.to_vec(),
+            targets,
             load,
             settings,
-            uses,
+            utilizations,
             mean,
             level: OnceCell::new(),
-            spent: vec![false; places.len()],
+            exhausted: vec![false; targets.len()],
         }
     }
 
     fn next_move(&mut self) -> Option<RangeMove> {
         loop {
-            let source = self.fullest()?;
+            let source = self.most_loaded()?;
             if let Some(chosen) = self.move_from(source) {
                 return Some(chosen);
             }
-            self.spent[source] = true;
+            self.exhausted[source] = true;
         }
     }
 
-    /// Notes that a place gets so many more requests a second.
-    fn add_rate(&mut self, place: usize, rate: f32) {
-        let load = &self.places[place];
-        self.uses[place] += load.use_by(rate);
-        self.marginals[place] = load.delay().marginal(self.uses[place]);
+    /// Adds `rate` requests a second to a target.
+    fn add_rate(&mut self, index: usize, rate: f32) {
+        let load = &self.targets[index];
+        self.utilizations[index] += load.utilization_by(rate);
+        self.marginals[index] =
+            load.delay().marginal(self.utilizations[index]);
     }
 
-    /// The place whose callers wait most for one another.
-    fn fullest(&self) -> Option<usize> {
-        (0..self.places.len())
-            .filter(|place| !self.spent[*place])
+    /// The target with the highest marginal cost.
+    fn most_loaded(&self) -> Option<usize> {
+        (0..self.targets.len())
+            .filter(|index| !self.exhausted[*index])
             .max_by(|a, b| self.marginals[*a].total_cmp(&self.marginals[*b]))
     }
 
-    fn lightest(&self) -> Option<usize> {
-        (0..self.places.len())
-            .filter(|place| self.places[*place].accepts_keys)
+    fn least_loaded(&self) -> Option<usize> {
+        (0..self.targets.len())
+            .filter(|index| self.targets[*index].accepts_keys)
             .min_by(|a, b| self.marginals[*a].total_cmp(&self.marginals[*b]))
     }
 
-    /// Moves the part of the source that saves callers most.
+    /// Moves the part of the source with the greatest gain.
     fn move_from(&mut self, source: usize) -> Option<RangeMove> {
-        let target = self.lightest().filter(|target| *target != source)?;
+        let target = self.least_loaded().filter(|target| *target != source)?;
         if !self.may_gain(source, target) {
             return None;
         }
@@ -208,95 +212,98 @@
         let rate = self.load.load_of(range);
         self.add_rate(source, -rate);
         self.add_rate(target, rate);
-        self.cut(position, range, target);
+        self.apply(position, range, target);
         Some(RangeMove { range, target })
     }
 
-    /// Whether any move from the source could be worth it, if the target is
-    /// the lightest place: what a request costs rises with use, so none
-    /// saves more than the difference now. Most servers of a fleet that is
-    /// balanced are done with here, and their parts are not weighed.
+    /// Whether any move from the source could be worth its cost, if the target
+    /// is the least loaded one: the marginal cost rises with utilization, so
+    /// no move saves more than the difference now. Most servers of a balanced
+    /// fleet are skipped here, and their parts are not evaluated.
     fn may_gain(&self, source: usize, target: usize) -> bool {
-        let rate = self.places[source].rate_by(self.uses[source]);
-        let most = rate * (self.marginals[source] - self.marginals[target]);
-        let mut places = 0..self.places.len();
-        most > self.settings.min_gain
-            || places.any(|place| self.has_joined(source, place))
+        let rate = self.targets[source].rate_by(self.utilizations[source]);
+        let max = rate * (self.marginals[source] - self.marginals[target]);
+        let mut indices = 0..self.targets.len();
+        max > self.settings.min_gain
+            || indices.any(|index| self.has_joined(source, index))
     }
 
-    /// The requests a second after whose move one more costs as much at
-    /// either place; no more than the target would have if all were dealt
-    /// out evenly, or it would have to give others away at once.
+    /// The requests a second after whose move the marginal cost is the same at
+    /// both servers. No more than the target would get if all requests were
+    /// spread evenly, or it would have to move others away at once.
     fn wanted(&self, source: usize, target: usize) -> f32 {
-        let (from, to) = (&self.places[source], &self.places[target]);
-        let level = || common_level(self.places, &self.uses);
+        let (from, to) = (&self.targets[source], &self.targets[target]);
+        let level = || common_marginal(self.targets, &self.utilizations);
         let level = *self.level.get_or_init(level);
-        let room = to.delay().use_at(level) - self.uses[target];
+        let room =
+            to.delay().utilization_at(level) - self.utilizations[target];
         let room = to.rate_by(room.max(0.0));
-        let most = from.rate_by(self.uses[source]);
-        bisect(most.min(room), |rate| {
-            let left = self.uses[source] - from.use_by(rate);
-            let grown = self.uses[target] + to.use_by(rate);
+        let max = from.rate_by(self.utilizations[source]);
+        bisect(max.min(room), |rate| {
+            let left = self.utilizations[source] - from.utilization_by(rate);
+            let grown = self.utilizations[target] + to.utilization_by(rate);
             from.delay().marginal(left) > to.delay().marginal(grown)
         })
     }
 
-    /// The place where a part costs least, with what its move saves;
-    /// nothing if that is not worth it. A key that alone is asked for more
-    /// than any server can do stays where it is, as it is no better off
-    /// elsewhere.
+    /// The target where a range costs least, with the gain of its move. `None`
+    /// if the move isn't worth it. A key that alone gets more requests than
+    /// any server can handle stays where it is, as another server is no
+    /// better.
     fn best_target(
         &self,
         source: usize,
         range: SliceRange,
     ) -> Option<(f32, usize)> {
         let rate = self.load.load_of(range);
-        let open = |place: &usize| self.places[*place].accepts_keys;
-        let others = (0..self.places.len()).filter(|place| *place != source);
-        let costs = others.filter(open).map(|place| {
-            let (to, used) = (&self.places[place], self.uses[place]);
-            let grown = used + to.use_by(rate);
-            (to.delay().cost(grown) - to.delay().cost(used), place)
+        let accepting = |index: &usize| self.targets[*index].accepts_keys;
+        let others = (0..self.targets.len()).filter(|index| *index != source);
+        let costs = others.filter(accepting).map(|index| {
+            let (to, used) = (&self.targets[index], self.utilizations[index]);
+            let grown = used + to.utilization_by(rate);
+            (to.delay().cost(grown) - to.delay().cost(used), index)
         });
         let (cost, target) = costs.min_by(|a, b| a.0.total_cmp(&b.0))?;
-        let from = &self.places[source];
-        let used = self.uses[source];
-        let left = (used - from.use_by(rate)).max(0.0);
+        let from = &self.targets[source];
+        let used = self.utilizations[source];
+        let left = (used - from.utilization_by(rate)).max(0.0);
         let saved = from.delay().cost(used) - from.delay().cost(left) - cost;
         let gain = saved - KEY_COST * count(range.slices() as usize);
-        let least = GAIN_PART * rate * from.work_s;
-        let worth_it = gain > least.max(self.settings.min_gain);
-        let joined = saved > 0.0 && self.has_joined(source, target);
-        (worth_it || joined).then_some((gain, target))
+        let minimum = MIN_GAIN_FRACTION * rate * from.work_s;
+        let worth_it = gain > minimum.max(self.settings.min_gain);
+        let fills_new = saved > 0.0 && self.has_joined(source, target);
+        (worth_it || fills_new).then_some((gain, target))
     }
 
-    /// Whether the target has joined and the source has keys to spare: it
-    /// gets its part also when nobody is busy.
+    /// Whether the target has joined and the source has keys to spare. Then
+    /// keys are moved even while no server is busy.
     fn has_joined(&self, source: usize, target: usize) -> bool {
-        self.places[target].accepts_keys
-            && self.uses[target] < self.mean * JOINED_PART
-            && self.uses[source] > self.mean * GIVING_PART
+        self.targets[target].accepts_keys
+            && self.utilizations[target] < self.mean * JOINED_FRACTION
+            && self.utilizations[source] > self.mean * GIVING_FRACTION
     }
 
-    /// The parts that may move, best first: a dense one of the busiest
-    /// run, as it moves much load with few keys; its busiest key alone;
-    /// whole runs that fit; a piece of the busiest run, whose load then
-    /// lies all over it.
+    /// The parts that may move, best first: a dense part of the busiest range,
+    /// as it moves much load with few keys; the busiest key alone; whole
+    /// ranges that fit; and a prefix of the busiest range, for a load that is
+    /// spread all over it.
     fn parts(&self, source: usize, wanted: f32) -> Vec<(usize, SliceRange)> {
-        let own = self.runs.iter().enumerate();
-        let mut rated: Vec<(usize, f32)> = own
-            .filter(|(_, run)| run.target == source && run.movable)
-            .map(|(position, run)| (position, self.load.load_of(run.range)))
+        let indexed = self.ranges.iter().enumerate();
+        let mut rated: Vec<(usize, f32)> = indexed
+            .filter(|(_, placed)| placed.target == source && placed.movable)
+            .map(|(position, placed)| {
+                (position, self.load.load_of(placed.range))
+            })
             .collect();
         rated.sort_by(|a, b| b.1.total_cmp(&a.1));
-        let Some((busiest, _most)) = rated.first().copied() else {
+        let Some((busiest, _rate)) = rated.first().copied() else {
             return Vec::new();
         };
-        let range = self.runs[busiest].range;
-        let room = self.runs.len() + 2 <= self.settings.max_ranges;
+        let range = self.ranges[busiest].range;
+        let room = self.ranges.len() + 2 <= self.settings.max_ranges;
         let mut parts = Vec::new();
         if room {
-            let dense = self.load.part(range, wanted);
+            let dense = self.load.dense_range(range, wanted);
             let enough = |part: &SliceRange| {
                 self.load.load_of(*part) > wanted * MIN_DENSE_FRACTION
             };
@@ -305,42 +312,41 @@
                 self.load.hot_key(range, wanted).map(|part| (busiest, part)),
             );
         }
-        let least = wanted * WORTH_PART;
+        let minimum = wanted * MIN_MOVE_FRACTION;
         for (position, rate) in &rated {
-            if *rate <= wanted && *rate > least {
+            if *rate <= wanted && *rate > minimum {
                 parts.push((*position, self.trimmed(*position, *rate, room)));
             }
         }
-        let piece = self.load.piece(range, wanted).filter(|_| room);
-        parts.extend(piece.map(|piece| (busiest, piece)));
+        let prefix = self.load.prefix(range, wanted).filter(|_| room);
+        parts.extend(prefix.map(|prefix| (busiest, prefix)));
         parts
     }
 
-    /// A run without its cold ends, if what is left has nearly all of its
-    /// load.
+    /// A range without its cold ends, if the rest has nearly all of its load.
     fn trimmed(&self, position: usize, rate: f32, room: bool) -> SliceRange {
-        let range = self.runs[position].range;
-        let dense = self.load.part(range, rate * 2.0).filter(|part| {
+        let range = self.ranges[position].range;
+        let dense = self.load.dense_range(range, rate * 2.0).filter(|part| {
             room && self.load.load_of(*part) > rate * MIN_TRIMMED_FRACTION
         });
         dense.unwrap_or(range)
     }
 
-    /// Notes a move among the runs.
-    fn cut(&mut self, position: usize, range: SliceRange, target: usize) {
-        let whole = self.runs[position];
-        self.runs[position] = PlacedRange { range, target, movable: false };
+    /// Applies a move to the ranges.
+    fn apply(&mut self, position: usize, range: SliceRange, target: usize) {
+        let whole = self.ranges[position];
+        self.ranges[position] = PlacedRange { range, target, movable: false };
         if whole.range.first < range.first {
             let last = SliceIndex::from(range.first.get() - 1);
             let first = whole.range.first;
             let range = SliceRange { first, last };
-            self.runs.push(PlacedRange { range, ..whole });
+            self.ranges.push(PlacedRange { range, ..whole });
         }
         if range.last < whole.range.last {
             let first = SliceIndex::from(range.last.get() + 1);
             let last = whole.range.last;
             let range = SliceRange { first, last };
-            self.runs.push(PlacedRange { range, ..whole });
+            self.ranges.push(PlacedRange { range, ..whole });
         }
     }
 }
--- a/goldcrestramp-decisions/src/round_robin.rs
+++ b/goldcrestramp-decisions/src/round_robin.rs
@@ -1,11 +1,12 @@
-//! The parts of a route that is split between services.
+//! Splits the requests of a route between services by weight.
 //!
-//! The load: few requests a second on each of many VMs. Drawn at random,
-//! the parts of a hundred requests are off by several points. Each target
-//! saves up its weight with every request and the richest one is served,
-//! so after any number of requests each part is off by one at most.
+//! Each of many VMs gets few requests a second. Drawn at random, the shares of
+//! a hundred requests deviate by several points. Here each target gains credit
+//! by its weight with every request, and the target with the highest credit is
+//! served. So after any number of requests each share deviates by one request
+//! at most.
 
-/// Deals requests out in proportion to weights.
+/// Distributes requests in proportion to weights.
 ///
 /// # Example
 ///
@@ -25,7 +26,8 @@
 }
 
 impl WeightedRoundRobin {
-    /// The target of the next request; nothing if no weight is above 0.
+    /// The position of the next request's target. `None` if no weight is above
+    /// 0.
     pub fn next(&mut self, weights: &[u32]) -> Option<usize> {
         let total: i64 = weights.iter().copied().map(i64::from).sum();
         if total == 0 {
@@ -35,10 +37,10 @@
         for (credit, weight) in self.credits.iter_mut().zip(weights) {
             *credit += i64::from(*weight);
         }
-        let richest = (0..weights.len())
+        let highest = (0..weights.len())
             .filter(|target| weights[*target] > 0)
             .max_by_key(|target| self.credits[*target])?;
-        self.credits[richest] -= total;
-        Some(richest)
+        self.credits[highest] -= total;
+        Some(highest)
     }
 }
--- a/goldcrestramp-decisions/src/share.rs
+++ b/goldcrestramp-decisions/src/share.rs
@@ -1,22 +1,21 @@
-//! What one VM may have under way at a server.
+//! Bounds the requests that one VM may have in flight to a server.
 //!
-//! The load: a key that every VM is asked for, while its owner runs a few
-//! requests at once and queues some more. VMs can't see what the others have
-//! sent. If each of them may send two, a fleet with more VMs than the server
-//! has places fills the queue twice over, and a server that answers nothing
-//! beyond its queue leaves the rest of them waiting until their deadlines.
+//! A hot key is requested at every VM, while its owner runs a few requests at
+//! once and queues some more. VMs can't see each other's requests in flight.
+//! If each may send two, a fleet with more VMs than the server has capacity
+//! overfills its queue twice, and a server that doesn't respond to requests
+//! beyond its queue leaves the rest waiting until their deadlines.
 
-/// What all VMs together may have under way at a server, for each of its
-/// slots: as much again as it can run waits there, so that no slot is idle
-/// for the time of a round trip.
-const SHARED_DEPTH: usize = 2;
+/// The requests of all VMs in flight to a server, for each of its slots: one
+/// runs and one waits, so that no slot is idle during a round trip.
+const FLEET_DEPTH: usize = 2;
 
-/// The requests that a server takes for each of its slots: one runs, the
+/// The requests that a server accepts for each of its slots: one runs, the
 /// others are queued.
-const PLACES_PER_SLOT: usize = 5;
+const CAPACITY_PER_SLOT: usize = 5;
 
-/// What a VM may have under way at a server of so many slots, to which so
-/// many VMs send.
+/// The requests that a VM may have in flight to a server with `slots` slots,
+/// to which `senders` VMs send.
 ///
 /// # Example
 ///
@@ -28,9 +27,9 @@
 /// assert_eq!(server_share(4, 200), 1);
 /// ```
 #[must_use]
-pub fn server_share(slots: usize, sharers: usize) -> usize {
-    let is_crowded = sharers > slots * PLACES_PER_SLOT;
-    let least = if is_crowded { 1 } else { 2 };
-    let share = (SHARED_DEPTH * slots).div_ceil(sharers.max(1));
-    share.clamp(least, slots.max(least))
+pub fn server_share(slots: usize, senders: usize) -> usize {
+    let is_crowded = senders > slots * CAPACITY_PER_SLOT;
+    let min_share = if is_crowded { 1 } else { 2 };
+    let share = (FLEET_DEPTH * slots).div_ceil(senders.max(1));
+    share.clamp(min_share, slots.max(min_share))
 }
--- a/goldcrestramp-decisions/src/times.rs
+++ b/goldcrestramp-decisions/src/times.rs
@@ -1,22 +1,22 @@
-//! How long a server's answers usually take, by route.
+//! Typical response times of a server, by route.
 //!
-//! The load: short and long work at the same servers. Taken together, the
-//! usual time lies between: long work is given up half done and run once
-//! more, and a server that is silent to short work is waited for long after
-//! its answer should have come.
+//! Short and long work run on the same servers. An average over all routes
+//! lies between them: long work would time out half done and run again, and a
+//! server that is silent to short work would be waited for long after its
+//! response was due.
 
 use std::sync::Arc;
 
 use goldcrestramp_types::{FastMap, TimeSpan};
 
-/// The usual time moves by this part of the difference: some six answers,
-/// so that a server that turns slow is seen within a second.
-const GAIN: u64 = 6;
+/// The divisor of the moving average, which covers about six responses: a
+/// server that turns slow shows within a second.
+const SMOOTHING_DIVISOR: u64 = 6;
 
-/// What stands in until a server has answered.
-const FIRST: TimeSpan = TimeSpan::from_millis(100);
+/// The response time assumed for a server that has not responded yet.
+const INITIAL_TIME: TimeSpan = TimeSpan::from_millis(100);
 
-/// The usual times of one server's answers.
+/// The typical response times of one server.
 ///
 /// # Example
 ///
@@ -36,45 +36,45 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct ResponseTimes {
-    any: Option<TimeSpan>,
+    overall: Option<TimeSpan>,
     routes: FastMap<Arc<str>, TimeSpan>,
 }
 
 impl ResponseTimes {
-    /// Takes the time of an answer on a route.
+    /// Records the time of a response on a route.
     pub fn record(&mut self, route: &Arc<str>, span: TimeSpan) {
-        self.any = Some(blend(self.mean(), span));
-        let usual = self.routes.entry(Arc::clone(route)).or_insert(span);
-        *usual = blend(*usual, span);
+        self.overall = Some(blend(self.mean(), span));
+        let typical = self.routes.entry(Arc::clone(route)).or_insert(span);
+        *typical = blend(*typical, span);
     }
 
-    /// The usual time of an answer on a route, once one has come.
+    /// The typical response time on a route, once there was a response.
     #[must_use]
     pub fn typical_for(&self, route: &str) -> Option<TimeSpan> {
         self.routes.get(route).copied()
     }
 
-    /// What an answer on a route is expected to take: as others of this
-    /// server, or as those of all servers of its service. Of one that is
-    /// not known on the route nothing better is to be hoped for, or every
-    /// far server would be tried once.
+    /// The expected response time on a route: as measured on this server, or
+    /// else as measured on all servers of its service. A server that is
+    /// unknown on the route isn't assumed to be faster than those, or every
+    /// remote server would be tried once.
     #[must_use]
     pub fn expected(&self, route: &str, service: &Self) -> TimeSpan {
-        let usual =
+        let typical =
             self.typical_for(route).or_else(|| service.typical_for(route));
-        usual.unwrap_or(self.mean())
+        typical.unwrap_or(self.mean())
     }
 
-    /// The usual time of an answer on any route: what a request waits for
+    /// The typical response time over all routes: how long a request waits
     /// behind others.
     #[must_use]
     pub fn mean(&self) -> TimeSpan {
-        self.any.unwrap_or(FIRST)
+        self.overall.unwrap_or(INITIAL_TIME)
     }
 }
 
-/// Moves a usual time towards a new one.
-fn blend(usual: TimeSpan, span: TimeSpan) -> TimeSpan {
-    let kept = usual.as_micros() - usual.as_micros() / GAIN;
-    TimeSpan::from_micros(kept + span.as_micros() / GAIN)
+/// Updates an exponential moving average with a new value.
+fn blend(typical: TimeSpan, span: TimeSpan) -> TimeSpan {
+    let kept = typical.as_micros() - typical.as_micros() / SMOOTHING_DIVISOR;
+    TimeSpan::from_micros(kept + span.as_micros() / SMOOTHING_DIVISOR)
 }
--- a/goldcrestramp-decisions/tests/placement.rs
+++ b/goldcrestramp-decisions/tests/placement.rs
@@ -30,8 +30,11 @@
     let mut places = Vec::new();
     let mut reports = Vec::new();
     for loads in loads {
-        let mut place =
-            TargetView { slots: 4, open: true, ..TargetView::default() };
+        let mut place = TargetView {
+            slots: 4,
+            accepts_slices: true,
+            ..TargetView::default()
+        };
         let mut report = TargetReport::default();
         for load in *loads {
             let load = f64::from(*load) / 100.0;
@@ -174,13 +177,13 @@
 #[test]
 fn a_lost_servers_slices_go_to_open_ones_only() {
     let (mut places, estimate) = places(&[&[50, 40, 30], &[10], &[200], &[]]);
-    places[0].open = false;
-    places[3].open = false;
+    places[0].accepts_slices = false;
+    places[3].accepts_slices = false;
     let orphans = places[0].held.clone();
 
     let moves = assign_orphans(0, &orphans, &places, &estimate);
-    places[1].open = false;
-    places[2].open = false;
+    places[1].accepts_slices = false;
+    places[2].accepts_slices = false;
     let nowhere = assign_orphans(0, &orphans, &places, &estimate);
 
     assert_eq!(moves.len(), 3);
@@ -205,7 +208,7 @@
         let loads: Vec<&[u32]> = loads.iter().map(Vec::as_slice).collect();
         let (mut places, estimate) = places(&loads);
         for (place, open) in places.iter_mut().zip(open) {
-            place.open = open;
+            place.accepts_slices = open;
         }
         let mut planner = planner();
         let mut moved = SliceSet::new();
@@ -213,8 +216,8 @@
         for second in (0..60).step_by(5) {
             let moves = planner.decide(at(second), &places, &estimate);
             for planned in moves {
-                prop_assert!(places[planned.target].open);
-                prop_assert!(places[planned.source].open);
+                prop_assert!(places[planned.target].accepts_slices);
+                prop_assert!(places[planned.source].accepts_slices);
                 prop_assert_ne!(planned.source, planned.target);
                 prop_assert!(moved.insert(planned.slice), "moved twice");
                 let held = places[planned.source].held.remove(planned.slice);
--- a/goldcrestramp-decisions/tests/placement_world/mod.rs
+++ b/goldcrestramp-decisions/tests/placement_world/mod.rs
@@ -110,7 +110,7 @@
         let open = case.servers - case.closed;
         let places = (0..case.servers).map(|place| TargetView {
             slots: case.slots,
-            open: place < open,
+            accepts_slices: place < open,
             ..TargetView::default()
         });
         let slots = u32::try_from(open).expect("few") * case.slots;
@@ -196,7 +196,7 @@
             WorldEvent::Drain(place) => (place, false, MOVE_GAP),
             WorldEvent::Open(place) => (place, true, MOVE_GAP),
         };
-        self.places[place].open = open;
+        self.places[place].accepts_slices = open;
         if self.kind == PlacementKind::Hash {
             self.rehash(gap);
         } else if !open {
@@ -274,7 +274,7 @@
     fn measure(&mut self) {
         let mut most: f64 = 0.0;
         let mut slots = 0.0;
-        for place in self.places.iter().filter(|place| place.open) {
+        for place in self.places.iter().filter(|place| place.accepts_slices) {
             let load: f64 = place
                 .held
                 .iter()
--- a/goldcrestramp-node/src/planner/feed.rs
+++ b/goldcrestramp-node/src/planner/feed.rs
@@ -165,7 +165,7 @@
     let kept = status.keepers.contains_key(&rules.name);
     TargetView {
         slots: rules.slots,
-        open: kept && config.may_own(service, rules),
+        accepts_slices: kept && config.may_own(service, rules),
         held: status.holders.get(&rules.name).cloned().unwrap_or_default(),
         ..TargetView::default()
     }
