--- a/goldcrestramp-decisions/tests/overload/policy.rs
+++ b/goldcrestramp-decisions/tests/overload/policy.rs
@@ -1,4 +1,4 @@
-//! The router's decisions and the two baselines behind one interface.
+//! The router's decisions and the two baselines behind one trait.
 
 use goldcrestramp_decisions::{
     CompletionOutcome, GatewayLimit, OfferOutcome, QueueEvent, QueueSettings,
@@ -7,17 +7,17 @@
 };
 use goldcrestramp_types::{FastMap, LocalTime, NotRunReason, TimeSpan};
 
-use crate::world::{SimRandom, SimRequest};
+use crate::simulation::{SimRandom, SimRequest};
 
-/// Entry VMs between callers and servers, as in the deployments of today.
+/// Entry VMs between callers and servers, as in the current deployments.
 const GATEWAYS: usize = 10;
-/// A gateway of the FIFO baseline queues so many for a server: its memory
-/// is its bound.
+/// The queue of a gateway of the FIFO baseline for a server. It is bounded
+/// only by memory.
 const FIFO_QUEUE: usize = 1_000;
-/// A gateway of the static baseline has so many under way: with ten, ten
-/// slots' worth of requests for a server of four.
+/// The requests in flight at a gateway of the static baseline, for each
+/// server. With ten gateways that is ten times the slots of a server of four.
 const STATIC_LIMIT: usize = 4;
-/// The bound of all gateways of the router together.
+/// The limit of all gateways of the router together.
 const GATEWAY_LIMIT: usize = 4_000;
 
 /// What a policy does with a request.
@@ -26,17 +26,17 @@
     Refuse(usize, NotRunReason),
 }
 
-/// A way to run the traffic.
+/// A policy that admits, starts and refuses requests.
 pub(crate) trait TrafficPolicy {
     fn arrive(&mut self, now: LocalTime, ticket: usize, request: &SimRequest);
-    fn ended(&mut self, now: LocalTime, ticket: usize, span: TimeSpan);
-    fn act(&mut self, now: LocalTime) -> Option<PolicyAction>;
+    fn completed(&mut self, now: LocalTime, ticket: usize, span: TimeSpan);
+    fn next_action(&mut self, now: LocalTime) -> Option<PolicyAction>;
     fn wake_at(&self) -> Option<LocalTime> {
         None
     }
 }
 
-/// The decisions of this package.
+/// The decisions of this crate.
 pub(crate) struct RouterPolicy {
     gateway: GatewayLimit,
     servers: Vec<(ServerQueue, ServerLimit)>,
@@ -64,13 +64,16 @@
         }
     }
 
-    fn leave(&mut self, ticket: usize) -> Option<(usize, Option<RequestKey>)> {
+    fn remove(
+        &mut self,
+        ticket: usize,
+    ) -> Option<(usize, Option<RequestKey>)> {
         let (server, key, request) = self.known.remove(&ticket)?;
         self.gateway.leave(&request.caller);
         Some((server, key))
     }
 
-    fn event(
+    fn next_event(
         &mut self,
         now: LocalTime,
         server: usize,
@@ -86,7 +89,7 @@
             }
             QueueEvent::GiveUp(key, refusal) => {
                 let ticket = self.tickets.remove(&(server, key))?;
-                self.leave(ticket);
+                self.remove(ticket);
                 Some(PolicyAction::Refuse(ticket, refusal.reason))
             }
         }
@@ -116,16 +119,16 @@
                 known.1 = Some(key);
             }
             OfferOutcome::Refused(refusal) => {
-                self.leave(ticket);
+                self.remove(ticket);
                 self.refused.push((ticket, refusal.reason));
             }
         }
     }
 
-    fn ended(&mut self, now: LocalTime, ticket: usize, span: TimeSpan) {
+    fn completed(&mut self, now: LocalTime, ticket: usize, span: TimeSpan) {
         let class = self.known[&ticket].2.class;
-        let (server, key) = self.leave(ticket).expect("is known");
-        let key = key.expect("was queued");
+        let (server, key) = self.remove(ticket).expect("is known");
+        let key = key.expect("request was queued");
         self.tickets.remove(&(server, key));
         let (queue, limit) = &mut self.servers[server];
         queue.finished(now, key, CompletionOutcome::Answered);
@@ -133,11 +136,11 @@
         limit.finished(now, ServerSignal::Answered(class, span), 0);
     }
 
-    fn act(&mut self, now: LocalTime) -> Option<PolicyAction> {
+    fn next_action(&mut self, now: LocalTime) -> Option<PolicyAction> {
         if let Some((ticket, reason)) = self.refused.pop() {
             return Some(PolicyAction::Refuse(ticket, reason));
         }
-        (0..self.servers.len()).find_map(|server| self.event(now, server))
+        (0..self.servers.len()).find_map(|server| self.next_event(now, server))
     }
 
     fn wake_at(&self) -> Option<LocalTime> {
@@ -148,7 +151,7 @@
     }
 }
 
-/// First in first out with round robin of gateways.
+/// The FIFO baseline, with round robin between gateways.
 pub(crate) struct FifoPolicy {
     baseline: FifoBaseline,
     servers: FastMap<usize, usize>,
@@ -173,11 +176,11 @@
         }
     }
 
-    fn ended(&mut self, _: LocalTime, ticket: usize, _: TimeSpan) {
+    fn completed(&mut self, _: LocalTime, ticket: usize, _: TimeSpan) {
         self.baseline.finished(self.servers[&ticket]);
     }
 
-    fn act(&mut self, now: LocalTime) -> Option<PolicyAction> {
+    fn next_action(&mut self, now: LocalTime) -> Option<PolicyAction> {
         if let Some(ticket) = self.refused.pop() {
             return Some(PolicyAction::Refuse(
                 ticket,
@@ -190,10 +193,10 @@
     }
 }
 
-/// A static limit at each gateway.
+/// The static baseline, with a fixed limit at each gateway.
 pub(crate) struct StaticPolicy {
     baseline: StaticBaseline,
-    places: FastMap<usize, (usize, usize)>,
+    started: FastMap<usize, (usize, usize)>,
     count: usize,
     refused: Vec<usize>,
 }
@@ -203,7 +206,7 @@
         let limit = STATIC_LIMIT * servers;
         let baseline = StaticBaseline::new(servers, GATEWAYS, slots, limit);
         let refused = Vec::new();
-        Self { baseline, places: FastMap::default(), count: servers, refused }
+        Self { baseline, started: FastMap::default(), count: servers, refused }
     }
 }
 
@@ -215,12 +218,12 @@
         }
     }
 
-    fn ended(&mut self, _: LocalTime, ticket: usize, _: TimeSpan) {
-        let (server, gateway) = self.places[&ticket];
+    fn completed(&mut self, _: LocalTime, ticket: usize, _: TimeSpan) {
+        let (server, gateway) = self.started[&ticket];
         self.baseline.finished(server, gateway);
     }
 
-    fn act(&mut self, now: LocalTime) -> Option<PolicyAction> {
+    fn next_action(&mut self, now: LocalTime) -> Option<PolicyAction> {
         if let Some(ticket) = self.refused.pop() {
             let reason = NotRunReason::GatewayFull;
             return Some(PolicyAction::Refuse(ticket, reason));
@@ -228,7 +231,7 @@
         for server in 0..self.count {
             if let Some((event, gateway)) = self.baseline.poll(now, server) {
                 if let BaselineEvent::Start(ticket) = event {
-                    self.places.insert(ticket, (server, gateway));
+                    self.started.insert(ticket, (server, gateway));
                 }
                 return Some(action(event));
             }
--- a/goldcrestramp-decisions/tests/overload/report.rs
+++ b/goldcrestramp-decisions/tests/overload/report.rs
@@ -1,21 +1,21 @@
-//! What the callers of a run received.
+//! Reports of the responses that the callers of a run received.
 
 use std::{collections::BTreeMap, fmt};
 
 use goldcrestramp_types::TimeSpan;
 
-use crate::world::{SimEnd, SimRequest};
+use crate::simulation::{SimOutcome, SimRequest};
 
-/// A refusal is late if it comes later than this after the arrival.
-const REFUSAL_LIMIT: TimeSpan = TimeSpan::from_millis(5);
+/// A refusal is slow if it takes longer than this after the arrival.
+const MAX_REFUSAL_TIME: TimeSpan = TimeSpan::from_millis(5);
 
-/// The part of a run that one selection of requests makes up.
+/// The totals of a selection of the requests of a run.
 #[derive(Default)]
 pub(crate) struct RunReport {
     pub(crate) offered: usize,
-    /// Answered within the deadline.
+    /// Responses within the deadline.
     pub(crate) good: usize,
-    /// Answered too late.
+    /// Responses after the deadline.
     pub(crate) late: usize,
     pub(crate) refused: BTreeMap<&'static str, usize>,
     /// Refusals that took more than 5 ms.
@@ -24,25 +24,26 @@
 }
 
 impl RunReport {
-    /// The requests for which `select` holds.
+    /// Creates the report of the requests for which `select` holds.
     pub(crate) fn of(
         requests: &[SimRequest],
-        ends: &[SimEnd],
+        outcomes: &[SimOutcome],
         select: impl Fn(&SimRequest) -> bool,
     ) -> Self {
         let mut report = Self::default();
-        let pairs = requests.iter().zip(ends);
-        for (request, end) in pairs.filter(|(request, _)| select(request)) {
-            report.add(request, *end);
+        let pairs = requests.iter().zip(outcomes);
+        for (request, outcome) in pairs.filter(|(request, _)| select(request))
+        {
+            report.record(request, *outcome);
         }
         report.latencies.sort();
         report
     }
 
-    fn add(&mut self, request: &SimRequest, end: SimEnd) {
+    fn record(&mut self, request: &SimRequest, outcome: SimOutcome) {
         self.offered += 1;
-        match end {
-            SimEnd::Done(time) => {
+        match outcome {
+            SimOutcome::Done(time) => {
                 self.latencies.push(time.since(request.arrives));
                 if time <= request.deadline {
                     self.good += 1;
@@ -50,15 +51,16 @@
                     self.late += 1;
                 }
             }
-            SimEnd::Refused(time, reason) => {
+            SimOutcome::Refused(time, reason) => {
                 *self.refused.entry(reason.code()).or_default() += 1;
-                let is_slow = time.since(request.arrives) > REFUSAL_LIMIT;
+                let is_slow = time.since(request.arrives) > MAX_REFUSAL_TIME;
                 self.slow_refusals += usize::from(is_slow);
             }
         }
     }
 
-    /// The latency in milliseconds that `percent` of the answers kept to.
+    /// The latency in milliseconds that `percent` of the responses did not
+    /// exceed.
     pub(crate) fn percentile(&self, percent: usize) -> f64 {
         let last = self.latencies.len().saturating_sub(1);
         let position = last * percent / 100;
--- a/goldcrestramp-decisions/tests/overload/world.rs
+++ b/goldcrestramp-decisions/tests/overload/simulation.rs
@@ -1,4 +1,5 @@
-//! Callers and servers in virtual time, the same for every policy.
+//! A simulation of callers and servers in virtual time, the same for every
+//! policy.
 
 use std::{cmp::Reverse, collections::BinaryHeap};
 
@@ -8,7 +9,8 @@
 
 use crate::policy::{PolicyAction, TrafficPolicy};
 
-/// A small generator with a fixed seed: the same run every time.
+/// A small pseudo-random generator with a fixed seed, so that every run is the
+/// same.
 #[derive(Clone)]
 pub(crate) struct SimRandom(u64);
 
@@ -26,23 +28,23 @@
         mixed ^ (mixed >> 31)
     }
 
-    /// Even between 0 and 1.
-    fn unit(&mut self) -> f64 {
+    /// A uniform number from 0 to 1.
+    fn uniform(&mut self) -> f64 {
         f64::from(u32::try_from(self.next() >> 32).unwrap_or(0))
             / f64::from(u32::MAX)
     }
 
-    /// Exponential with this mean.
-    fn pause(&mut self, mean_micros: f64) -> TimeSpan {
-        let pause = -mean_micros * (1.0 - self.unit()).max(1e-9).ln();
-        TimeSpan::from_micros(micros(pause))
+    /// An exponentially distributed interval with this mean.
+    fn interval(&mut self, mean_micros: f64) -> TimeSpan {
+        let interval = -mean_micros * (1.0 - self.uniform()).max(1e-9).ln();
+        TimeSpan::from_micros(micros(interval))
     }
 }
 
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "spans of a few virtual seconds"
+    reason = "times of a few virtual seconds"
 )]
 fn micros(value: f64) -> u64 {
     value.max(0.0) as u64
@@ -55,17 +57,17 @@
     pub(crate) class: RequestClass,
     pub(crate) server: usize,
     pub(crate) per_second: f64,
-    /// Milliseconds of slot time on average; each takes half to one and a
-    /// half of it.
-    pub(crate) service: f64,
+    /// The mean service time in milliseconds. Each request takes between half
+    /// and one and a half of it.
+    pub(crate) service_ms: f64,
     pub(crate) deadline: TimeSpan,
-    /// Keys that it asks for, evenly.
+    /// The number of keys, requested uniformly.
     pub(crate) keys: u64,
     pub(crate) from: LocalTime,
     pub(crate) until: LocalTime,
 }
 
-/// A request of a run.
+/// A simulated request.
 #[derive(Clone)]
 pub(crate) struct SimRequest {
     pub(crate) caller: CallerName,
@@ -78,16 +80,16 @@
     service: TimeSpan,
 }
 
-/// How a request ended, and when.
+/// The outcome of a request, and when it completed.
 #[derive(Clone, Copy)]
-pub(crate) enum SimEnd {
+pub(crate) enum SimOutcome {
     Done(LocalTime),
     Refused(LocalTime, NotRunReason),
 }
 
-/// Servers that are slow for a part of the run.
+/// A period in which a server is slow.
 #[derive(Clone, Copy)]
-pub(crate) struct SlowSpell {
+pub(crate) struct SlowPeriod {
     pub(crate) server: usize,
     pub(crate) factor: u64,
     pub(crate) from: LocalTime,
@@ -97,7 +99,7 @@
 #[derive(Clone, Copy, Eq, Ord, PartialEq, PartialOrd)]
 enum SimEvent {
     Arrive(usize),
-    End(usize),
+    Complete(usize),
     Wake,
 }
 
@@ -109,9 +111,9 @@
         let mut random = SimRandom::new(seed.wrapping_add(number_seed << 32));
         let caller = CallerName::new(load.caller).expect("a valid name");
         let mean = 1e6 / load.per_second;
-        let mut arrives = load.from + random.pause(mean);
+        let mut arrives = load.from + random.interval(mean);
         while arrives < load.until {
-            let service = load.service * 1e3 * (0.5 + random.unit());
+            let service = load.service_ms * 1e3 * (0.5 + random.uniform());
             requests.push(SimRequest {
                 caller: caller.clone(),
                 load: number,
@@ -122,22 +124,22 @@
                 deadline: arrives + load.deadline,
                 service: TimeSpan::from_micros(micros(service)),
             });
-            arrives = arrives + random.pause(mean);
+            arrives = arrives + random.interval(mean);
         }
     }
     requests.sort_by_key(|request| request.arrives);
     requests
 }
 
-/// Runs the requests through a policy; tells how each ended.
+/// Runs the requests through a policy and returns their outcomes.
 pub(crate) fn run(
     requests: &[SimRequest],
-    spells: &[SlowSpell],
+    periods: &[SlowPeriod],
     policy: &mut dyn TrafficPolicy,
-) -> Vec<SimEnd> {
+) -> Vec<SimOutcome> {
     let mut events = BinaryHeap::new();
-    let mut ends = vec![None; requests.len()];
-    let mut spans = vec![TimeSpan::ZERO; requests.len()];
+    let mut outcomes = vec![None; requests.len()];
+    let mut service_times = vec![TimeSpan::ZERO; requests.len()];
     let arrivals = requests.iter().enumerate();
     events.extend(
         arrivals.map(|(n, r)| Reverse((r.arrives, SimEvent::Arrive(n)))),
@@ -147,22 +149,24 @@
             SimEvent::Arrive(ticket) => {
                 policy.arrive(now, ticket, &requests[ticket]);
             }
-            SimEvent::End(ticket) => {
-                ends[ticket] = Some(SimEnd::Done(now));
-                policy.ended(now, ticket, spans[ticket]);
+            SimEvent::Complete(ticket) => {
+                outcomes[ticket] = Some(SimOutcome::Done(now));
+                policy.completed(now, ticket, service_times[ticket]);
             }
             SimEvent::Wake => {}
         }
-        while let Some(action) = policy.act(now) {
+        while let Some(action) = policy.next_action(now) {
             match action {
                 PolicyAction::Start(ticket) => {
                     let request = &requests[ticket];
-                    spans[ticket] = slot_time(request, now, spells);
-                    let end = now + spans[ticket];
-                    events.push(Reverse((end, SimEvent::End(ticket))));
+                    service_times[ticket] =
+                        service_time(request, now, periods);
+                    let ends_at = now + service_times[ticket];
+                    events
+                        .push(Reverse((ends_at, SimEvent::Complete(ticket))));
                 }
                 PolicyAction::Refuse(ticket, reason) => {
-                    ends[ticket] = Some(SimEnd::Refused(now, reason));
+                    outcomes[ticket] = Some(SimOutcome::Refused(now, reason));
                 }
             }
         }
@@ -173,20 +177,23 @@
             }
         }
     }
-    ends.into_iter().map(|end| end.expect("each request ends")).collect()
+    outcomes
+        .into_iter()
+        .map(|outcome| outcome.expect("each request has an outcome"))
+        .collect()
 }
 
-/// How long a server takes for a request that starts now.
-fn slot_time(
+/// The service time of a request that starts now.
+fn service_time(
     request: &SimRequest,
     now: LocalTime,
-    spells: &[SlowSpell],
+    periods: &[SlowPeriod],
 ) -> TimeSpan {
-    let spell = spells.iter().find(|spell| {
-        spell.server == request.server
-            && (spell.from..spell.until).contains(&now)
+    let period = periods.iter().find(|period| {
+        period.server == request.server
+            && (period.from..period.until).contains(&now)
     });
-    spell.map_or(request.service, |spell| {
-        request.service.percent(100 * spell.factor)
+    period.map_or(request.service, |period| {
+        request.service.percent(100 * period.factor)
     })
 }
--- a/goldcrestramp-decisions/tests/placement_world/mod.rs
+++ b/goldcrestramp-decisions/tests/placement_simulation/mod.rs
@@ -1,8 +1,9 @@
-//! A virtual deployment in which placements are compared.
+//! A simulated deployment in which placements are compared.
 //!
-//! Each step is five seconds, as often as placement decides. Keys draw load by Zipf's law; twelve of them are
-//! hot, and others are every few minutes. A slice that moves is without an
-//! owner for a while, one of a lost server for longer.
+//! Each step is five seconds, the interval at which placement decides. The
+//! load of keys follows Zipf's law. Twelve keys are hot, and others are every
+//! few minutes. A slice that moves is without an owner for a while, and a
+//! slice of a lost server for longer.
 
 use std::collections::BTreeMap;
 
@@ -18,81 +19,84 @@
 
 const KEYS: u32 = 20_000;
 const HOT_KEYS: usize = 12;
-/// The part of all load that hot keys draw.
+/// The fraction of all load for the hot keys.
 const HOT_SHARE: f64 = 0.25;
 /// Seconds without an owner after a planned move, and after a loss.
-const MOVE_GAP: f64 = 0.6;
-const LOSS_GAP: f64 = 2.0;
-/// A server fuller than this lets requests wait for long.
-const FULL: f64 = 0.95;
+const MOVE_GAP_S: f64 = 0.6;
+const FAILURE_GAP_S: f64 = 2.0;
+/// Requests wait for long at a server above this utilization.
+const FULL_UTILIZATION: f64 = 0.95;
 const HEAVY_LIMIT: usize = 32;
 const STEP_S: usize = 5;
 
-/// Which placement decides.
+/// The placement that decides.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PlacementKind {
     /// By the slice's number alone.
     Hash,
     /// Moves without regard to cost.
     Greedy,
-    /// The one in use.
+    /// The planner in use.
     Planner,
 }
 
-/// What happens to a server.
+/// A change of a server.
 #[derive(Clone, Copy, Debug)]
-pub enum WorldEvent {
-    /// It is gone at once.
-    Lose(usize),
-    /// It may be used (again).
+pub enum SimulationEvent {
+    /// It fails without a drain.
+    Fail(usize),
+    /// It accepts slices (again).
     Open(usize),
-    /// It leaves on a plan.
+    /// It drains for a planned stop.
     Drain(usize),
 }
 
-/// One comparison.
+/// A case in which the placements are compared.
 #[derive(Clone, Debug)]
-pub struct WorldCase {
+pub struct SimulationCase {
     pub servers: usize,
     pub slots: u32,
-    /// Mean use of the servers that are open at the start.
-    pub mean_use: f64,
-    /// Seconds after which other keys are hot; zero: never.
-    pub hot_every: u64,
-    pub events: Vec<(u64, WorldEvent)>,
+    /// The mean utilization of the servers that accept slices at the start.
+    pub mean_utilization: f64,
+    /// The interval in seconds after which other keys are hot. Zero: never.
+    pub hot_interval_s: u64,
+    pub events: Vec<(u64, SimulationEvent)>,
     pub seconds: u64,
-    /// Servers that are closed at first.
+    /// The number of servers that accept no slices at the start.
     pub closed: usize,
 }
 
-/// What a placement came to.
+/// The result of a placement.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct WorldScore {
-    /// The fullest server's use over the mean, averaged over time.
+pub struct SimulationScore {
+    /// The utilization of the busiest server over the mean, averaged over
+    /// time.
     pub imbalance: f64,
-    /// Moved slices a minute, forced ones included.
+    /// Moved slices a minute, including the moves of lost and drained servers.
     pub churn: f64,
-    /// Parts in a million of all load that met a slice without an owner.
+    /// The load that finds a slice without an owner, in millionths of all
+    /// load.
     pub unavailable: f64,
-    /// Parts in a million of all load that met a full server.
+    /// The load that reaches a server above [`FULL_UTILIZATION`], in
+    /// millionths of all load.
     pub late: f64,
 }
 
 /// Runs one case under one placement.
-pub fn run(case: &WorldCase, kind: PlacementKind) -> WorldScore {
-    let mut world = World::new(case, kind);
+pub fn run(case: &SimulationCase, kind: PlacementKind) -> SimulationScore {
+    let mut simulation = Simulation::new(case, kind);
     for second in (0..case.seconds).step_by(STEP_S) {
-        world.step(second);
+        simulation.step(second);
     }
-    world.score()
+    simulation.score()
 }
 
 #[derive(Debug)]
-struct World<'a> {
-    case: &'a WorldCase,
+struct Simulation<'a> {
+    case: &'a SimulationCase,
     kind: PlacementKind,
     random: TestRng,
-    places: Vec<TargetView>,
+    targets: Vec<TargetView>,
     load: Vec<f64>,
     total: f64,
     estimate: LoadEstimate,
@@ -103,24 +107,24 @@
     moves: usize,
 }
 
-impl<'a> World<'a> {
-    fn new(case: &'a WorldCase, kind: PlacementKind) -> Self {
+impl<'a> Simulation<'a> {
+    fn new(case: &'a SimulationCase, kind: PlacementKind) -> Self {
         let count = SliceCount::DEFAULT;
         let settings = PlacementSettings::within_domain();
         let open = case.servers - case.closed;
-        let places = (0..case.servers).map(|place| TargetView {
+        let targets = (0..case.servers).map(|index| TargetView {
             slots: case.slots,
-            accepts_slices: place < open,
+            accepts_slices: index < open,
             ..TargetView::default()
         });
         let slots = u32::try_from(open).expect("few") * case.slots;
-        let mut world = Self {
+        let mut simulation = Self {
             case,
             kind,
             random: TestRng::deterministic_rng(RngAlgorithm::ChaCha),
-            places: places.collect(),
+            targets: targets.collect(),
             load: Vec::new(),
-            total: f64::from(slots) * case.mean_use,
+            total: f64::from(slots) * case.mean_utilization,
             estimate: LoadEstimate::new(count, settings.half_life),
             planner: PlacementPlanner::new(settings),
             gaps: 0.0,
@@ -128,43 +132,45 @@
             ratios: 0.0,
             moves: 0,
         };
-        world.draw_load();
-        world.place_first(count);
-        world
+        simulation.draw_load();
+        simulation.place_initially(count);
+        simulation
     }
 
-    /// The first placement: by hash, or evenly where load decides later.
-    fn place_first(&mut self, count: SliceCount) {
+    /// The initial placement: by hash, or evenly if load decides later.
+    fn place_initially(&mut self, count: SliceCount) {
         if self.kind == PlacementKind::Hash {
-            let held = hash_placement(count, &self.places);
-            for (place, held) in self.places.iter_mut().zip(held) {
-                place.held = held;
+            let held = hash_placement(count, &self.targets);
+            for (view, held) in self.targets.iter_mut().zip(held) {
+                view.held = held;
             }
             return;
         }
         let all: SliceSet = count.indices().collect();
-        let nobody = self.places.len();
-        let moves = assign_orphans(nobody, &all, &self.places, &self.estimate);
+        let nobody = self.targets.len();
+        let moves =
+            assign_orphans(nobody, &all, &self.targets, &self.estimate);
         for planned in moves {
-            self.places[planned.target].held.insert(planned.slice);
+            self.targets[planned.target].held.insert(planned.slice);
         }
     }
 
     fn step(&mut self, second: u64) {
-        let every = self.case.hot_every;
-        if every > 0 && second > 0 && second.is_multiple_of(every) {
+        let interval = self.case.hot_interval_s;
+        if interval > 0 && second > 0 && second.is_multiple_of(interval) {
             self.draw_load();
         }
         let due = self.case.events.iter().filter(|(at, _)| *at == second);
         for (_, event) in due.copied().collect::<Vec<_>>() {
-            self.happen(event);
+            self.apply_event(event);
         }
         self.observe(second);
         self.decide(second);
         self.measure();
     }
 
-    /// Zipf's law with exponent 1 over all keys, and twelve hot ones.
+    /// Draws the load of keys: Zipf's law with exponent 1 over all keys, and
+    /// twelve hot ones.
     fn draw_load(&mut self) {
         let count = SliceCount::DEFAULT;
         let mut load = vec![0.0; count.get() as usize];
@@ -172,7 +178,7 @@
         let base = self.total * (1.0 - HOT_SHARE) / harmonic;
         for rank in 1..=KEYS {
             let slice = slice_of(&rank.to_le_bytes(), count);
-            // The head of the law is cut: those keys are the hot ones.
+            // The head of the distribution is cut: the hot keys replace it.
             let drawn = f64::from(rank.max(50));
             load[slice.position()] += base / drawn;
         }
@@ -190,29 +196,29 @@
         self.load = load;
     }
 
-    fn happen(&mut self, event: WorldEvent) {
-        let (place, open, gap) = match event {
-            WorldEvent::Lose(place) => (place, false, LOSS_GAP),
-            WorldEvent::Drain(place) => (place, false, MOVE_GAP),
-            WorldEvent::Open(place) => (place, true, MOVE_GAP),
+    fn apply_event(&mut self, event: SimulationEvent) {
+        let (index, open, gap) = match event {
+            SimulationEvent::Fail(index) => (index, false, FAILURE_GAP_S),
+            SimulationEvent::Drain(index) => (index, false, MOVE_GAP_S),
+            SimulationEvent::Open(index) => (index, true, MOVE_GAP_S),
         };
-        self.places[place].accepts_slices = open;
+        self.targets[index].accepts_slices = open;
         if self.kind == PlacementKind::Hash {
             self.rehash(gap);
         } else if !open {
-            let orphans = self.places[place].held.clone();
+            let orphans = self.targets[index].held.clone();
             let moves =
-                assign_orphans(place, &orphans, &self.places, &self.estimate);
+                assign_orphans(index, &orphans, &self.targets, &self.estimate);
             self.apply(&moves, gap);
         }
     }
 
     fn rehash(&mut self, gap: f64) {
-        let held = hash_placement(SliceCount::DEFAULT, &self.places);
+        let held = hash_placement(SliceCount::DEFAULT, &self.targets);
         let mut moves = Vec::new();
         for (target, wanted) in held.iter().enumerate() {
-            for (source, place) in self.places.iter().enumerate() {
-                let mut moving = place.held.clone();
+            for (source, view) in self.targets.iter().enumerate() {
+                let mut moving = view.held.clone();
                 moving.intersect_with(wanted);
                 if source != target {
                     moves.extend(moving.iter().map(|slice| PlannedMove {
@@ -228,8 +234,8 @@
 
     fn apply(&mut self, moves: &[PlannedMove], gap: f64) {
         for planned in moves {
-            self.places[planned.source].held.remove(planned.slice);
-            self.places[planned.target].held.insert(planned.slice);
+            self.targets[planned.source].held.remove(planned.slice);
+            self.targets[planned.target].held.insert(planned.slice);
             self.gaps += self.load[planned.slice.position()] * gap;
         }
         self.moves += moves.len();
@@ -238,15 +244,14 @@
     fn observe(&mut self, second: u64) {
         let now = LocalTime::from_micros(second * 1_000_000);
         let reports: Vec<TargetReport> =
-            self.places.iter().map(|place| self.report(place)).collect();
-        let pairs = self.places.iter().zip(&reports);
+            self.targets.iter().map(|view| self.report(view)).collect();
+        let pairs = self.targets.iter().zip(&reports);
         self.estimate.observe(now, pairs);
     }
 
-    /// What a keeper sees: no more than the slots in use, and the heaviest
-    /// slices only.
-    fn report(&self, place: &TargetView) -> TargetReport {
-        let mut heavy: Vec<(SliceIndex, f64)> = place
+    /// The report of a keeper: the slots in use, and the heaviest slices only.
+    fn report(&self, view: &TargetView) -> TargetReport {
+        let mut heavy: Vec<(SliceIndex, f64)> = view
             .held
             .iter()
             .map(|slice| (slice, self.load[slice.position()]))
@@ -262,40 +267,40 @@
         let moves = match self.kind {
             PlacementKind::Hash => Vec::new(),
             PlacementKind::Greedy => {
-                greedy_moves(&self.places, &self.estimate, 10_000)
+                greedy_moves(&self.targets, &self.estimate, 10_000)
             }
             PlacementKind::Planner => {
-                self.planner.decide(now, &self.places, &self.estimate)
+                self.planner.decide(now, &self.targets, &self.estimate)
             }
         };
-        self.apply(&moves, MOVE_GAP);
+        self.apply(&moves, MOVE_GAP_S);
     }
 
     fn measure(&mut self) {
-        let mut most: f64 = 0.0;
+        let mut max: f64 = 0.0;
         let mut slots = 0.0;
-        for place in self.places.iter().filter(|place| place.accepts_slices) {
-            let load: f64 = place
+        for view in self.targets.iter().filter(|view| view.accepts_slices) {
+            let load: f64 = view
                 .held
                 .iter()
                 .map(|slice| self.load[slice.position()])
                 .sum();
-            let used = load / f64::from(place.slots);
-            most = most.max(used);
-            slots += f64::from(place.slots);
-            if used > FULL {
+            let used = load / f64::from(view.slots);
+            max = max.max(used);
+            slots += f64::from(view.slots);
+            if used > FULL_UTILIZATION {
                 self.late += load;
             }
         }
-        self.ratios += most / (self.total / slots);
+        self.ratios += max / (self.total / slots);
     }
 
     #[expect(clippy::cast_precision_loss, reason = "small numbers")]
-    fn score(&self) -> WorldScore {
+    fn score(&self) -> SimulationScore {
         let seconds = self.case.seconds as f64;
         let step = STEP_S as f64;
         let offered = self.total * seconds;
-        WorldScore {
+        SimulationScore {
             imbalance: self.ratios * step / seconds,
             churn: self.moves as f64 * 60.0 / seconds,
             unavailable: self.gaps / offered * 1e6,
@@ -304,42 +309,45 @@
     }
 }
 
-/// The cases by name, each for both users' deployments.
-pub fn cases() -> BTreeMap<String, WorldCase> {
+/// The cases by name, each for the deployments of both users.
+pub fn cases() -> BTreeMap<String, SimulationCase> {
     let mut cases = BTreeMap::new();
     for (user, servers, slots) in [("stock", 18, 4), ("catalogue", 20, 2)] {
-        let base = WorldCase {
+        let base = SimulationCase {
             servers,
             slots,
-            mean_use: 0.6,
-            hot_every: 0,
+            mean_utilization: 0.6,
+            hot_interval_s: 0,
             events: Vec::new(),
             seconds: 300,
             closed: 0,
         };
-        let with = |events: &[(u64, WorldEvent)]| WorldCase {
+        let with = |events: &[(u64, SimulationEvent)]| SimulationCase {
             events: events.to_vec(),
             ..base.clone()
         };
         let named = [
             ("steady", base.clone()),
-            ("hot", WorldCase { hot_every: 120, ..base.clone() }),
+            ("hot", SimulationCase { hot_interval_s: 120, ..base.clone() }),
             (
                 "loss",
-                with(&[(75, WorldEvent::Lose(3)), (150, WorldEvent::Open(3))]),
+                with(&[
+                    (75, SimulationEvent::Fail(3)),
+                    (150, SimulationEvent::Open(3)),
+                ]),
             ),
             (
                 "drain",
                 with(&[
-                    (75, WorldEvent::Drain(5)),
-                    (150, WorldEvent::Open(5)),
+                    (75, SimulationEvent::Drain(5)),
+                    (150, SimulationEvent::Open(5)),
                 ]),
             ),
             (
                 "growth",
-                WorldCase {
+                SimulationCase {
                     closed: 1,
-                    ..with(&[(75, WorldEvent::Open(servers - 1))])
+                    ..with(&[(75, SimulationEvent::Open(servers - 1))])
                 },
             ),
         ];
