--- a/goldcrestramp-decisions/src/placement/baseline.rs
+++ b/goldcrestramp-decisions/src/placement/baseline.rs
@@ -22,8 +22,8 @@
         let accepting =
             (0..targets.len()).filter(|index| targets[*index].accepts_slices);
         let best = accepting.max_by(|a, b| {
-            let left = score(slice, *a, targets[*a].slots);
-            left.total_cmp(&score(slice, *b, targets[*b].slots))
+            let own_score = score(slice, *a, targets[*a].slots);
+            own_score.total_cmp(&score(slice, *b, targets[*b].slots))
         });
         if let Some(index) = best {
             held[index].insert(slice);
--- a/goldcrestramp-decisions/src/rate.rs
+++ b/goldcrestramp-decisions/src/rate.rs
@@ -139,16 +139,16 @@
 /// use goldcrestramp_types::{LocalTime, TimeSpan};
 ///
 /// let start = LocalTime::from_micros(0);
-/// let asked =
+/// let request =
 ///     PermitRequest { per_s: Some(4.0), age: TimeSpan::ZERO, wanted: 9 };
 /// let mut ledger = RateLedger::default();
 /// assert_eq!(
-///     ledger.request_permits(start, &"a", asked),
+///     ledger.request_permits(start, &"a", request),
 ///     PermitGrant::Permits(0)
 /// );
 /// let later = start + TimeSpan::from_millis(500);
 /// assert_eq!(
-///     ledger.request_permits(later, &"a", asked),
+///     ledger.request_permits(later, &"a", request),
 ///     PermitGrant::Permits(2)
 /// );
 /// ```
--- a/goldcrestramp-decisions/src/rebalancing/mod.rs
+++ b/goldcrestramp-decisions/src/rebalancing/mod.rs
@@ -240,9 +240,10 @@
         let room = to.rate_by(room.max(0.0));
         let max = from.rate_by(self.utilizations[source]);
         bisect(max.min(room), |rate| {
-            let left = self.utilizations[source] - from.utilization_by(rate);
+            let reduced =
+                self.utilizations[source] - from.utilization_by(rate);
             let grown = self.utilizations[target] + to.utilization_by(rate);
-            from.delay().marginal(left) > to.delay().marginal(grown)
+            from.delay().marginal(reduced) > to.delay().marginal(grown)
         })
     }
 
@@ -266,8 +267,9 @@
         let (cost, target) = costs.min_by(|a, b| a.0.total_cmp(&b.0))?;
         let from = &self.targets[source];
         let used = self.utilizations[source];
-        let left = (used - from.utilization_by(rate)).max(0.0);
-        let saved = from.delay().cost(used) - from.delay().cost(left) - cost;
+        let reduced = (used - from.utilization_by(rate)).max(0.0);
+        let saved =
+            from.delay().cost(used) - from.delay().cost(reduced) - cost;
         let gain = saved - KEY_COST * count(range.slices() as usize);
         let minimum = MIN_GAIN_FRACTION * rate * from.work_s;
         let worth_it = gain > minimum.max(self.settings.min_gain);
--- a/goldcrestramp-decisions/src/work.rs
+++ b/goldcrestramp-decisions/src/work.rs
@@ -38,7 +38,7 @@
 /// // take 500 ms, four fifths of which they wait.
 /// work.record(40, 20.0);
 /// work.decay(start + TimeSpan::from_millis(1_000));
-/// let seconds = work.seconds(4).expect("it has answered");
+/// let seconds = work.seconds(4).expect("the server has responded");
 /// assert!((0.09..0.11).contains(&seconds));
 /// ```
 #[derive(Clone, Debug)]
--- a/goldcrestramp-decisions/tests/placement_simulation/mod.rs
+++ b/goldcrestramp-decisions/tests/placement_simulation/mod.rs
@@ -147,9 +147,9 @@
             return;
         }
         let all: SliceSet = count.indices().collect();
-        let nobody = self.targets.len();
+        let no_source = self.targets.len();
         let moves =
-            assign_orphans(nobody, &all, &self.targets, &self.estimate);
+            assign_orphans(no_source, &all, &self.targets, &self.estimate);
         for planned in moves {
             self.targets[planned.target].held.insert(planned.slice);
         }
--- a/goldcrestramp-decisions/tests/rate.rs
+++ b/goldcrestramp-decisions/tests/rate.rs
@@ -55,7 +55,7 @@
 }
 
 #[derive(Clone, Debug, Default)]
-struct SimulatedVm {
+struct SimVm {
     allowance: RateAllowance,
     waiting: VecDeque<u64>,
     informed_at: Option<u64>,
@@ -63,7 +63,7 @@
 
 /// An event of the simulation.
 #[derive(Clone, Copy, Debug)]
-enum SimulatedEvent {
+enum SimEvent {
     /// A request reaches the server.
     Arrived(usize),
     /// The response reaches the VM.
@@ -77,12 +77,12 @@
 /// The times at which requests arrived at the server: those from VMs that it
 /// had informed of a limit at least half a second before, and those of all
 /// requests.
-struct SimulatedArrivals {
+struct SimArrivals {
     informed: Vec<u64>,
     all: Vec<u64>,
 }
 
-impl SimulatedArrivals {
+impl SimArrivals {
     /// The most requests from informed VMs in any 4 s from `from_ms` on.
     fn max_in_window(&self, from_ms: u64) -> usize {
         const WINDOW_MS: u64 = 4_000;
@@ -107,16 +107,15 @@
     *state >> 33
 }
 
-fn simulate(scenario: RateScenario) -> SimulatedArrivals {
-    let mut vms = vec![SimulatedVm::default(); scenario.vms];
+fn simulate(scenario: RateScenario) -> SimArrivals {
+    let mut vms = vec![SimVm::default(); scenario.vms];
     let mut ledger = RateLedger::default();
-    let mut events: Vec<Vec<SimulatedEvent>> = Vec::new();
+    let mut events: Vec<Vec<SimEvent>> = Vec::new();
     events.resize(
         usize::try_from(scenario.length_ms).expect("small") + 1_000,
         Vec::new(),
     );
-    let mut arrivals =
-        SimulatedArrivals { informed: Vec::new(), all: Vec::new() };
+    let mut arrivals = SimArrivals { informed: Vec::new(), all: Vec::new() };
     let mut random = 17;
     for millis in 0..scenario.length_ms {
         let now = at(millis);
@@ -127,14 +126,14 @@
         }
         if millis == scenario.restart_ms {
             for vm in vms.iter_mut().step_by(10) {
-                *vm = SimulatedVm::default();
+                *vm = SimVm::default();
             }
         }
         let position = usize::try_from(millis).expect("small");
         let mut scheduled = Vec::new();
         for event in std::mem::take(&mut events[position]) {
             match event {
-                SimulatedEvent::Arrived(vm) => {
+                SimEvent::Arrived(vm) => {
                     let informed = vms[vm].informed_at;
                     if informed
                         .is_some_and(|informed| informed + 500 <= millis)
@@ -143,15 +142,14 @@
                     }
                     arrivals.all.push(millis);
                     let limit = (scenario.limit)(millis);
-                    let responded = SimulatedEvent::Responded(vm, limit);
+                    let responded = SimEvent::Responded(vm, limit);
                     scheduled.push((WORK_MS + ONE_WAY_MS, responded));
                 }
-                SimulatedEvent::Responded(number, limit) => {
+                SimEvent::Responded(number, limit) => {
                     let vm = &mut vms[number];
                     if vm.allowance.record_limit(now, limit) {
                         let request = vm.allowance.permit_request(now, 0);
-                        let requested =
-                            SimulatedEvent::Requested(number, request);
+                        let requested = SimEvent::Requested(number, request);
                         scheduled.push((
                             PERMIT_INTERVAL_MS / 2 + ONE_WAY_MS,
                             requested,
@@ -161,15 +159,12 @@
                         vm.informed_at.get_or_insert(millis);
                     }
                 }
-                SimulatedEvent::Requested(vm, request) if has_issuer => {
+                SimEvent::Requested(vm, request) if has_issuer => {
                     let grant = ledger.request_permits(now, &SERVER, request);
-                    scheduled.push((
-                        ONE_WAY_MS,
-                        SimulatedEvent::Granted(vm, grant),
-                    ));
+                    scheduled.push((ONE_WAY_MS, SimEvent::Granted(vm, grant)));
                 }
-                SimulatedEvent::Requested(..) => {}
-                SimulatedEvent::Granted(vm, grant) => {
+                SimEvent::Requested(..) => {}
+                SimEvent::Granted(vm, grant) => {
                     vms[vm].allowance.record_grant(now, grant);
                 }
             }
@@ -188,20 +183,17 @@
             if vm.waiting.is_empty() {
                 continue;
             }
-            let fleet_position =
-                FleetPosition { vms: scenario.vms, rank: number };
-            if vm.allowance.try_take(now, fleet_position) {
+            let fleet = FleetPosition { vms: scenario.vms, rank: number };
+            if vm.allowance.try_take(now, fleet) {
                 vm.waiting.pop_front();
-                scheduled.push((ONE_WAY_MS, SimulatedEvent::Arrived(number)));
+                scheduled.push((ONE_WAY_MS, SimEvent::Arrived(number)));
             } else if (millis + number as u64)
                 .is_multiple_of(PERMIT_INTERVAL_MS)
             {
                 let wanted = u32::try_from(vm.waiting.len()).expect("small");
                 let request = vm.allowance.permit_request(now, wanted);
-                scheduled.push((
-                    ONE_WAY_MS,
-                    SimulatedEvent::Requested(number, request),
-                ));
+                scheduled
+                    .push((ONE_WAY_MS, SimEvent::Requested(number, request)));
             }
         }
         for (delay, event) in scheduled {
@@ -292,26 +284,26 @@
 /// Guards against permits that VMs keep and then use all at once.
 #[test]
 fn an_unused_permit_expires() {
-    let fleet_position = FleetPosition { vms: 91, rank: 40 };
+    let fleet = FleetPosition { vms: 91, rank: 40 };
     let mut allowance = RateAllowance::default();
     allowance.record_limit(at(0), Some(3.0));
 
     allowance.record_grant(at(0), PermitGrant::Permits(5));
 
-    assert!(allowance.try_take(at(700), fleet_position));
-    assert!(!allowance.try_take(at(1_000), fleet_position));
+    assert!(allowance.try_take(at(700), fleet));
+    assert!(!allowance.try_take(at(1_000), fleet));
 }
 
 /// Guards against an old grant that ends a limit stated since.
 #[test]
 fn a_grant_older_than_the_stated_limit_does_not_end_it() {
-    let fleet_position = FleetPosition { vms: 91, rank: 40 };
+    let fleet = FleetPosition { vms: 91, rank: 40 };
     let mut allowance = RateAllowance::default();
     allowance.record_limit(at(500), Some(3.0));
 
     allowance.record_grant(at(400), PermitGrant::Unlimited);
 
-    assert!(!allowance.has_permit(at(600), fleet_position));
+    assert!(!allowance.has_permit(at(600), fleet));
 }
 
 /// Guards against a limit below one that blocks all requests to a server.
