--- a/goldcrestramp-node/src/planner/lease.rs
+++ b/goldcrestramp-node/src/planner/lease.rs
@@ -1,9 +1,9 @@
 //! The planner's lease.
 
 use goldcrestramp_platform::{
-    PlatformClient, PutCondition, StoreAccess, StoreError, WriteFate,
+    PlatformClient, PutCondition, StoreAccess, StoreError, WriteOutcome,
     records::{PlannerRecord, StoreRecord, keys},
-    settle_write,
+    resolve_write,
 };
 use goldcrestramp_types::{ClockSource, LocalTime, MonotonicClock, TimeSpan};
 
@@ -71,8 +71,8 @@
         let id = store.lease(LEASE_SPAN).await?;
         let condition = PutCondition::Absent;
         let put =
-            settle_write(store, keys::PLANNER, condition, value, Some(id));
-        let taken = matches!(put.await?, WriteFate::Written(_));
+            resolve_write(store, keys::PLANNER, condition, value, Some(id));
+        let taken = matches!(put.await?, WriteOutcome::Written(_));
         if taken {
             log::info!("planner: this VM plans from now on.");
             self.held = Some(HeldLease::of(id, now));
--- a/goldcrestramp-node/src/planner/round.rs
+++ b/goldcrestramp-node/src/planner/round.rs
@@ -9,7 +9,7 @@
 use goldcrestramp_platform::{
     PlatformClient, PutCondition, StoreError,
     records::{StoreRecord, keys},
-    settle_write,
+    resolve_write,
 };
 use goldcrestramp_types::{DomainName, FastMap, FastSet};
 
@@ -89,7 +89,7 @@
     let key = keys::slices(&service.name);
     // A pause here is the worst one: the decision is made, not written.
     faults.wait().await;
-    let fate = settle_write(store, &key, condition, value, None).await?;
+    let fate = resolve_write(store, &key, condition, value, None).await?;
     log::info!(
         "planner: revision {} of {}: {fate:?}.",
         change.revision,
--- a/goldcrestramp-node/src/store/division.rs
+++ b/goldcrestramp-node/src/store/division.rs
@@ -91,7 +91,7 @@
     let key = keys::slices(&service);
     let mut gate = VersionGate::<ServiceRecord>::new();
     if let Some(known) = known {
-        gate.hold(known.as_ref());
+        gate.observe(known.as_ref());
     }
     let mut pause = StorePause::new();
     let mut seen = 0;
@@ -134,7 +134,7 @@
     found: Option<&StoredValue>,
     actor: &Address<ControlActor>,
 ) {
-    match gate.take(found) {
+    match gate.check(found) {
         GateVerdict::Newer(record) => {
             drop(actor.send(HomesNotice(Arc::new(record))).await);
         }
--- a/goldcrestramp-node/src/store/record.rs
+++ b/goldcrestramp-node/src/store/record.rs
@@ -5,12 +5,12 @@
 use goldcrestramp_config::DeploymentState;
 use goldcrestramp_ownership::{DomainRecord, DomainView, StewardEvent};
 use goldcrestramp_platform::{
-    PlatformClient, PutCondition, StoreAccess, StoreError, WriteFate,
+    PlatformClient, PutCondition, StoreAccess, StoreError, WriteOutcome,
     records::{
         DomainHead, DomainShard, RecordError, ServerDirectory, StoreRecord,
         keys,
     },
-    settle_write,
+    resolve_write,
 };
 use goldcrestramp_types::{DomainName, FastMap, ServiceName};
 use tokio::sync::Mutex;
@@ -134,7 +134,7 @@
         }
         let known = known.get_or_insert_default();
         if let Some(state) = state {
-            known.directory.learn(state);
+            known.directory.add_configuration(state);
         }
         let stored = known.head.as_ref().map(|(_, head)| head.token);
         if stored.is_some_and(|stored| stored > record.token) {
@@ -195,11 +195,11 @@
         let value = record.encode()?;
         let condition =
             before.map_or(PutCondition::Absent, PutCondition::Version);
-        let fate = settle_write(&self.store, key, condition, value, None);
+        let fate = resolve_write(&self.store, key, condition, value, None);
         match fate.await? {
-            WriteFate::Written(version) => Ok(version),
-            WriteFate::Overtaken(_) => Err(RecordFailure::Overtaken),
-            WriteFate::Lost => {
+            WriteOutcome::Written(version) => Ok(version),
+            WriteOutcome::Superseded(_) => Err(RecordFailure::Overtaken),
+            WriteOutcome::Lost => {
                 let why = "the write was lost".to_owned();
                 Err(RecordFailure::Store(StoreError::Unavailable(why)))
             }
@@ -224,7 +224,7 @@
             continue;
         };
         let shard = DomainShard::decode(&stored.value)?;
-        known.directory.learn_shard(&shard);
+        known.directory.add_shard(&shard);
         let version = stored.version;
         let seen = KnownShard { version, shard: shard.clone() };
         known.shards.insert(key, seen);
--- a/goldcrestramp-node/src/store/roster.rs
+++ b/goldcrestramp-node/src/store/roster.rs
@@ -2,9 +2,9 @@
 
 use goldcrestramp_ownership::{StewardEvent, VoterRoster};
 use goldcrestramp_platform::{
-    PlatformClient, PutCondition, StoreAccess, WriteFate,
+    PlatformClient, PutCondition, StoreAccess, WriteOutcome,
     records::{StoreRecord, keys},
-    settle_write,
+    resolve_write,
 };
 use goldcrestramp_types::DomainName;
 
@@ -58,12 +58,12 @@
             return refused;
         }
     };
-    match settle_write(&store, &key, condition, value, None).await {
-        Ok(WriteFate::Written(_)) => {
+    match resolve_write(&store, &key, condition, value, None).await {
+        Ok(WriteOutcome::Written(_)) => {
             Some(StewardEvent::RosterSaved(Ok(roster)))
         }
-        Ok(WriteFate::Overtaken(_)) => refused,
+        Ok(WriteOutcome::Superseded(_)) => refused,
         // Not written, or not known: the steward reads it again.
-        Ok(WriteFate::Lost) | Err(_) => None,
+        Ok(WriteOutcome::Lost) | Err(_) => None,
     }
 }
--- a/goldcrestramp-platform/src/backoff.rs
+++ b/goldcrestramp-platform/src/backoff.rs
@@ -49,13 +49,13 @@
 
 /// A caller's failures in a row, and when it may call again.
 #[derive(Clone, Copy, Debug)]
-pub struct RetryPause {
+pub struct RetryBackoff {
     range: BackoffRange,
     failures: u32,
     until: LocalTime,
 }
 
-impl RetryPause {
+impl RetryBackoff {
     /// A caller that has not failed yet.
     #[must_use]
     pub fn new(range: BackoffRange) -> Self {
@@ -63,14 +63,18 @@
     }
 
     /// Notes a failure at `now`; tells when to call again.
-    pub fn failed(&mut self, now: LocalTime, random: u64) -> LocalTime {
+    pub fn record_failure(
+        &mut self,
+        now: LocalTime,
+        random: u64,
+    ) -> LocalTime {
         self.failures = self.failures.saturating_add(1);
         self.until = now + full_jitter(self.range, self.failures, random);
         self.until
     }
 
     /// Notes a success.
-    pub fn succeeded(&mut self) {
+    pub fn record_success(&mut self) {
         self.failures = 0;
         self.until = LocalTime::default();
     }
--- a/goldcrestramp-platform/src/gate.rs
+++ b/goldcrestramp-platform/src/gate.rs
@@ -59,7 +59,7 @@
     }
 
     /// Takes what is known by another way than this reader's own reads.
-    pub fn hold(&mut self, record: &R) {
+    pub fn observe(&mut self, record: &R) {
         let newer = self.number().is_none_or(|known| known < record.number());
         if let Ok(value) = record.encode()
             && newer
@@ -69,7 +69,7 @@
     }
 
     /// Judges what was read.
-    pub fn take(&mut self, found: Option<&StoredValue>) -> GateVerdict<R> {
+    pub fn check(&mut self, found: Option<&StoredValue>) -> GateVerdict<R> {
         let Some(found) = found else {
             return self.gone();
         };
--- a/goldcrestramp-platform/src/lib.rs
+++ b/goldcrestramp-platform/src/lib.rs
@@ -14,9 +14,9 @@
 
 Versions are numbers that rise with each write of a key. A write whose
 answer was lost is [`StoreError::Unknown`]: the caller reads back and never
-guesses; [`settle_write`] does so. A reader passes what it reads through
+guesses; [`resolve_write`] does so. A reader passes what it reads through
 a [`VersionGate`], because a service restored from a copy shows older
-values again. After a failed call a [`RetryPause`] spreads the next tries.
+values again. After a failed call a [`RetryBackoff`] spreads the next tries.
 */
 
 mod backoff;
@@ -25,15 +25,15 @@
 mod gate;
 mod protocol;
 pub mod records;
-mod settle;
+mod resolve;
 mod store;
 
 pub use crate::{
-    backoff::{BackoffRange, RetryPause, full_jitter},
+    backoff::{BackoffRange, RetryBackoff, full_jitter},
     calls::{CallCounts, CallKind},
     client::PlatformClient,
     gate::{GateVerdict, StoreRewrite, VersionGate},
     protocol::{LeaseGrant, VmEntry, VmState},
-    settle::{WriteFate, judge_write, settle_write},
+    resolve::{WriteOutcome, classify_write, resolve_write},
     store::{PutCondition, PutOutcome, StoreAccess, StoreError, StoredValue},
 };
--- a/goldcrestramp-platform/src/records/directory.rs
+++ b/goldcrestramp-platform/src/records/directory.rs
@@ -23,7 +23,7 @@
     ///
     /// Servers that were known before stay known: one that a ticket has
     /// removed may hold slices until they have moved.
-    pub fn learn(&mut self, state: &DeploymentState) {
+    pub fn add_configuration(&mut self, state: &DeploymentState) {
         for service in &state.services {
             self.add_service(service.name.clone(), service.slices);
         }
@@ -33,7 +33,7 @@
     }
 
     /// Takes in the servers of a stored shard.
-    pub fn learn_shard(&mut self, shard: &DomainShard) {
+    pub fn add_shard(&mut self, shard: &DomainShard) {
         for server in shard.holders.keys() {
             self.add_server(server.clone(), shard.service.clone());
         }
--- a/goldcrestramp-platform/src/records/domain.rs
+++ b/goldcrestramp-platform/src/records/domain.rs
@@ -58,7 +58,7 @@
     Clone, Debug, Eq, Ord, PartialEq, PartialOrd, Serialize, Deserialize,
 )]
 #[serde(deny_unknown_fields)]
-pub struct ShardMark {
+pub struct ShardReference {
     /// The service.
     pub service: ServiceName,
     /// The position of the shard.
@@ -76,7 +76,7 @@
     /// The token of the newest decision whose shards are all written.
     pub token: FenceToken,
     /// Every shard of the record.
-    pub shards: Vec<ShardMark>,
+    pub shards: Vec<ShardReference>,
     /// The services that the domain has no server for.
     #[serde(default, skip_serializing_if = "FastMap::is_empty")]
     pub stranded: FastMap<ServiceName, StrandedCause>,
@@ -91,7 +91,7 @@
         shards: &[DomainShard],
         stranded: FastMap<ServiceName, StrandedCause>,
     ) -> Self {
-        let marks = shards.iter().map(|shard| ShardMark {
+        let marks = shards.iter().map(|shard| ShardReference {
             service: shard.service.clone(),
             shard: shard.shard,
             token: shard.token,
@@ -117,7 +117,7 @@
     ///
     /// # Errors
     ///
-    /// [`RecordError::Behind`] when a shard that the head names is missing
+    /// [`RecordError::Outdated`] when a shard that the head names is missing
     /// or older than the head says; a [`RecordError`] for other faults.
     pub fn join(
         &self,
@@ -136,7 +136,7 @@
         let mut seen = BTreeSet::new();
         for mark in &self.shards {
             if !seen.insert((&mark.service, mark.shard)) {
-                return Err(RecordError::Twice(mark_name(mark)));
+                return Err(RecordError::Duplicate(mark_name(mark)));
             }
         }
         Ok(())
@@ -157,6 +157,6 @@
     }
 }
 
-fn mark_name(mark: &ShardMark) -> String {
+fn mark_name(mark: &ShardReference) -> String {
     format!("shard {} of {}", mark.shard, mark.service)
 }
--- a/goldcrestramp-platform/src/records/domain/form.rs
+++ b/goldcrestramp-platform/src/records/domain/form.rs
@@ -100,7 +100,7 @@
             .ok_or(RecordError::OutOfRange("slice of a shard"))?;
         if *place != ABSENT {
             let name = format!("slice {}", slice.get());
-            return Err(RecordError::Twice(name));
+            return Err(RecordError::Duplicate(name));
         }
         *place = mark;
     }
@@ -130,7 +130,7 @@
     for (server, slices) in servers.into_iter().zip(sets) {
         let name = server.to_string();
         if holders.insert(server, slices).is_some() {
-            return Err(RecordError::Twice(name));
+            return Err(RecordError::Duplicate(name));
         }
     }
     Ok(holders)
--- a/goldcrestramp-platform/src/records/domain/split.rs
+++ b/goldcrestramp-platform/src/records/domain/split.rs
@@ -7,7 +7,9 @@
     DomainName, FenceToken, ServiceName, SliceCount, SliceIndex, SliceSet,
 };
 
-use super::{DomainHead, DomainShard, SHARD_SLICES, ShardMark, mark_name};
+use super::{
+    DomainHead, DomainShard, SHARD_SLICES, ShardReference, mark_name,
+};
 use crate::records::{directory::ServerDirectory, error::RecordError};
 
 /// Shards by service and position.
@@ -69,7 +71,7 @@
 fn find<'a>(
     head: &DomainHead,
     shards: &'a [DomainShard],
-    mark: &ShardMark,
+    mark: &ShardReference,
 ) -> Result<&'a DomainShard, RecordError> {
     let found = shards.iter().find(|shard| {
         shard.domain == head.domain
@@ -78,7 +80,7 @@
     });
     found
         .filter(|shard| shard.token >= mark.token)
-        .ok_or_else(|| RecordError::Behind(mark_name(mark)))
+        .ok_or_else(|| RecordError::Outdated(mark_name(mark)))
 }
 
 fn empty_shards(
@@ -128,7 +130,7 @@
     let mut sets = shard.holders.values().chain([&shard.released]);
     if sets.any(|set| set.contains(slice)) {
         let name = format!("slice {} of {}", slice.get(), shard.service);
-        return Err(RecordError::Twice(name));
+        return Err(RecordError::Duplicate(name));
     }
     Ok(())
 }
--- a/goldcrestramp-platform/src/records/error.rs
+++ b/goldcrestramp-platform/src/records/error.rs
@@ -17,11 +17,11 @@
     /// A number is out of its range.
     OutOfRange(&'static str),
     /// A name or slice stands twice where it may stand once.
-    Twice(String),
+    Duplicate(String),
     /// A server, service or slice count that the directory lacks.
     Unknown(String),
     /// A part of a domain's record is missing or older than its head says.
-    Behind(String),
+    Outdated(String),
 }
 
 impl fmt::Display for RecordError {
@@ -33,9 +33,9 @@
             }
             Self::TooMany(what) => write!(f, "too many {what}"),
             Self::OutOfRange(what) => write!(f, "{what} out of range"),
-            Self::Twice(name) => write!(f, "{name} stands twice"),
+            Self::Duplicate(name) => write!(f, "{name} stands twice"),
             Self::Unknown(name) => write!(f, "{name} is not configured"),
-            Self::Behind(part) => {
+            Self::Outdated(part) => {
                 write!(f, "{part} is older than the head says")
             }
         }
--- a/goldcrestramp-platform/src/records/mod.rs
+++ b/goldcrestramp-platform/src/records/mod.rs
@@ -33,7 +33,7 @@
 pub use self::{
     codec::StoreRecord,
     directory::ServerDirectory,
-    domain::{DomainHead, DomainShard, SHARD_SLICES, ShardMark},
+    domain::{DomainHead, DomainShard, SHARD_SLICES, ShardReference},
     error::RecordError,
     lease::PlannerRecord,
     number::NumberedRecord,
--- a/goldcrestramp-platform/src/records/roster.rs
+++ b/goldcrestramp-platform/src/records/roster.rs
@@ -70,7 +70,7 @@
     let mut names = BTreeSet::new();
     for voter in &roster.voters {
         if !names.insert(&voter.vm) {
-            return Err(RecordError::Twice(voter.vm.to_string()));
+            return Err(RecordError::Duplicate(voter.vm.to_string()));
         }
     }
     Ok(())
--- a/goldcrestramp-platform/src/records/service.rs
+++ b/goldcrestramp-platform/src/records/service.rs
@@ -75,7 +75,7 @@
                 .get_mut(usize::from(slice))
                 .ok_or(RecordError::OutOfRange("moving slice"))?;
             if holding.target.replace(target).is_some() {
-                return Err(RecordError::Twice(format!("slice {slice}")));
+                return Err(RecordError::Duplicate(format!("slice {slice}")));
             }
         }
         let domains = form
@@ -101,7 +101,7 @@
     let mut names = BTreeSet::new();
     for domain in &record.domains {
         if !names.insert(&domain.name) {
-            return Err(RecordError::Twice(domain.name.to_string()));
+            return Err(RecordError::Duplicate(domain.name.to_string()));
         }
     }
     let length = record.domains.len();
--- a/goldcrestramp-platform/src/settle.rs
+++ b/goldcrestramp-platform/src/resolve.rs
@@ -8,7 +8,7 @@
 
 /// What became of a write.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum WriteFate {
+pub enum WriteOutcome {
     /// What was written stands, with this version.
     Written(u64),
     /// The key is still as it was before the write.
@@ -21,7 +21,7 @@
     /// The write may have stood for a while before; where that matters the
     /// value itself must tell, as a configuration does by the tickets that
     /// it has taken in.
-    Overtaken(Option<StoredValue>),
+    Superseded(Option<StoredValue>),
 }
 
 /// Compares what a key holds with what was written to it.
@@ -29,22 +29,22 @@
 /// Values must tell their writers apart (a token, a revision by one
 /// writer, a ticket's text): equal bytes count as the own write.
 #[must_use]
-pub fn judge_write(
+pub fn classify_write(
     condition: PutCondition,
     written: &Bytes,
     found: Option<StoredValue>,
-) -> WriteFate {
+) -> WriteOutcome {
     match (condition, found) {
-        (PutCondition::Absent, None) => WriteFate::Lost,
+        (PutCondition::Absent, None) => WriteOutcome::Lost,
         (PutCondition::Version(before), Some(found))
             if found.version == before =>
         {
-            WriteFate::Lost
+            WriteOutcome::Lost
         }
         (_, Some(found)) if found.value == *written => {
-            WriteFate::Written(found.version)
+            WriteOutcome::Written(found.version)
         }
-        (_, found) => WriteFate::Overtaken(found),
+        (_, found) => WriteOutcome::Superseded(found),
     }
 }
 
@@ -58,22 +58,22 @@
 /// [`StoreError::Unknown`] when the write's answer was lost and the key
 /// can't be read either: it is to be read before anything is decided. Any
 /// other error: the write had no effect.
-pub async fn settle_write<S>(
+pub async fn resolve_write<S>(
     store: &S,
     key: &str,
     condition: PutCondition,
     value: Bytes,
     lease: Option<u64>,
-) -> Result<WriteFate, StoreError>
+) -> Result<WriteOutcome, StoreError>
 where
     S: StoreAccess,
 {
     let put = store.put(key, condition, value.clone(), lease).await;
     match put {
-        Ok(PutOutcome::Written(version)) => Ok(WriteFate::Written(version)),
+        Ok(PutOutcome::Written(version)) => Ok(WriteOutcome::Written(version)),
         Ok(PutOutcome::Conflict) | Err(StoreError::Unknown(_)) => {
             let found = store.get(key).await.map_err(unknown)?;
-            Ok(judge_write(condition, &value, found))
+            Ok(classify_write(condition, &value, found))
         }
         Err(error) => Err(error),
     }
--- a/goldcrestramp-platform/tests/backoff.rs
+++ b/goldcrestramp-platform/tests/backoff.rs
@@ -1,6 +1,6 @@
 //! Callers that failed together do not come back together.
 
-use goldcrestramp_platform::{BackoffRange, RetryPause, full_jitter};
+use goldcrestramp_platform::{BackoffRange, RetryBackoff, full_jitter};
 use goldcrestramp_types::{LocalTime, TimeSpan};
 use proptest::prelude::*;
 use proptest::test_runner::{RngAlgorithm, TestRng};
@@ -11,7 +11,7 @@
 /// The calls in each 100 ms after the outage, until all have returned.
 fn returns_after_an_outage(range: BackoffRange) -> Vec<usize> {
     let mut random = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
-    let mut pauses = vec![RetryPause::new(range); NODES];
+    let mut pauses = vec![RetryBackoff::new(range); NODES];
     let mut next = vec![LocalTime::default(); NODES];
     let mut returned = vec![false; NODES];
     let mut counts = Vec::new();
@@ -31,7 +31,8 @@
                 returned[node] = true;
                 *counts.last_mut().expect("an interval") += 1;
             } else {
-                next[node] = pauses[node].failed(now, random.next_u64());
+                next[node] =
+                    pauses[node].record_failure(now, random.next_u64());
             }
         }
     }
@@ -61,12 +62,12 @@
 #[test]
 fn a_success_ends_the_pause() {
     let now = LocalTime::from_micros(5);
-    let mut pause = RetryPause::new(BackoffRange::default());
-    let until = pause.failed(now, u64::MAX);
+    let mut pause = RetryBackoff::new(BackoffRange::default());
+    let until = pause.record_failure(now, u64::MAX);
     assert!(!pause.may_call(now));
     assert!(pause.may_call(until));
 
-    pause.succeeded();
+    pause.record_success();
 
     assert!(pause.may_call(now));
     assert_eq!(pause.failures(), 0);
--- a/goldcrestramp-platform/tests/gate.rs
+++ b/goldcrestramp-platform/tests/gate.rs
@@ -27,9 +27,9 @@
 #[test]
 fn an_older_value_is_not_taken_and_the_newer_is_written_again() {
     let mut gate = VersionGate::<DeploymentState>::new();
-    assert_eq!(gate.take(Some(&stored(10, 7))), GateVerdict::Newer(state(7)));
+    assert_eq!(gate.check(Some(&stored(10, 7))), GateVerdict::Newer(state(7)));
 
-    let verdict = gate.take(Some(&stored(3, 5)));
+    let verdict = gate.check(Some(&stored(3, 5)));
 
     let condition = PutCondition::Version(3);
     let rewrite = StoreRewrite { condition, value: bytes(7) };
@@ -40,10 +40,10 @@
 #[test]
 fn a_value_that_vanished_is_written_again() {
     let mut gate = VersionGate::<DeploymentState>::new();
-    assert_eq!(gate.take(None), GateVerdict::Absent);
-    gate.take(Some(&stored(10, 7)));
+    assert_eq!(gate.check(None), GateVerdict::Absent);
+    gate.check(Some(&stored(10, 7)));
 
-    let verdict = gate.take(None);
+    let verdict = gate.check(None);
 
     let condition = PutCondition::Absent;
     let rewrite = StoreRewrite { condition, value: bytes(7) };
@@ -55,12 +55,12 @@
 #[test]
 fn a_second_value_with_the_same_number_is_a_fork() {
     let mut gate = VersionGate::<DeploymentState>::new();
-    gate.take(Some(&stored(10, 7)));
+    gate.check(Some(&stored(10, 7)));
     let other = Bytes::from_static(
         b"{\"version\":7,\"domains\":[{\"name\":\"a\",\"region\":\"r\"}]}",
     );
 
-    let verdict = gate.take(Some(&StoredValue { version: 10, value: other }));
+    let verdict = gate.check(Some(&StoredValue { version: 10, value: other }));
 
     assert_eq!(verdict, GateVerdict::Forked);
 }
@@ -74,7 +74,7 @@
         let mut highest = None;
         for read in reads {
             let value = read.map(|number| stored(1, number));
-            let verdict = gate.take(value.as_ref());
+            let verdict = gate.check(value.as_ref());
             let newer = matches!(verdict, GateVerdict::Newer(_));
             prop_assert_eq!(newer, read.is_some() && read > highest);
             highest = highest.max(read);
--- a/goldcrestramp-platform/tests/records.rs
+++ b/goldcrestramp-platform/tests/records.rs
@@ -223,7 +223,7 @@
         {"vm":"vm-1","address":"127.0.0.1:1"},
         {"vm":"vm-1","address":"127.0.0.1:2"}]}"#;
     let read = VoterRoster::decode(bad.as_bytes());
-    assert_eq!(read, Err(RecordError::Twice("vm-1".into())));
+    assert_eq!(read, Err(RecordError::Duplicate("vm-1".into())));
 }
 
 /// The steward's write breaks off between the shards and the head, or the
@@ -241,7 +241,7 @@
 
     shards[0].token = token(7);
 
-    assert!(matches!(head.join(&shards), Err(RecordError::Behind(_))));
+    assert!(matches!(head.join(&shards), Err(RecordError::Outdated(_))));
 }
 
 /// Two servers on record for a slice, or a slice on record as released
@@ -266,7 +266,7 @@
             ..DomainRecord::default()
         };
         let split = DomainHead::split(&domain("a"), &record, &directory());
-        assert!(matches!(split, Err(RecordError::Twice(_))));
+        assert!(matches!(split, Err(RecordError::Duplicate(_))));
     }
 }
 
--- a/goldcrestramp-platform/tests/settle.rs
+++ b/goldcrestramp-platform/tests/resolve.rs
@@ -4,8 +4,8 @@
 
 use bytes::Bytes;
 use goldcrestramp_platform::{
-    PutCondition, PutOutcome, StoreAccess, StoreError, StoredValue, WriteFate,
-    settle_write,
+    PutCondition, PutOutcome, StoreAccess, StoreError, StoredValue,
+    WriteOutcome, resolve_write,
 };
 use goldcrestramp_types::TimeSpan;
 
@@ -92,19 +92,19 @@
 async fn write(
     store: &FakeStore,
     before: u64,
-) -> Result<WriteFate, StoreError> {
+) -> Result<WriteOutcome, StoreError> {
     let condition = PutCondition::Version(before);
-    settle_write(store, "key", condition, Bytes::from_static(b"new"), None)
+    resolve_write(store, "key", condition, Bytes::from_static(b"new"), None)
         .await
 }
 
 #[tokio::test]
 async fn each_fate_is_told_from_what_is_stored() {
-    let other = WriteFate::Overtaken(Some(stored(9, "other")));
+    let other = WriteOutcome::Superseded(Some(stored(9, "other")));
     let cases = [
-        (NextWrite::Answered, WriteFate::Written(5)),
-        (NextWrite::LostAfterEffect, WriteFate::Written(5)),
-        (NextWrite::LostBeforeEffect, WriteFate::Lost),
+        (NextWrite::Answered, WriteOutcome::Written(5)),
+        (NextWrite::LostAfterEffect, WriteOutcome::Written(5)),
+        (NextWrite::LostBeforeEffect, WriteOutcome::Lost),
         (NextWrite::LostAndOvertaken, other),
     ];
     for (next, fate) in cases {
@@ -118,11 +118,11 @@
 #[tokio::test]
 async fn a_conflict_with_the_own_write_is_told_as_written() {
     let store = store(NextWrite::LostAfterEffect, true);
-    assert_eq!(write(&store, 4).await, Ok(WriteFate::Written(5)));
+    assert_eq!(write(&store, 4).await, Ok(WriteOutcome::Written(5)));
 
     let again = write(&store, 4).await;
 
-    assert_eq!(again, Ok(WriteFate::Written(5)));
+    assert_eq!(again, Ok(WriteOutcome::Written(5)));
 }
 
 /// The store goes away right after the write: nothing is known, and
--- a/goldcrestramp-standins/tests/platform.rs
+++ b/goldcrestramp-standins/tests/platform.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use goldcrestramp_platform::{
     CallKind, PlatformClient, PutCondition, PutOutcome, StoreAccess,
-    StoreError, VmEntry, VmState, WriteFate, settle_write,
+    StoreError, VmEntry, VmState, WriteOutcome, resolve_write,
 };
 use goldcrestramp_standins::platform::{
     CallTally, LossKind, OutageKind, PlatformFaults, PlatformStandin,
@@ -69,10 +69,10 @@
         let version = found.expect("the write took effect").version;
         let condition = PutCondition::Version(version);
         let value = Bytes::from_static(b"two");
-        let fate = settle_write(&client, "key", condition, value, None).await;
+        let fate = resolve_write(&client, "key", condition, value, None).await;
 
         assert!(matches!(lost, Err(StoreError::Unknown(_))), "{lost:?}");
-        assert!(matches!(fate, Ok(WriteFate::Written(_))), "{fate:?}");
+        assert!(matches!(fate, Ok(WriteOutcome::Written(_))), "{fate:?}");
     }
 }
 
