--- a/goldcrestramp-assignment/src/grant_expiries.rs
+++ b/goldcrestramp-assignment/src/grant_expiries.rs
@@ -1,71 +1,77 @@
-//! How long a server that does not answer may still hold keys.
+//! Bounds on how long a server that does not respond may still hold keys.
 
 use goldcrestramp_types::{FastMap, LocalTime, TimeSpan};
 
 use crate::{order::OrderOutcome, table::ServerInstance};
 
-/// A server's clock may run 2% slow; one percent more covers the rounding
-/// of spans to whole milliseconds on the wire.
+/// The share of a grant's duration after which it has expired by any
+/// server's clock.
+///
+/// A server's clock may run 2% slow. 1% more covers the rounding of spans
+/// to whole milliseconds on the wire.
 const SLOW_CLOCK_PERCENT: u64 = 103;
 
-/// A grant whose connection has ended may still be on its way: one way
-/// between regions, with room for a long queue.
+/// How long a grant may still be in flight after its connection has closed:
+/// one way between regions, with room for a long queue.
 const MAX_TRANSIT: TimeSpan = TimeSpan::from_millis(300);
 
-/// A grant without an answer may be taken so much later than it was given
-/// up: a server that is overrun by new connections took them up to 1.3 s
-/// later, and its hold counts from then.
+/// How long after its timeout a server may still accept a grant.
+///
+/// A server overloaded by new connections accepted them up to 1.3 s late,
+/// and the grant's duration counts from the acceptance.
 const MAX_ACCEPT_DELAY: TimeSpan = TimeSpan::from_millis(2_500);
 
-/// What is known of one server's hold.
+/// The latest expiry of the grants that one server may have.
 #[derive(Clone, Copy, Debug, Default)]
-struct HoldBound {
+struct GrantExpiry {
     until: LocalTime,
     in_flight: u32,
 }
 
-/// The latest end of each server's hold.
+/// The latest expiry of each server's grants.
 ///
-/// The failure: a server that can't be reached is taken for dead, its keys
-/// go to another, and the first one serves on. The symptom is two owners.
-/// The end of every grant that it may have got, by the slowest clock, is
-/// enough: a server runs no request on keys whose hold is over.
+/// If the keys of an unreachable server were reassigned while it may still
+/// hold a grant, it would go on serving them and the keys would have two
+/// owners. It is enough to wait until every grant that it may have received
+/// has expired by the slowest clock: a server runs no request on keys whose
+/// grant has expired.
 #[derive(Clone, Debug)]
 pub struct GrantExpiries {
     grant_duration: TimeSpan,
-    /// For servers of which this planner has sent nothing.
+    /// The expiry of whatever previous planners sent, to any server.
     inherited: LocalTime,
-    instances: FastMap<ServerInstance, HoldBound>,
+    instances: FastMap<ServerInstance, GrantExpiry>,
 }
 
 impl GrantExpiries {
-    /// Bounds of a new planner: a former one may have sent grants of
-    /// `grant_duration` until `last_grant_at`.
+    /// The expiries known to a new planner: a previous one may have sent
+    /// grants of `grant_duration` until `last_grant_at`.
     #[must_use]
     pub fn open(grant_duration: TimeSpan, last_grant_at: LocalTime) -> Self {
-        let mut bounds = Self {
+        let mut expiries = Self {
             grant_duration,
             inherited: LocalTime::default(),
             instances: FastMap::default(),
         };
-        bounds.inherited = bounds.end_of(last_grant_at + MAX_ACCEPT_DELAY);
-        bounds
+        expiries.inherited =
+            expiries.expiry_of(last_grant_at + MAX_ACCEPT_DELAY);
+        expiries
     }
 
-    /// Takes the knowledge that the former planner sent its last grant
+    /// Lowers the inherited expiry: the previous planner sent its last grant
     /// before `last_grant_at`.
     pub fn inherit(&mut self, last_grant_at: LocalTime) {
-        let end = self.end_of(last_grant_at + MAX_ACCEPT_DELAY);
-        self.inherited = self.inherited.min(end);
+        let expiry = self.expiry_of(last_grant_at + MAX_ACCEPT_DELAY);
+        self.inherited = self.inherited.min(expiry);
     }
 
-    /// Notes that a grant is on its way to a server.
-    pub fn sending(&mut self, instance: &ServerInstance) {
+    /// Records that a grant to a server is in flight.
+    pub fn record_send(&mut self, instance: &ServerInstance) {
         self.instances.entry(instance.clone()).or_default().in_flight += 1;
     }
 
-    /// Notes that a grant's way has ended at `now`.
-    pub fn ended(
+    /// Records the outcome of a grant that was in flight until `now`.
+    pub fn record_outcome(
         &mut self,
         now: LocalTime,
         instance: &ServerInstance,
@@ -73,28 +79,33 @@
     ) {
         let until = match outcome {
             OrderOutcome::NotSent => LocalTime::default(),
-            OrderOutcome::TimedOut => self.end_of(now + MAX_ACCEPT_DELAY),
-            _ => self.end_of(now),
+            OrderOutcome::TimedOut => self.expiry_of(now + MAX_ACCEPT_DELAY),
+            _ => self.expiry_of(now),
         };
-        let bound = self.instances.entry(instance.clone()).or_default();
-        bound.in_flight = bound.in_flight.saturating_sub(1);
-        bound.until = bound.until.max(until);
+        let expiry = self.instances.entry(instance.clone()).or_default();
+        expiry.in_flight = expiry.in_flight.saturating_sub(1);
+        expiry.until = expiry.until.max(until);
     }
 
-    /// Whether the server can hold nothing any more.
+    /// Whether every grant that the server may have has expired.
     #[must_use]
-    pub fn are_over(&self, now: LocalTime, instance: &ServerInstance) -> bool {
-        let bound = self.instances.get(instance).copied().unwrap_or_default();
-        bound.in_flight == 0 && now > bound.until.max(self.inherited)
+    pub fn has_expired(
+        &self,
+        now: LocalTime,
+        instance: &ServerInstance,
+    ) -> bool {
+        let expiry = self.instances.get(instance).copied().unwrap_or_default();
+        expiry.in_flight == 0 && now > expiry.until.max(self.inherited)
     }
 
-    /// Leaves out servers that are no longer asked about.
+    /// Removes the servers that `keep` rejects and that have no grant in
+    /// flight.
     pub fn retain(&mut self, keep: impl Fn(&ServerInstance) -> bool) {
         self.instances
-            .retain(|instance, bound| bound.in_flight > 0 || keep(instance));
+            .retain(|instance, expiry| expiry.in_flight > 0 || keep(instance));
     }
 
-    fn end_of(&self, sent: LocalTime) -> LocalTime {
+    fn expiry_of(&self, sent: LocalTime) -> LocalTime {
         sent + MAX_TRANSIT + self.grant_duration.percent(SLOW_CLOCK_PERCENT)
     }
 }
--- a/goldcrestramp-assignment/src/lib.rs
+++ b/goldcrestramp-assignment/src/lib.rs
@@ -1,17 +1,21 @@
 /*!
-Who owns which keys of a divided service; no sockets, no clock.
+Assigns the keys of a sharded service to backend servers.
 
-An [`AssignmentTable`] lies in a key-value store and is changed only under a
-condition on its own revision and on the record of the one planning VM. A
-[`TablePlanner`] works out the next table, and the orders that make servers
-follow the table that was committed. Nothing is ordered that is not in a
-committed table, so a planner that lost its place can order nothing new:
+The crate opens no sockets and reads no clock.
 
-- a *grant* is sent, and renewed, for what the committed table grants;
-- a *move* commits `Releasing`, waits for proof that the former holder has
+An [`AssignmentTable`] is stored in a key-value store. It is written only on
+condition that neither its own revision nor the record of the one planning VM
+has changed. A [`TablePlanner`] computes the next table and the orders that
+make servers follow the committed table. Every order follows from a committed
+table, so a planner that has been replaced cannot order anything new:
+
+- a *grant* is sent, and renewed, for each range that the committed table
+  grants;
+- a *move* commits `Releasing`, waits for proof that the previous holder has
   stopped, then commits the new owner with a higher token;
-- *proof* is the holder's own answer to a release, the knowledge that this
-  run of the server has ended, or the end of every hold it may have.
+- *proof* is the holder's own response to a release, the knowledge that this
+  instance of the server has ended, or the expiry of every grant that it may
+  have.
 
 # Example
 
@@ -32,9 +36,9 @@
 
 mod edit;
 mod grant_expiries;
-mod memo;
 mod moves;
 mod order;
+mod order_tracker;
 mod patch;
 mod planner;
 mod previous_planner;
--- a/goldcrestramp-assignment/src/moves.rs
+++ b/goldcrestramp-assignment/src/moves.rs
@@ -1,4 +1,4 @@
-//! Runs that are to change their holder.
+//! Starts the release of ranges that are to change their holder.
 
 use goldcrestramp_types::{FastMap, SliceRange};
 
@@ -7,39 +7,39 @@
     table::{AssignmentPhase, AssignmentTable, InstanceKey, ServerInstance},
 };
 
-/// Begins a wished move, if its keys still have one serving holder.
+/// Begins a requested move, if its keys still have one serving holder.
 pub(crate) fn begin_move(
     next: &mut AssignmentTable,
-    wish: &MoveRequest,
-    fate: impl Fn(&ServerInstance) -> HolderStatus,
+    request: &MoveRequest,
+    status: impl Fn(&ServerInstance) -> HolderStatus,
     targets: &mut FastMap<SliceRange, ServerInstance>,
 ) -> bool {
-    let run = next.find(wish.range.first);
+    let run = next.find(request.range.first);
     let holder = next.instance(run.instance);
     let movable = run.phase == AssignmentPhase::Granted
-        && run.range.covers(wish.range)
-        && *holder != wish.target
-        && fate(holder) == HolderStatus::Serving;
+        && run.range.covers(request.range)
+        && *holder != request.target
+        && status(holder) == HolderStatus::Serving;
     if !movable {
         return false;
     }
-    let Some(position) = next.carve(wish.range) else { return false };
+    let Some(position) = next.isolate(request.range) else { return false };
     let token = next.next_token();
     let run = &mut next.ranges[position];
     run.phase = AssignmentPhase::Releasing;
     run.token = token;
-    targets.insert(wish.range, wish.target.clone());
+    targets.insert(request.range, request.target.clone());
     true
 }
 
-/// Begins to take back what is held by servers that leave or are gone.
+/// Begins to release what is granted to servers that are not serving.
 pub(crate) fn begin_releases(
     next: &mut AssignmentTable,
-    fate: impl Fn(&ServerInstance) -> HolderStatus,
+    status: impl Fn(&ServerInstance) -> HolderStatus,
 ) -> bool {
     let instances: Vec<InstanceKey> = next
         .instances()
-        .filter(|(_, instance)| fate(instance) != HolderStatus::Serving)
+        .filter(|(_, instance)| status(instance) != HolderStatus::Serving)
         .map(|(key, _)| key)
         .collect();
     let mut changed = false;
--- a/goldcrestramp-assignment/src/order.rs
+++ b/goldcrestramp-assignment/src/order.rs
@@ -6,56 +6,56 @@
 
 use crate::table::ServerInstance;
 
-/// What a server is told to do.
+/// What a server has to do with the keys of an order.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum OrderKind {
-    /// Hold the keys for this long from the order's arrival.
+    /// Hold the keys for `duration` from the order's arrival.
     Grant {
-        /// How long.
+        /// How long the grant is valid from its arrival.
         duration: TimeSpan,
-        /// What the former holder left.
+        /// The data that the previous holder left.
         handover: Option<Arc<str>>,
     },
-    /// Stop work on the keys, and answer when what runs has ended.
+    /// Accept no more work on the keys, and respond when the running work
+    /// has completed.
     Release,
 }
 
 /// An order to one server.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ServerOrder {
-    /// The server.
+    /// The server instance that the order is for.
     pub instance: ServerInstance,
-    /// The keys.
+    /// The keys to hold or to release.
     pub range: SliceRange,
-    /// The fencing token.
+    /// The fencing token of the grant or release.
     pub token: u64,
-    /// What it is told.
+    /// What the server has to do.
     pub kind: OrderKind,
 }
 
-/// What became of an order.
+/// The outcome of an order.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum OrderOutcome {
-    /// The server did it; a release may leave something for the next
-    /// holder.
+    /// The server carried it out.
     Done {
-        /// What the next holder is to be given.
+        /// The data that a release may leave for the next holder.
         handover: Option<Arc<str>>,
     },
-    /// The server has seen a higher token on one of the keys.
+    /// The server has seen a higher token for one of the keys.
     Outdated,
-    /// Another server answers at the address: this life has ended.
+    /// Another server responded at the address: this instance has ended.
     Ended,
-    /// No byte of it was sent.
+    /// No byte of the order was sent.
     NotSent,
-    /// The connection ended; it may have been carried out.
+    /// The connection closed; the order may have been carried out.
     Unknown,
-    /// No answer came in time; it may be carried out later.
+    /// No response came in time; the order may be carried out later.
     TimedOut,
 }
 
 impl OrderOutcome {
-    /// The stable code in logs.
+    /// The stable code for logs.
     #[must_use]
     pub const fn code(&self) -> &'static str {
         match self {
--- a/goldcrestramp-assignment/src/patch.rs
+++ b/goldcrestramp-assignment/src/patch.rs
@@ -1,8 +1,8 @@
-//! What has changed between two tables.
+//! The difference between two tables.
 //!
-//! A move changes one run of some hundreds. Told whole to every VM several
-//! times a second, tables fill the links of a fleet; what has changed is a
-//! small part of them.
+//! A move changes one range among hundreds. Full tables, sent to every VM
+//! several times a second, would saturate the links of a fleet; the changed
+//! ranges are a small part of a table.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,23 +10,23 @@
     AssignedRange, AssignmentTable, ServerInstance, TableError,
 };
 
-/// A run that is not the same in the older table, with its holder.
+/// An assigned range that differs from the older table, with its holder.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 struct PatchRange {
     run: AssignedRange,
     instance: ServerInstance,
 }
 
-/// What makes a newer table of an older one.
+/// The ranges that turn an older table into a newer one.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct TablePatch {
     highest_token: u64,
-    /// In the order of their keys.
+    /// Ordered by key.
     ranges: Vec<PatchRange>,
 }
 
 impl AssignmentTable {
-    /// What makes this table of an older one.
+    /// The patch that turns `older` into this table.
     #[must_use]
     pub fn patch_from(&self, older: &Self) -> TablePatch {
         let changed = |run: &&AssignedRange| {
@@ -48,10 +48,12 @@
         }
     }
 
-    /// The newer table: this one with the patch that was made from it.
+    /// Applies a patch that was made from this table, and returns the newer
+    /// table.
     ///
-    /// Runs that both tables have cover the same keys in both, so what is
-    /// left of this one is replaced by the patch key by key.
+    /// A range that both tables have covers the same keys in both. So every
+    /// range of this table either stays or overlaps the patch and is
+    /// replaced by it.
     ///
     /// # Errors
     ///
@@ -68,11 +70,11 @@
         table.ranges.retain(|run| !replaced(run));
         table.highest_token = patch.highest_token;
         for PatchRange { run, instance } in &patch.ranges {
-            let instance = table.place_of(instance).ok_or(TableError)?;
+            let instance = table.instance_key(instance).ok_or(TableError)?;
             table.ranges.push(AssignedRange { instance, ..run.clone() });
         }
         table.ranges.sort_by_key(|run| run.range.first);
-        table.forget_unused();
-        if table.is_whole() { Ok(table) } else { Err(TableError) }
+        table.remove_unused_instances();
+        if table.is_valid() { Ok(table) } else { Err(TableError) }
     }
 }
--- a/goldcrestramp-assignment/src/planner.rs
+++ b/goldcrestramp-assignment/src/planner.rs
@@ -1,78 +1,78 @@
-//! The next table, and the orders that make servers follow this one.
+//! Computes the next table, and the orders for the committed one.
 
 use goldcrestramp_types::{FastMap, FastSet, LocalTime, SliceRange, TimeSpan};
 
 use crate::{
     grant_expiries::GrantExpiries,
-    memo::{MemoBook, RunAnswer},
     moves::{begin_move, begin_releases},
     order::{OrderKind, OrderOutcome, ServerOrder},
+    order_tracker::{OrderResponse, OrderTracker},
     table::{
         AssignedRange, AssignmentPhase, AssignmentTable, InstanceKey,
         ServerInstance,
     },
 };
 
-/// How often holds are renewed, and how long they are.
+/// How long grants are valid, and when orders are sent again.
 #[derive(Clone, Copy, Debug)]
 pub struct PlannerTiming {
-    /// How long a grant holds from its arrival.
+    /// How long a grant is valid from its arrival.
     pub grant_duration: TimeSpan,
-    /// How long after a grant it is sent again.
+    /// How long after a successful grant it is renewed.
     pub renew_interval: TimeSpan,
-    /// How long after an order without an answer it is sent again.
+    /// How long after a failed order it is sent again.
     pub retry_delay: TimeSpan,
 }
 
-/// What is known of the holder of a run.
+/// What is known of the server that holds a range.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum HolderStatus {
-    /// It serves.
+    /// It accepts requests.
     Serving,
-    /// It is there, and its keys are to go elsewhere: it drains, or it has
-    /// restarted under its id. A renewal meant for its former run may have
-    /// reached the new one, so the keys are not free yet.
+    /// It is running, and its keys are to move to other servers: it drains,
+    /// or it has restarted under its id. A renewal meant for its previous
+    /// instance may have reached the new one, so the keys are not free yet.
     Leaving,
-    /// It does not say that it is there; it may serve all the same.
+    /// It is not registered; it may still serve.
     Missing,
-    /// This run of the server has certainly ended.
+    /// This instance of the server has certainly ended.
     Ended,
 }
 
-/// A server that may be given keys.
+/// A server that keys can be assigned to.
 #[derive(Clone, Debug)]
 pub struct ServerStatus {
-    /// The server.
+    /// The server instance.
     pub instance: ServerInstance,
-    /// Whether it may be given more keys.
+    /// Whether more keys may be assigned to it.
     pub accepts_keys: bool,
 }
 
-/// A run of keys that would be served better elsewhere.
+/// A request to move a range of keys to another server.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct MoveRequest {
-    /// The keys; they have one holder now.
+    /// The keys to move, which have one holder now.
     pub range: SliceRange,
-    /// The server that is to have them.
+    /// The server that the keys move to.
     pub target: ServerInstance,
 }
 
-/// Plans one service's table while this VM is the planning one.
+/// Plans the table of one service, on the VM that is the planner.
 #[derive(Clone, Debug)]
 pub struct TablePlanner {
     timing: PlannerTiming,
     table: AssignmentTable,
     grant_expiries: GrantExpiries,
-    memos: MemoBook,
-    /// Where runs that are being released are to go.
-    wishes: FastMap<SliceRange, ServerInstance>,
-    /// Lives that are known to have ended, by an answer of another.
+    tracker: OrderTracker,
+    /// The requested targets of ranges that are being released.
+    move_targets: FastMap<SliceRange, ServerInstance>,
+    /// Instances that have ended: another instance responded at the address.
     ended: FastSet<ServerInstance>,
 }
 
 impl TablePlanner {
-    /// Takes up a committed table; `last_grant_at` bounds when a former
-    /// planner may have sent its last grant.
+    /// Starts from a committed table. `last_grant_at` is the latest time at
+    /// which a previous planner may have sent a grant.
     #[must_use]
     pub fn open(
         timing: PlannerTiming,
@@ -86,8 +86,8 @@
                 timing.grant_duration,
                 last_grant_at,
             ),
-            memos: MemoBook::default(),
-            wishes: FastMap::default(),
+            tracker: OrderTracker::default(),
+            move_targets: FastMap::default(),
             ended: FastSet::default(),
         }
     }
@@ -98,16 +98,16 @@
         &self.table
     }
 
-    /// Takes the knowledge that the former planner sent its last grant
-    /// before `last_grant_at`.
+    /// Lowers the bound on the grants of previous planners: the last one was
+    /// sent before `last_grant_at`.
     pub fn inherit(&mut self, last_grant_at: LocalTime) {
         self.grant_expiries.inherit(last_grant_at);
     }
 
-    /// Takes a table that was committed; the orders follow it from here.
+    /// Replaces the table by a newly committed one, which orders then follow.
     pub fn committed(&mut self, table: AssignmentTable) {
         self.table = table;
-        self.memos.retain(&self.table.ranges);
+        self.tracker.retain(&self.table.ranges);
         let releasing: FastSet<SliceRange> = self
             .table
             .ranges
@@ -115,89 +115,91 @@
             .filter(|run| run.phase == AssignmentPhase::Releasing)
             .map(|run| run.range)
             .collect();
-        self.wishes.retain(|range, _target| releasing.contains(range));
+        self.move_targets.retain(|range, _target| releasing.contains(range));
         let instances: FastSet<&ServerInstance> =
             self.table.instances.iter().collect();
         self.grant_expiries.retain(|instance| instances.contains(instance));
         self.ended.retain(|instance| self.table.instances.contains(instance));
     }
 
-    /// The next table, if something is to change.
+    /// Computes the next table; `None` if nothing is to change.
     ///
-    /// `fate` tells of holders; `place` picks a server for keys that have
-    /// none. Nothing takes effect before [`committed`](Self::committed).
+    /// `status` returns what is known of a holder. `choose_target` picks a
+    /// server for keys that have none. Nothing takes effect before the table
+    /// is passed to [`committed`](Self::committed).
     pub fn plan(
         &mut self,
         now: LocalTime,
-        fate: impl Fn(&ServerInstance) -> HolderStatus,
-        wishes: &[MoveRequest],
-        mut place: impl FnMut(SliceRange) -> Option<ServerInstance>,
+        status: impl Fn(&ServerInstance) -> HolderStatus,
+        requests: &[MoveRequest],
+        mut choose_target: impl FnMut(SliceRange) -> Option<ServerInstance>,
     ) -> Option<AssignmentTable> {
-        let fate = |instance: &ServerInstance| {
+        let status = |instance: &ServerInstance| {
             if self.ended.contains(instance) {
                 HolderStatus::Ended
             } else {
-                fate(instance)
+                status(instance)
             }
         };
         let mut next = self.table.clone();
         let mut changed = false;
         let mut targets = FastMap::default();
-        for wish in wishes {
-            changed |= begin_move(&mut next, wish, fate, &mut targets);
+        for request in requests {
+            changed |= begin_move(&mut next, request, status, &mut targets);
         }
-        changed |= begin_releases(&mut next, fate);
+        changed |= begin_releases(&mut next, status);
         changed |= self.regrant_outdated(&mut next);
-        let freed: Vec<usize> = next
+        let free: Vec<usize> = next
             .ranges
             .iter()
             .enumerate()
-            .filter(|(_, run)| self.is_free(now, run, fate))
+            .filter(|(_, run)| self.is_free(now, run, status))
             .map(|(position, _)| position)
             .collect();
-        for position in freed {
+        for position in free {
             let range = next.ranges[position].range;
-            let chosen = self.wishes.get(&range).cloned();
+            let requested = self.move_targets.get(&range).cloned();
             let usable = |instance: &ServerInstance| {
-                fate(instance) == HolderStatus::Serving
+                status(instance) == HolderStatus::Serving
             };
-            let Some(target) = chosen.filter(usable).or_else(|| place(range))
+            let Some(target) =
+                requested.filter(usable).or_else(|| choose_target(range))
             else {
                 continue;
             };
-            changed |= self.give(&mut next, position, &target);
+            changed |= self.assign(&mut next, position, &target);
         }
-        self.wishes.extend(targets);
+        self.move_targets.extend(targets);
         if !changed {
             return None;
         }
-        self.drop_used_handovers(&mut next);
-        next.forget_unused();
+        self.drop_delivered_handovers(&mut next);
+        next.remove_unused_instances();
         Some(next)
     }
 
-    /// The orders that are due; each is to be answered by
-    /// [`order_ended`](Self::order_ended).
+    /// Returns the orders that are due. The outcome of each has to be passed
+    /// to [`order_ended`](Self::order_ended).
     pub fn orders(&mut self, now: LocalTime) -> Vec<ServerOrder> {
-        let emptied = self.emptied_lives();
+        let fully_released = self.fully_released_instances();
         let mut orders = Vec::new();
         for run in &self.table.ranges {
             let instance = self.table.instance(run.instance);
-            // One order empties a server: asked run by run, it would take
-            // the time of the longest work on each.
-            let whole = run.phase == AssignmentPhase::Releasing
-                && emptied.get(&run.instance) == Some(&run.token);
-            let memo = self.memos.entry(run);
-            if !memo.waits() || now < memo.due {
+            // One order releases all ranges of a server. Released one by
+            // one, each would take as long as its longest running work.
+            let releases_all = run.phase == AssignmentPhase::Releasing
+                && fully_released.get(&run.instance) == Some(&run.token);
+            let state = self.tracker.entry(run);
+            if !state.needs_order() || now < state.due {
                 continue;
             }
             if self.ended.contains(instance) {
                 continue;
             }
-            memo.in_flight = true;
+            state.in_flight = true;
             let kind = match run.phase {
                 AssignmentPhase::Granted => {
-                    self.grant_expiries.sending(instance);
+                    self.grant_expiries.record_send(instance);
                     OrderKind::Grant {
                         duration: self.timing.grant_duration,
                         handover: run.handover.clone(),
@@ -205,21 +207,21 @@
                 }
                 AssignmentPhase::Releasing => OrderKind::Release,
             };
-            let range = if whole { SliceRange::ALL } else { run.range };
+            let range = if releases_all { SliceRange::ALL } else { run.range };
             let order = ServerOrder {
                 instance: instance.clone(),
                 range,
                 token: run.token,
                 kind,
             };
-            if !(whole && orders.contains(&order)) {
+            if !(releases_all && orders.contains(&order)) {
                 orders.push(order);
             }
         }
         orders
     }
 
-    /// Takes what became of an order.
+    /// Records the outcome of an order that ended at `now`.
     pub fn order_ended(
         &mut self,
         now: LocalTime,
@@ -228,7 +230,7 @@
     ) {
         let grant = matches!(order.kind, OrderKind::Grant { .. });
         if grant {
-            self.grant_expiries.ended(now, &order.instance, outcome);
+            self.grant_expiries.record_outcome(now, &order.instance, outcome);
         }
         if *outcome == OrderOutcome::Ended {
             self.ended.insert(order.instance.clone());
@@ -241,19 +243,19 @@
                 && *table.instance(run.instance) == order.instance
         });
         for run in ranges {
-            let memo = self.memos.entry(run);
-            memo.in_flight = false;
-            memo.due = now + timing.retry_delay;
+            let state = self.tracker.entry(run);
+            state.in_flight = false;
+            state.due = now + timing.retry_delay;
             match outcome {
                 OrderOutcome::Done { .. } if grant => {
-                    memo.answer = RunAnswer::Granted;
-                    memo.due = now + timing.renew_interval;
+                    state.response = OrderResponse::Granted;
+                    state.due = now + timing.renew_interval;
                 }
                 OrderOutcome::Done { handover } => {
-                    memo.answer = RunAnswer::Released(handover.clone());
+                    state.response = OrderResponse::Released(handover.clone());
                 }
                 OrderOutcome::Outdated if grant => {
-                    memo.answer = RunAnswer::Outdated;
+                    state.response = OrderResponse::Outdated;
                 }
                 OrderOutcome::Outdated
                 | OrderOutcome::Ended
@@ -264,19 +266,20 @@
         }
     }
 
-    /// Whether nobody can hold the keys of a run any more.
+    /// Whether no server can hold the keys of a range any more.
     fn is_free(
         &self,
         now: LocalTime,
         run: &AssignedRange,
-        fate: impl Fn(&ServerInstance) -> HolderStatus,
+        status: impl Fn(&ServerInstance) -> HolderStatus,
     ) -> bool {
         let Some(instance) =
             self.table.instances.get(usize::from(run.instance.0))
         else {
             return false;
         };
-        // Only what was committed as releasing has had its grants stopped.
+        // Grants are renewed until `Releasing` is committed, so a range that
+        // is not yet committed as such is not free.
         let committed = self.table.ranges.iter().any(|known| {
             known.phase == AssignmentPhase::Releasing
                 && known.range == run.range
@@ -285,68 +288,72 @@
         if run.phase != AssignmentPhase::Releasing {
             return false;
         }
-        let fate = fate(instance);
-        if fate == HolderStatus::Ended {
+        let status = status(instance);
+        if status == HolderStatus::Ended {
             return true;
         }
-        let memo = self.memos.get(run);
-        let released = memo
-            .is_some_and(|memo| matches!(memo.answer, RunAnswer::Released(_)));
-        // One that is there will answer; only of one that is gone the end
-        // of its holds is waited for.
-        let gone = fate == HolderStatus::Missing;
+        let state = self.tracker.get(run);
+        let released = state.is_some_and(|state| {
+            matches!(state.response, OrderResponse::Released(_))
+        });
+        // A running server responds to the release. Only for a missing one
+        // the planner waits until its grants have expired.
+        let missing = status == HolderStatus::Missing;
         committed
             && (released
-                || gone && self.grant_expiries.are_over(now, instance))
+                || missing && self.grant_expiries.has_expired(now, instance))
     }
 
-    /// Gives a free run to a server.
-    fn give(
+    /// Assigns a free range to a server, with the data that its last holder
+    /// left.
+    fn assign(
         &self,
         next: &mut AssignmentTable,
         position: usize,
         target: &ServerInstance,
     ) -> bool {
-        let Some(place) = next.place_of(target) else { return false };
+        let Some(key) = next.instance_key(target) else { return false };
         let token = next.next_token();
-        let memo = self.memos.get(&next.ranges[position]);
-        let handover = memo.and_then(|memo| match &memo.answer {
-            RunAnswer::Released(left) => left.clone(),
+        let state = self.tracker.get(&next.ranges[position]);
+        let handover = state.and_then(|state| match &state.response {
+            OrderResponse::Released(left) => left.clone(),
             _ => None,
         });
         let run = &mut next.ranges[position];
-        run.instance = place;
+        run.instance = key;
         run.token = token;
         run.phase = AssignmentPhase::Granted;
         run.handover = handover;
         true
     }
 
-    /// Leaves out what holders have been given: it is of use once, and
-    /// makes up two thirds of a table's bytes.
-    fn drop_used_handovers(&self, next: &mut AssignmentTable) {
+    /// Removes the handover data that holders have received. It is used only
+    /// once, and makes up 2/3 of a table's bytes.
+    fn drop_delivered_handovers(&self, next: &mut AssignmentTable) {
         for run in &mut next.ranges {
             if self
-                .memos
+                .tracker
                 .get(run)
-                .is_some_and(|memo| memo.answer == RunAnswer::Granted)
+                .is_some_and(|state| state.response == OrderResponse::Granted)
             {
                 run.handover = None;
             }
         }
     }
 
-    /// Grants anew, with a higher token, what a server calls outdated.
+    /// Grants ranges again, with a higher token, if the server reported the
+    /// grant's token as outdated.
     fn regrant_outdated(&self, next: &mut AssignmentTable) -> bool {
         let outdated: Vec<usize> = next
             .ranges
             .iter()
             .enumerate()
             .filter(|(_, run)| {
-                let memo = self.memos.get(run);
+                let state = self.tracker.get(run);
                 run.phase == AssignmentPhase::Granted
-                    && memo
-                        .is_some_and(|memo| memo.answer == RunAnswer::Outdated)
+                    && state.is_some_and(|state| {
+                        state.response == OrderResponse::Outdated
+                    })
             })
             .map(|(position, _)| position)
             .collect();
@@ -357,11 +364,13 @@
         !outdated.is_empty()
     }
 
-    /// The servers of which every run is being released with one token.
+    /// The server instances whose ranges are all being released, with the
+    /// one token of that release.
     ///
-    /// Orders go by the id, so a server that restarted under it counts as
-    /// the same: emptied, it would lose what it has been given since.
-    fn emptied_lives(&self) -> FastMap<InstanceKey, u64> {
+    /// An order names a server by its id, so two instances with the same id
+    /// are left out: releasing all keys of the older one would also release
+    /// what was granted to the restarted one since.
+    fn fully_released_instances(&self) -> FastMap<InstanceKey, u64> {
         let mut tokens = FastMap::default();
         let mut mixed = FastSet::default();
         let mut ids = FastMap::default();
--- a/goldcrestramp-assignment/src/previous_planner.rs
+++ b/goldcrestramp-assignment/src/previous_planner.rs
@@ -1,25 +1,27 @@
-//! When the planners before a new one may have sent their last grants.
+//! Bounds when previous planners may have sent their last grant.
 
 use goldcrestramp_types::{LocalTime, TimeSpan};
 
-/// What is known of the planner before a new one.
+/// What is known of the planner that a new one replaces.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PreviousPlanner {
-    /// It may be renewing grants.
+    /// It may still renew grants.
     MayRenew,
-    /// It has stopped. It was known to plan at this moment.
+    /// It has stopped.
     Stopped {
-        /// At this moment or before it took the place of its predecessor.
+        /// A time at which it was already the planner: it replaced its own
+        /// predecessor then or earlier.
         planned_by: LocalTime,
     },
 }
 
-/// The latest moment at which any planner before a new one may have sent a
-/// grant, as known `now`; without proof of its place one renews for
-/// `proof_life`.
+/// The latest time at which any previous planner may have sent a grant, as
+/// known at `now`.
 ///
-/// One that has stopped says nothing of those before it: one of them may be
-/// cut off and renew until that time is over.
+/// A planner that can't confirm that it still is the planner goes on
+/// renewing grants for `proof_lifetime`. That the previous planner has
+/// stopped proves nothing about the ones before it: one of them may be cut
+/// off and renew until its `proof_lifetime` is over.
 ///
 /// # Example
 ///
@@ -28,21 +30,21 @@
 /// use goldcrestramp_types::{LocalTime, TimeSpan};
 ///
 /// let at = |s: u64| LocalTime::from_micros(s * 1_000_000);
-/// let proof_life = TimeSpan::from_millis(12_000);
+/// let proof_lifetime = TimeSpan::from_millis(12_000);
 /// let stopped = PreviousPlanner::Stopped { planned_by: at(5) };
-/// assert_eq!(last_grant_sent(at(8), stopped, proof_life), at(17));
-/// assert_eq!(last_grant_sent(at(90), stopped, proof_life), at(90));
+/// assert_eq!(last_grant_sent(at(8), stopped, proof_lifetime), at(17));
+/// assert_eq!(last_grant_sent(at(90), stopped, proof_lifetime), at(90));
 /// ```
 #[must_use]
 pub fn last_grant_sent(
     now: LocalTime,
-    former: PreviousPlanner,
-    proof_life: TimeSpan,
+    previous: PreviousPlanner,
+    proof_lifetime: TimeSpan,
 ) -> LocalTime {
-    match former {
-        PreviousPlanner::MayRenew => now + proof_life,
+    match previous {
+        PreviousPlanner::MayRenew => now + proof_lifetime,
         PreviousPlanner::Stopped { planned_by } => {
-            now.max(planned_by + proof_life)
+            now.max(planned_by + proof_lifetime)
         }
     }
 }
--- a/goldcrestramp-assignment/src/table.rs
+++ b/goldcrestramp-assignment/src/table.rs
@@ -1,31 +1,31 @@
-//! The record of who owns which keys of one service.
+//! The table that maps each key of one service to its owner.
 
 use std::{fmt, net::SocketAddr, sync::Arc};
 
 use goldcrestramp_types::{SliceIndex, SliceRange};
 use serde::{Deserialize, Serialize};
 
-/// The version of the record's encoding, its first byte.
-const ENCODING: u8 = 1;
+/// The version of the table's encoding, which is its first byte.
+const ENCODING_VERSION: u8 = 1;
 
-/// One run of a backend server, from its start to its end.
+/// One run of a backend server's process.
 ///
-/// A server that starts again under its id holds nothing of before, so the
-/// start is part of its identity.
+/// A server that restarts under its id no longer holds the keys that it had
+/// before, so the start time is part of its identity.
 #[derive(Clone, Debug, Eq, Hash, PartialEq, Serialize, Deserialize)]
 pub struct ServerInstance {
     /// The server's id.
     pub id: Arc<str>,
-    /// The Unix millisecond of its start.
+    /// The start time, in Unix milliseconds.
     pub started_ms: u64,
-    /// Where it takes orders.
+    /// The address at which it accepts orders.
     ///
-    /// Kept here because the server's own entry may be gone by the time
-    /// that its keys have to be taken back.
+    /// It is stored here because the server's own entry may be removed
+    /// before its keys are released.
     pub address: SocketAddr,
 }
 
-/// The place of a [`ServerInstance`] in its table.
+/// The position of a [`ServerInstance`] in its table.
 #[derive(
     Clone,
     Copy,
@@ -40,45 +40,45 @@
 )]
 pub struct InstanceKey(pub(crate) u16);
 
-/// Where a run of keys stands.
+/// The state of an assigned range.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum AssignmentPhase {
     /// The holder may hold the keys.
     Granted,
-    /// The keys are being taken back from the holder.
+    /// The keys are being released by the holder.
     Releasing,
 }
 
-/// A run of adjacent keys with its holder.
+/// A range of adjacent keys with its holder.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct AssignedRange {
-    /// The keys.
+    /// The keys, both ends included.
     pub range: SliceRange,
     /// The server that holds them, or held them last.
     pub instance: InstanceKey,
     /// The fencing token of the grant, or of the release.
     pub token: u64,
-    /// Where the run stands.
+    /// Whether the keys are granted or being released.
     pub phase: AssignmentPhase,
-    /// What the former holder left for this one.
+    /// The data that the previous holder left for this one.
     pub handover: Option<Arc<str>>,
 }
 
-/// Bytes that are no table.
+/// The bytes or the patch do not make a valid table.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct TableError;
 
 impl fmt::Display for TableError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "the bytes are no assignment table")
+        write!(f, "invalid assignment table")
     }
 }
 
 impl std::error::Error for TableError {}
 
-/// Who owns which keys of one service.
+/// The assignment of all keys of one service to servers.
 ///
-/// The runs cover every key once, in order.
+/// The ranges cover every key exactly once, in order.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct AssignmentTable {
     /// The highest token that was ever written for the service.
@@ -88,11 +88,12 @@
 }
 
 impl AssignmentTable {
-    /// A first table: `stripes` runs a server, dealt in turn.
+    /// Creates an initial table with `stripes` ranges per server, assigned
+    /// in round-robin order.
     ///
-    /// Keys that are asked for often lie side by side. Dealt in turn, the
-    /// neighbours of a busy key fall to other servers from the start.
-    /// Nothing if there is no server.
+    /// Frequently requested keys are often adjacent. With stripes, the
+    /// neighbors of a busy key belong to other servers from the start.
+    /// `None` if there is no server or no stripe.
     #[must_use]
     pub fn striped(
         instances: &[ServerInstance],
@@ -102,11 +103,12 @@
         let ranges =
             servers.checked_mul(stripes).filter(|ranges| *ranges > 0)?;
         let total = u32::from(u16::MAX) + 1;
-        let bound =
+        let start_of =
             |run: u32| u64::from(run) * u64::from(total) / u64::from(ranges);
         let ranges = (0..ranges).filter_map(|run| {
-            let first = u16::try_from(bound(run)).ok()?;
-            let last = u16::try_from(bound(run + 1).checked_sub(1)?).ok()?;
+            let first = u16::try_from(start_of(run)).ok()?;
+            let last =
+                u16::try_from(start_of(run + 1).checked_sub(1)?).ok()?;
             Some(AssignedRange {
                 range: SliceRange { first: first.into(), last: last.into() },
                 instance: InstanceKey(u16::try_from(run % servers).ok()?),
@@ -119,43 +121,45 @@
         Some(Self { highest_token: 1, instances: instances.to_vec(), ranges })
     }
 
-    /// Reads a table.
+    /// Decodes a table.
     ///
     /// # Errors
     ///
-    /// [`TableError`] for bytes that are no table, or one whose runs do not
-    /// cover every key once.
+    /// [`TableError`] if the bytes are malformed, or the ranges do not cover
+    /// every key exactly once.
     pub fn decode(bytes: &[u8]) -> Result<Self, TableError> {
-        let [ENCODING, rest @ ..] = bytes else { return Err(TableError) };
+        let [ENCODING_VERSION, rest @ ..] = bytes else {
+            return Err(TableError);
+        };
         let table: Self =
             postcard::from_bytes(rest).map_err(|_cause| TableError)?;
-        if table.is_whole() { Ok(table) } else { Err(TableError) }
+        if table.is_valid() { Ok(table) } else { Err(TableError) }
     }
 
-    /// The table as bytes.
+    /// Encodes the table.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
-        // Texts, numbers and lists always serialize.
+        // Strings, numbers and lists always serialize.
         let body = postcard::to_allocvec(self).unwrap_or_default();
-        let mut bytes = vec![ENCODING];
+        let mut bytes = vec![ENCODING_VERSION];
         bytes.extend_from_slice(&body);
         bytes
     }
 
-    /// The run in which a key lies.
+    /// The assigned range that contains a slice.
     #[must_use]
     pub fn find(&self, slice: SliceIndex) -> &AssignedRange {
         let next = self.ranges.partition_point(|run| run.range.first <= slice);
         &self.ranges[next.saturating_sub(1)]
     }
 
-    /// Every run, in the order of its keys.
+    /// All assigned ranges, ordered by key.
     #[must_use]
     pub fn ranges(&self) -> &[AssignedRange] {
         &self.ranges
     }
 
-    /// Every server that holds a run, with its place.
+    /// All server instances of the table, with their keys.
     pub fn instances(
         &self,
     ) -> impl Iterator<Item = (InstanceKey, &ServerInstance)> {
@@ -163,7 +167,7 @@
         keys.map(InstanceKey).zip(&self.instances)
     }
 
-    /// The server at a place.
+    /// The server instance with this key.
     #[must_use]
     pub fn instance(&self, key: InstanceKey) -> &ServerInstance {
         &self.instances[usize::from(key.0)]
@@ -175,16 +179,17 @@
         self.highest_token
     }
 
-    /// Whether the runs cover every key once and name known servers.
-    pub(crate) fn is_whole(&self) -> bool {
+    /// Whether the ranges cover every key exactly once, refer to known
+    /// servers and have tokens up to the highest one.
+    pub(crate) fn is_valid(&self) -> bool {
         let mut next = 0_u32;
         let ordered = self.ranges.iter().all(|run| {
-            let here = u32::from(run.range.first.get()) == next
+            let valid = u32::from(run.range.first.get()) == next
                 && run.range.first <= run.range.last
                 && usize::from(run.instance.0) < self.instances.len()
                 && run.token <= self.highest_token;
             next = u32::from(run.range.last.get()) + 1;
-            here
+            valid
         });
         ordered && next == u32::from(u16::MAX) + 1
     }
