--- a/goldcrestramp-assignment/src/lib.rs
+++ b/goldcrestramp-assignment/src/lib.rs
@@ -26,9 +26,9 @@
 let instance = ServerInstance {
     id: "stock-1".into(),
     started_ms: 1,
-    address: "127.0.0.1:9000".parse().expect("an address"),
+    address: "127.0.0.1:9000".parse().expect("address parses"),
 };
-let table = AssignmentTable::striped(&[instance], 4).expect("a server");
+let table = AssignmentTable::striped(&[instance], 4).expect("there is a server");
 let run = table.find(SliceIndex::from(40_000));
 assert_eq!(table.instance(run.instance).id.as_ref(), "stock-1");
 ```
--- a/goldcrestramp-assignment/tests/ownership/fuzz.rs
+++ b/goldcrestramp-assignment/tests/ownership/fuzz.rs
@@ -1,4 +1,4 @@
-//! Any order of steps keeps one owner a key, and each guard is needed.
+//! Any sequence of steps keeps one owner per key, and each guard is needed.
 
 use goldcrestramp_types::SliceIndex;
 use proptest::{
@@ -6,26 +6,27 @@
     test_runner::{Config, RngSeed, TestRunner},
 };
 
-use crate::world::{
-    CommitFate, OrderFate, PLANNERS, SERVERS, World, WorldGuards,
+use crate::cluster::{
+    ClusterGuards, CommitDelivery, OrderDelivery, PLANNERS, SERVERS,
+    SimulatedCluster,
 };
 
-/// The cases of a run; more by the environment.
+/// The default number of cases; `GOLDCRESTRAMP_FUZZ_CASES` overrides it.
 const CASES: u32 = 1_500;
 
-/// Steps of one case.
+/// The maximum number of steps in a case, exclusive.
 const STEPS: usize = 120;
 
-/// One step of one participant.
+/// One step of a planner, a server or the clock.
 #[derive(Clone, Debug)]
 enum Step {
     Wait(u64),
     TakeOver(usize, bool),
     Prove(usize),
-    Plan(usize, CommitFate, u16),
+    Plan(usize, CommitDelivery, u16),
     LateCommit(usize),
     ReadBack(usize),
-    Orders(usize, Vec<OrderFate>),
+    Orders(usize, Vec<OrderDelivery>),
     LateOrder(usize),
     Crash(usize),
     Restart(usize),
@@ -34,37 +35,37 @@
     Leave(usize),
 }
 
-fn order_fate() -> impl Strategy<Value = OrderFate> {
+fn order_delivery() -> impl Strategy<Value = OrderDelivery> {
     prop_oneof![
-        6 => Just(OrderFate::Arrives),
-        1 => Just(OrderFate::AnswerLost),
-        1 => Just(OrderFate::Late),
-        1 => Just(OrderFate::TakenLate),
-        1 => Just(OrderFate::NotSent),
+        6 => Just(OrderDelivery::Delivered),
+        1 => Just(OrderDelivery::ResponseLost),
+        1 => Just(OrderDelivery::Delayed),
+        1 => Just(OrderDelivery::AcceptedLate),
+        1 => Just(OrderDelivery::NotSent),
     ]
 }
 
-fn commit_fate() -> impl Strategy<Value = CommitFate> {
+fn commit_delivery() -> impl Strategy<Value = CommitDelivery> {
     prop_oneof![
-        6 => Just(CommitFate::Done),
-        1 => Just(CommitFate::AnswerLost),
-        1 => Just(CommitFate::Late),
-        1 => Just(CommitFate::Lost),
+        6 => Just(CommitDelivery::Done),
+        1 => Just(CommitDelivery::ResponseLost),
+        1 => Just(CommitDelivery::Delayed),
+        1 => Just(CommitDelivery::Lost),
     ]
 }
 
 fn step() -> impl Strategy<Value = Step> {
     let planner = 0..PLANNERS;
     let server = 0..SERVERS;
-    let orders = proptest::collection::vec(order_fate(), 1..4);
+    let orders = proptest::collection::vec(order_delivery(), 1..4);
     prop_oneof![
         6 => (1_u64..1_500).prop_map(Step::Wait),
         2 => (2_000_u64..8_000).prop_map(Step::Wait),
         3 => (planner.clone(), any::<bool>())
             .prop_map(|(vm, stops)| Step::TakeOver(vm, stops)),
         3 => planner.clone().prop_map(Step::Prove),
-        6 => (planner.clone(), commit_fate(), any::<u16>())
-            .prop_map(|(vm, fate, wish)| Step::Plan(vm, fate, wish)),
+        6 => (planner.clone(), commit_delivery(), any::<u16>())
+            .prop_map(|(vm, commit, choice)| Step::Plan(vm, commit, choice)),
         1 => planner.clone().prop_map(Step::LateCommit),
         3 => planner.clone().prop_map(Step::ReadBack),
         8 => (planner, orders).prop_map(|(vm, f)| Step::Orders(vm, f)),
@@ -79,28 +80,31 @@
     ]
 }
 
-fn play(world: &mut World, step: &Step) {
+fn apply(cluster: &mut SimulatedCluster, step: &Step) {
     match step {
-        Step::Wait(millis) => world.wait(*millis),
-        Step::TakeOver(vm, stops) => world.take_over(*vm, *stops),
-        Step::Prove(vm) => world.prove(*vm),
-        Step::Plan(vm, fate, wish) => world.plan(*vm, *fate, *wish),
-        Step::LateCommit(vm) => world.late_commit(*vm),
-        Step::ReadBack(vm) => world.read_back(*vm),
-        Step::Orders(vm, fates) => world.send_orders(*vm, fates),
-        Step::LateOrder(server) => world.late_order(*server),
-        Step::Crash(server) => world.crash(*server),
-        Step::Restart(server) => world.restart(*server),
-        Step::Listed(server, listed) => world.set_listed(*server, *listed),
+        Step::Wait(millis) => cluster.wait(*millis),
+        Step::TakeOver(vm, stops) => cluster.take_over(*vm, *stops),
+        Step::Prove(vm) => cluster.prove(*vm),
+        Step::Plan(vm, delivery, choice) => {
+            cluster.plan(*vm, *delivery, *choice)
+        }
+        Step::LateCommit(vm) => cluster.late_commit(*vm),
+        Step::ReadBack(vm) => cluster.read_back(*vm),
+        Step::Orders(vm, deliveries) => cluster.send_orders(*vm, deliveries),
+        Step::LateOrder(server) => cluster.late_order(*server),
+        Step::Crash(server) => cluster.crash(*server),
+        Step::Restart(server) => cluster.restart(*server),
+        Step::Listed(server, listed) => cluster.set_listed(*server, *listed),
         Step::Reachable(server, reached) => {
-            world.set_reachable(*server, *reached);
+            cluster.set_reachable(*server, *reached);
         }
-        Step::Leave(server) => world.leave(*server),
+        Step::Leave(server) => cluster.leave(*server),
     }
 }
 
-/// Plays cases until two servers hold a key; whether that happened.
-fn finds_two_owners(guards: WorldGuards, cases: u32) -> Option<String> {
+/// Runs random cases; returns the error of the first case in which two
+/// servers hold a key.
+fn finds_two_owners(guards: ClusterGuards, cases: u32) -> Option<String> {
     let config = Config {
         cases,
         failure_persistence: None,
@@ -110,11 +114,11 @@
     let mut runner = TestRunner::new(config);
     let steps = proptest::collection::vec(step(), 1..STEPS);
     let result = runner.run(&steps, |steps| {
-        let mut world = World::open(guards);
-        world.take_over(0, true);
+        let mut cluster = SimulatedCluster::open(guards);
+        cluster.take_over(0, true);
         for step in &steps {
-            play(&mut world, step);
-            if let Some(slice) = world.doubly_held() {
+            apply(&mut cluster, step);
+            if let Some(slice) = cluster.slice_with_two_holders() {
                 let text = format!("{slice:?} has two owners");
                 return Err(TestCaseError::fail(text));
             }
@@ -124,37 +128,37 @@
     result.err().map(|error| error.to_string())
 }
 
-/// Whether two servers hold a key at any time of these steps.
-fn two_owners_in(guards: WorldGuards, steps: &[Step]) -> bool {
-    let mut world = World::open(guards);
-    world.take_over(0, true);
+/// Whether two servers hold a key after any of these steps.
+fn two_owners_in(guards: ClusterGuards, steps: &[Step]) -> bool {
+    let mut cluster = SimulatedCluster::open(guards);
+    cluster.take_over(0, true);
     steps.iter().any(|step| {
-        play(&mut world, step);
-        world.doubly_held().is_some()
+        apply(&mut cluster, step);
+        cluster.slice_with_two_holders().is_some()
     })
 }
 
 fn cases() -> u32 {
-    let said = std::env::var("GOLDCRESTRAMP_FUZZ_CASES").ok();
-    said.and_then(|text| text.parse().ok()).unwrap_or(CASES)
+    let setting = std::env::var("GOLDCRESTRAMP_FUZZ_CASES").ok();
+    setting.and_then(|text| text.parse().ok()).unwrap_or(CASES)
 }
 
 #[test]
-fn any_order_of_faults_keeps_one_owner_a_key() {
-    let found = finds_two_owners(WorldGuards::ALL, cases());
+fn any_sequence_of_faults_keeps_one_owner_per_key() {
+    let found = finds_two_owners(ClusterGuards::ALL, cases());
 
     assert_eq!(found, None);
 }
 
 #[test]
-fn without_the_record_as_a_condition_a_deposed_planner_decides() {
+fn without_a_condition_on_the_record_a_replaced_planner_commits() {
     let guards =
-        WorldGuards { commit_needs_record: false, ..WorldGuards::ALL };
+        ClusterGuards { commit_needs_record: false, ..ClusterGuards::ALL };
 
     assert!(finds_two_owners(guards, 20_000).is_some());
 }
 
-/// Time passes while a planner keeps its lease.
+/// Lets time pass while a planner keeps its lease.
 fn keep(vm: usize, millis: u64) -> Vec<Step> {
     let part = 2_000;
     (0..millis / part)
@@ -163,179 +167,186 @@
         .collect()
 }
 
-/// A planner loses its lease and renews over a kept connection, `renewed`
-/// milliseconds after its successor has come, what that one can't reach;
-/// `waited` milliseconds later the successor plans for the server's keys.
+/// A planner loses its lease. `renewed` milliseconds after its successor has
+/// taken over, it renews a grant over an existing connection to a server that
+/// the successor can't reach. `waited` milliseconds later the successor
+/// plans for that server's keys.
 fn cut_off_planner_renews(renewed: u64, waited: u64) -> Vec<Step> {
-    let arrives = || vec![OrderFate::Arrives];
-    let lost = [
-        Step::Orders(0, arrives()),
+    let delivered = || vec![OrderDelivery::Delivered];
+    let lease_lost = [
+        Step::Orders(0, delivered()),
         Step::Wait(2_600),
         Step::TakeOver(1, false),
         Step::Listed(0, false),
         Step::Reachable(0, false),
-        Step::Plan(1, CommitFate::Done, 60_000),
-        Step::Orders(1, arrives()),
+        Step::Plan(1, CommitDelivery::Done, 60_000),
+        Step::Orders(1, delivered()),
     ];
     let renewal = [
         Step::Reachable(0, true),
-        Step::Orders(0, arrives()),
+        Step::Orders(0, delivered()),
         Step::Reachable(0, false),
     ];
-    let taken =
-        [Step::Plan(1, CommitFate::Done, 60_000), Step::Orders(1, arrives())];
-    lost.into_iter()
+    let reassigned = [
+        Step::Plan(1, CommitDelivery::Done, 60_000),
+        Step::Orders(1, delivered()),
+    ];
+    lease_lost
+        .into_iter()
         .chain(keep(1, renewed))
         .chain(renewal)
         .chain(keep(1, waited))
-        .chain(taken)
+        .chain(reassigned)
         .collect()
 }
 
-/// A planner is cut off and can still reach a server that its successor
-/// can't. Did the successor wait for its own grants alone, callers that
-/// reach the server would be served beside those of the new owner.
+/// A planner without its lease can still reach a server that its successor
+/// can't. If the successor waited only for its own grants, that server and
+/// the new owner would both serve the keys.
 #[test]
-fn without_waiting_for_the_predecessor_its_grants_outlive_the_wait() {
+fn without_a_wait_for_the_predecessor_a_key_gets_two_owners() {
     let steps = cut_off_planner_renews(6_000, 3_000);
     let guards =
-        WorldGuards { waits_for_predecessor: false, ..WorldGuards::ALL };
+        ClusterGuards { waits_for_predecessor: false, ..ClusterGuards::ALL };
 
     assert!(two_owners_in(guards, &steps));
-    assert!(!two_owners_in(WorldGuards::ALL, &steps));
+    assert!(!two_owners_in(ClusterGuards::ALL, &steps));
 }
 
-/// The same, long after the successor has come: did the planner renew for
-/// ever, no wait would be long enough.
+/// The same, long after the successor has taken over. If a planner without
+/// its lease renewed forever, no wait would be long enough.
 #[test]
-fn without_an_end_of_renewals_no_wait_is_long_enough() {
+fn without_a_limit_on_renewals_no_wait_is_long_enough() {
     let steps = cut_off_planner_renews(18_500, 2_500);
     let guards =
-        WorldGuards { stops_without_proof: false, ..WorldGuards::ALL };
+        ClusterGuards { stops_without_proof: false, ..ClusterGuards::ALL };
 
     assert!(two_owners_in(guards, &steps));
-    assert!(!two_owners_in(WorldGuards::ALL, &steps));
+    assert!(!two_owners_in(ClusterGuards::ALL, &steps));
 }
 
 #[test]
-fn without_tokens_at_the_servers_a_late_grant_returns() {
+fn without_token_checks_a_delayed_grant_creates_a_second_owner() {
     let guards =
-        WorldGuards { servers_check_tokens: false, ..WorldGuards::ALL };
+        ClusterGuards { servers_check_tokens: false, ..ClusterGuards::ALL };
 
     assert!(finds_two_owners(guards, 20_000).is_some());
 }
 
-/// A server crashes and starts again under its id before the planner
-/// learns of it. A renewal meant for the former run reaches the new one,
-/// which knows no token and takes it. Were the run taken for over, its
-/// keys would go to another server at once: callers of two servers would
-/// both be served for the rest of the hold.
+/// A server crashes and restarts under its id before the planner knows. A
+/// renewal meant for the previous instance reaches the new one, which knows
+/// no token and accepts it. If the keys of the previous instance were
+/// reassigned at once, two servers would serve them until the grant expires.
 #[test]
-fn without_a_release_a_restarted_server_holds_what_its_former_run_held() {
-    let guards = WorldGuards { releases_restarted: false, ..WorldGuards::ALL };
+fn without_a_release_a_restarted_server_holds_keys_of_its_previous_instance() {
+    let guards =
+        ClusterGuards { releases_restarted: false, ..ClusterGuards::ALL };
 
     assert!(finds_two_owners(guards, 20_000).is_some());
 }
 
-/// A planner is cut off and renews what its table grants; its successor
-/// moves a run away from a server, which then restarts under its id and
-/// has forgotten the higher token. The former planner's renewal, on a new
-/// connection, would make it an owner again.
+/// A planner without its lease renews what its table grants. Its successor
+/// moves a range away from a server, which then restarts under its id and
+/// loses the higher token. The previous planner's renewal, over a new
+/// connection, would make the server an owner again.
 #[test]
-fn without_kept_connections_a_former_planner_revives_an_owner() {
-    let arrives = || vec![OrderFate::Arrives];
+fn with_new_connections_a_previous_planner_restores_an_old_owner() {
+    let delivered = || vec![OrderDelivery::Delivered];
     let steps = [
-        Step::Orders(0, arrives()),
+        Step::Orders(0, delivered()),
         Step::Wait(2_600),
         Step::TakeOver(1, false),
-        Step::Plan(1, CommitFate::Done, 22_061),
-        Step::Orders(1, arrives()),
-        Step::Plan(1, CommitFate::Done, 0),
+        Step::Plan(1, CommitDelivery::Done, 22_061),
+        Step::Orders(1, delivered()),
+        Step::Plan(1, CommitDelivery::Done, 0),
         Step::Restart(1),
-        Step::Orders(0, arrives()),
-        Step::Orders(1, arrives()),
+        Step::Orders(0, delivered()),
+        Step::Orders(1, delivered()),
     ];
     let guards =
-        WorldGuards { keeps_to_connections: false, ..WorldGuards::ALL };
+        ClusterGuards { keeps_to_connections: false, ..ClusterGuards::ALL };
 
     assert!(two_owners_in(guards, &steps));
-    assert!(!two_owners_in(WorldGuards::ALL, &steps));
+    assert!(!two_owners_in(ClusterGuards::ALL, &steps));
 }
 
-/// A server is overrun by new connections. A renewal is given up without
-/// an answer and taken seconds later, and the hold counts from then; the
-/// release that follows can't be sent. Were the keys given away at the end
-/// of the hold as it was reckoned, both servers would run requests.
+/// A server is overloaded by new connections. A renewal times out and is
+/// accepted seconds later, and its duration counts from then. The release
+/// that follows can't be sent. If the keys were reassigned when the grant
+/// expires as counted from the timeout, both servers would run requests.
 #[test]
-fn a_server_that_takes_grants_late_keeps_its_keys_until_it_is_asked() {
-    let arrives = || vec![OrderFate::Arrives];
+fn keys_of_a_server_that_accepts_grants_late_are_not_reassigned_early() {
+    let delivered = || vec![OrderDelivery::Delivered];
     let overrun = [
-        Step::Orders(0, arrives()),
+        Step::Orders(0, delivered()),
         Step::Wait(1_600),
         Step::Prove(0),
-        Step::Orders(0, vec![OrderFate::TakenLate]),
-        Step::Plan(0, CommitFate::Done, 1),
+        Step::Orders(0, vec![OrderDelivery::AcceptedLate]),
+        Step::Plan(0, CommitDelivery::Done, 1),
         Step::Reachable(0, false),
         Step::Wait(1_900),
         Step::LateOrder(0),
     ];
     let unreachable = [
-        Step::Orders(0, vec![OrderFate::NotSent]),
-        Step::Plan(0, CommitFate::Done, 30_000),
-        Step::Orders(0, arrives()),
+        Step::Orders(0, vec![OrderDelivery::NotSent]),
+        Step::Plan(0, CommitDelivery::Done, 30_000),
+        Step::Orders(0, delivered()),
     ];
     let steps: Vec<Step> =
         overrun.into_iter().chain(keep(0, 3_800)).chain(unreachable).collect();
 
-    assert!(!two_owners_in(WorldGuards::ALL, &steps));
+    assert!(!two_owners_in(ClusterGuards::ALL, &steps));
 }
 
-/// Guards against renewals of a planner before the one that has stopped.
+/// The planner before the one that has stopped may still renew grants. A
+/// new planner that did not wait for those would create two owners.
 #[test]
-fn a_planner_that_stopped_does_not_speak_for_the_one_before_it() {
-    let arrives = || vec![OrderFate::Arrives];
-    let lost = [
-        Step::Orders(0, arrives()),
+fn a_stopped_planner_does_not_prove_that_earlier_ones_stopped() {
+    let delivered = || vec![OrderDelivery::Delivered];
+    let lease_lost = [
+        Step::Orders(0, delivered()),
         Step::Wait(2_600),
         Step::TakeOver(1, false),
         Step::Wait(500),
         Step::TakeOver(2, true),
         Step::Listed(0, false),
         Step::Reachable(0, false),
-        Step::Plan(2, CommitFate::Done, 60_000),
-        Step::Orders(2, arrives()),
+        Step::Plan(2, CommitDelivery::Done, 60_000),
+        Step::Orders(2, delivered()),
     ];
     let renewal = [
         Step::Reachable(0, true),
-        Step::Orders(0, arrives()),
+        Step::Orders(0, delivered()),
         Step::Reachable(0, false),
     ];
-    let taken =
-        [Step::Plan(2, CommitFate::Done, 60_000), Step::Orders(2, arrives())];
-    let steps: Vec<Step> = lost
+    let reassigned = [
+        Step::Plan(2, CommitDelivery::Done, 60_000),
+        Step::Orders(2, delivered()),
+    ];
+    let steps: Vec<Step> = lease_lost
         .into_iter()
         .chain(keep(2, 6_000))
         .chain(renewal)
         .chain(keep(2, 2_500))
-        .chain(taken)
+        .chain(reassigned)
         .collect();
 
-    assert!(!two_owners_in(WorldGuards::ALL, &steps));
+    assert!(!two_owners_in(ClusterGuards::ALL, &steps));
 }
 
-/// Two servers hold nothing in a world in which nothing works; this shows
-/// that the fuzzed world serves at all.
+/// If the simulated cluster served nothing, no key could have two owners.
+/// This guards against tests that pass for that reason.
 #[test]
-fn a_world_without_faults_serves_every_key() {
-    let mut world = World::open(WorldGuards::ALL);
-    world.take_over(0, true);
+fn a_cluster_without_faults_serves_every_key() {
+    let mut cluster = SimulatedCluster::open(ClusterGuards::ALL);
+    cluster.take_over(0, true);
     for _ in 0..20 {
-        world.wait(200);
-        world.prove(0);
-        world.send_orders(0, &[OrderFate::Arrives]);
+        cluster.wait(200);
+        cluster.prove(0);
+        cluster.send_orders(0, &[OrderDelivery::Delivered]);
     }
 
     let mut slices = (0..=u16::MAX).step_by(97).map(SliceIndex::from);
 
-    assert!(slices.all(|slice| world.is_served(slice)));
+    assert!(slices.all(|slice| cluster.is_served(slice)));
 }
--- a/goldcrestramp-assignment/tests/patch.rs
+++ b/goldcrestramp-assignment/tests/patch.rs
@@ -1,5 +1,4 @@
-//! A change of a table, told to a VM that has the former one, brings it to
-//! the same owners, and takes few bytes.
+//! A patch turns the older table of a VM into the newer one, and is small.
 
 use std::sync::Arc;
 
@@ -20,7 +19,7 @@
 
 fn table(servers: u16) -> AssignmentTable {
     let instances: Vec<ServerInstance> = (0..servers).map(instance).collect();
-    AssignmentTable::striped(&instances, 2).expect("servers")
+    AssignmentTable::striped(&instances, 2).expect("there are servers")
 }
 
 fn planner(table: AssignmentTable) -> TablePlanner {
@@ -33,31 +32,33 @@
     TablePlanner::open(timing, table, LocalTime::default())
 }
 
-fn wish(first: u16, keys: u16, target: u16) -> MoveRequest {
+fn request(first: u16, keys: u16, target: u16) -> MoveRequest {
     let last = first.saturating_add(keys);
     let (first, last) = (SliceIndex::from(first), SliceIndex::from(last));
     MoveRequest { range: SliceRange { first, last }, target: instance(target) }
 }
 
-/// The table after a round of moves; nothing if none of them could begin.
+/// The table after a round of moves; `None` if nothing changed.
 fn after(
     planner: &mut TablePlanner,
-    wishes: &[MoveRequest],
+    requests: &[MoveRequest],
     ended: Option<u16>,
 ) -> Option<AssignmentTable> {
-    let fate = |holder: &ServerInstance| {
-        let gone = ended.is_some_and(|number| *holder == instance(number));
-        if gone { HolderStatus::Ended } else { HolderStatus::Serving }
+    let status = |holder: &ServerInstance| {
+        let has_ended =
+            ended.is_some_and(|number| *holder == instance(number));
+        if has_ended { HolderStatus::Ended } else { HolderStatus::Serving }
     };
     let now = LocalTime::default() + TimeSpan::from_millis(60_000);
-    planner.plan(now, fate, wishes, |_range| Some(instance(0)))
+    planner.plan(now, status, requests, |_range| Some(instance(0)))
 }
 
-/// A run with its owner, token, phase and handover.
-type OwnedRun = (SliceRange, Arc<str>, u64, AssignmentPhase, Option<Arc<str>>);
+/// A range with its owner, token, phase and handover data.
+type OwnedRange =
+    (SliceRange, Arc<str>, u64, AssignmentPhase, Option<Arc<str>>);
 
-/// The owner of every run, whatever the numbering of lives.
-fn owners(table: &AssignmentTable) -> Vec<OwnedRun> {
+/// The owner of every range, independent of the order of instances.
+fn owners(table: &AssignmentTable) -> Vec<OwnedRange> {
     let runs = table.ranges().iter();
     runs.map(|run| {
         let id = Arc::clone(&table.instance(run.instance).id);
@@ -70,7 +71,7 @@
     #![proptest_config(ProptestConfig::with_cases(256))]
 
     #[test]
-    fn a_patch_brings_the_former_table_to_the_newer_one(
+    fn a_patch_turns_the_older_table_into_the_newer_one(
         rounds in prop::collection::vec(
             (
                 prop::collection::vec(
@@ -82,55 +83,56 @@
         ),
     ) {
         let mut planner = planner(table(6));
-        let mut told = planner.table().clone();
-        for (wishes, ended) in rounds {
-            let wishes: Vec<MoveRequest> = wishes
+        let mut replica = planner.table().clone();
+        for (requests, ended) in rounds {
+            let requests: Vec<MoveRequest> = requests
                 .into_iter()
-                .map(|(first, keys, target)| wish(first, keys, target))
+                .map(|(first, keys, target)| request(first, keys, target))
                 .collect();
-            let Some(newer) = after(&mut planner, &wishes, ended) else {
+            let Some(newer) = after(&mut planner, &requests, ended) else {
                 continue;
             };
 
             let patch = newer.patch_from(planner.table());
-            told = told.patched(&patch).expect("made from this table");
+            replica = replica.patched(&patch).expect("patched from this table");
 
-            prop_assert_eq!(owners(&told), owners(&newer));
-            prop_assert_eq!(told.highest_token(), newer.highest_token());
+            prop_assert_eq!(owners(&replica), owners(&newer));
+            prop_assert_eq!(replica.highest_token(), newer.highest_token());
             planner.committed(newer);
         }
     }
 }
 
-/// A VM has missed a commit and is told of the next one. What it would make
-/// of that covers some keys twice or never, so it has to ask for the whole.
+/// A VM misses a commit and receives the patch of the next one. Applied to
+/// its table, the patch may cover keys twice or not at all; then the VM has
+/// to fetch the full table.
 #[test]
 fn a_patch_for_another_table_is_refused_or_covers_every_key() {
     let mut planner = planner(table(6));
     let missed = planner.table().clone();
-    let first = after(&mut planner, &[wish(100, 50, 3)], None);
-    planner.committed(first.expect("a move"));
-    let second = after(&mut planner, &[wish(200, 90, 4)], None);
-    let second = second.expect("a move");
+    let first = after(&mut planner, &[request(100, 50, 3)], None);
+    planner.committed(first.expect("a move begins"));
+    let second = after(&mut planner, &[request(200, 90, 4)], None);
+    let second = second.expect("a move begins");
 
     let patch = second.patch_from(planner.table());
 
-    if let Ok(made) = missed.patched(&patch) {
-        let encoded = AssignmentTable::decode(&made.encode());
+    if let Ok(patched) = missed.patched(&patch) {
+        let encoded = AssignmentTable::decode(&patched.encode());
         assert!(encoded.is_ok(), "every key is covered once");
     }
 }
 
-/// One of 388 runs moves between 194 servers. Every VM is told of each such
-/// commit; told the whole table, their links fill.
+/// One of 388 ranges moves in a table of 194 servers. Every VM receives each
+/// such commit, and full tables would saturate their links.
 #[test]
-fn a_move_in_a_large_table_is_told_in_few_bytes() {
+fn a_patch_of_one_move_in_a_large_table_is_small() {
     let mut planner = planner(table(194));
-    let whole = planner.table().encode().len();
-    let newer = after(&mut planner, &[wish(1_000, 3, 7)], None);
+    let full = planner.table().encode().len();
+    let newer = after(&mut planner, &[request(1_000, 3, 7)], None);
 
-    let patch = newer.expect("a move").patch_from(planner.table());
+    let patch = newer.expect("a move begins").patch_from(planner.table());
 
-    let bytes = postcard::to_allocvec(&patch).expect("plain values").len();
-    assert!(bytes * 10 < whole, "{bytes} bytes of {whole}");
+    let bytes = postcard::to_allocvec(&patch).expect("patch serializes").len();
+    assert!(bytes * 10 < full, "{bytes} bytes of {full}");
 }
