--- a/goldcrestramp-assignment/src/table.rs
+++ b/goldcrestramp-assignment/src/table.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The version of the table's encoding, which is its first byte.
-const ENCODING_VERSION: u8 = 1;
+const ENCODING: u8 = 1;
 
 /// One run of a backend server's process.
 ///
@@ -128,7 +128,7 @@
     /// [`TableError`] if the bytes are malformed, or the ranges do not cover
     /// every key exactly once.
     pub fn decode(bytes: &[u8]) -> Result<Self, TableError> {
-        let [ENCODING_VERSION, rest @ ..] = bytes else {
+        let [ENCODING, rest @ ..] = bytes else {
             return Err(TableError);
         };
         let table: Self =
@@ -141,7 +141,7 @@
     pub fn encode(&self) -> Vec<u8> {
         // Strings, numbers and lists always serialize.
         let body = postcard::to_allocvec(self).unwrap_or_default();
-        let mut bytes = vec![ENCODING_VERSION];
+        let mut bytes = vec![ENCODING];
         bytes.extend_from_slice(&body);
         bytes
     }
