--- a/goldcrestramp-assignment/src/table.rs
+++ b/goldcrestramp-assignment/src/table.rs
@@ -128,9 +128,7 @@
     /// [`TableError`] if the bytes are malformed, or the ranges do not cover
     /// every key exactly once.
     pub fn decode(bytes: &[u8]) -> Result<Self, TableError> {
-        let [ENCODING, rest @ ..] = bytes else {
-            return Err(TableError);
-        };
+        let [ENCODING, rest @ ..] = bytes else { return Err(TableError) };
         let table: Self =
             postcard::from_bytes(rest).map_err(|_cause| TableError)?;
         if table.is_valid() { Ok(table) } else { Err(TableError) }
