--- a/goldcrestramp-assignment/tests/ownership/fuzz.rs
+++ b/goldcrestramp-assignment/tests/ownership/fuzz.rs
@@ -85,9 +85,7 @@
         Step::Wait(millis) => cluster.wait(*millis),
         Step::TakeOver(vm, stops) => cluster.take_over(*vm, *stops),
         Step::Prove(vm) => cluster.prove(*vm),
-        Step::Plan(vm, delivery, choice) => {
-            cluster.plan(*vm, *delivery, *choice)
-        }
+        Step::Plan(vm, commit, choice) => cluster.plan(*vm, *commit, *choice),
         Step::LateCommit(vm) => cluster.late_commit(*vm),
         Step::ReadBack(vm) => cluster.read_back(*vm),
         Step::Orders(vm, deliveries) => cluster.send_orders(*vm, deliveries),
