--- a/goldcrestramp-types/src/lib.rs
+++ b/goldcrestramp-types/src/lib.rs
@@ -1,8 +1,8 @@
 /*!
-Names, slices, times, tokens and outcomes that every package shares.
+Names, slices, times, tokens and outcomes that all crates share.
 
-A key is hashed to a [`SliceIndex`]; a slice has one owning server, which
-holds a grant with a [`FenceToken`]. Deadlines come in two clocks that are
+A key is hashed to a [`SliceIndex`]. Each slice has one owning server, which
+holds a grant with a [`FenceToken`]. Deadlines use two clocks, whose times are
 never compared with each other: [`LocalTime`] is read by the process that
 stores it, [`ServerTime`] by a backend server.
 
--- a/goldcrestramp-types/src/names.rs
+++ b/goldcrestramp-types/src/names.rs
@@ -1,22 +1,22 @@
-//! Names of the things that operators declare.
+//! Validated names of servers, services, callers and other items.
 
 use std::{fmt, sync::Arc};
 
 use serde::{Deserialize, Serialize};
 
-/// The longest name that is accepted, in bytes.
-const NAME_LIMIT: usize = 64;
+/// The maximum length of a name, in bytes.
+const MAX_NAME_BYTES: usize = 64;
 
-/// Why a text is no valid name.
+/// Why a string is not a valid name.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum NameError {
-    /// The text has no character.
+    /// The string is empty.
     Empty,
-    /// The text is longer than 64 bytes.
+    /// The string is longer than 64 bytes.
     TooLong,
-    /// The text holds a character outside `a-z A-Z 0-9 . _ : @ -`.
+    /// The string has a character outside `a-z A-Z 0-9 . _ : @ -`.
     BadCharacter(char),
-    /// The text is `.` or `..`, which a URL's path would swallow.
+    /// The string is `.` or `..`, which are resolved in the path of a URL.
     OnlyDots,
 }
 
@@ -25,7 +25,7 @@
         match self {
             Self::Empty => write!(f, "a name may not be empty"),
             Self::TooLong => {
-                write!(f, "a name holds at most {NAME_LIMIT} bytes")
+                write!(f, "a name holds at most {MAX_NAME_BYTES} bytes")
             }
             Self::BadCharacter(character) => {
                 write!(f, "a name may not hold {character:?}")
@@ -39,16 +39,16 @@
 
 impl std::error::Error for NameError {}
 
-/// Checks that `text` can be a name.
+/// Checks that `text` is a valid name.
 fn check_name(text: &str) -> Result<(), NameError> {
     if text.is_empty() {
         return Err(NameError::Empty);
     }
-    if text.len() > NAME_LIMIT {
+    if text.len() > MAX_NAME_BYTES {
         return Err(NameError::TooLong);
     }
-    // Names are path segments of the store's keys: HTTP clients resolve
-    // these two, so that one domain would read another key's value.
+    // Names are path segments of keys in the store. HTTP clients resolve
+    // these two, so one domain would read the value of another key.
     if text == "." || text == ".." {
         return Err(NameError::OnlyDots);
     }
@@ -72,18 +72,18 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Checks `text` and makes it a name.
+            /// Creates a name from a valid string.
             ///
             /// # Errors
             ///
-            /// A [`NameError`] when the text is empty, longer than 64
-            /// bytes or holds a character that is not allowed.
+            /// A [`NameError`] if the string is empty, longer than 64
+            /// bytes, `.` or `..`, or has a character that is not allowed.
             pub fn new(text: &str) -> Result<Self, NameError> {
                 check_name(text)?;
                 Ok(Self(Arc::from(text)))
             }
 
-            /// The name as text.
+            /// The name as a string.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
@@ -129,11 +129,11 @@
     ServerName
 );
 name_type!(
-    /// A service, which is one space of keys divided among servers.
+    /// A service, which is one key space divided among servers.
     ServiceName
 );
 name_type!(
-    /// A caller, the unit to which fair shares are given.
+    /// A caller, the unit of fair sharing.
     CallerName
 );
 name_type!(
--- a/goldcrestramp-types/src/outcome.rs
+++ b/goldcrestramp-types/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What a caller is told when the answer is not the server's own.
+//! The reasons that a caller receives if the server sent no response.
 
 use std::fmt;
 
@@ -16,7 +16,7 @@
             /// Every reason, in a fixed order.
             pub const ALL: &'static [Self] = &[$(Self::$variant,)*];
 
-            /// The stable code that callers and counters see.
+            /// The stable code for callers and counters.
             #[must_use]
             pub const fn code(self) -> &'static str {
                 match self {
@@ -24,7 +24,7 @@
                 }
             }
 
-            /// Finds the reason that has this code.
+            /// Finds the reason with this code.
             #[must_use]
             pub fn from_code(code: &str) -> Option<Self> {
                 Self::ALL.iter().copied().find(|r| r.code() == code)
@@ -46,7 +46,7 @@
         BadRequest => "bad-request",
         /// No service of that name is configured.
         UnknownService => "unknown-service",
-        /// No server holds the key's slice at the moment.
+        /// No server holds the key's slice.
         NoOwner => "no-owner",
         /// The keeper's queue is full.
         QueueFull => "queue-full",
@@ -54,25 +54,25 @@
         DeadlineTooShort => "deadline-too-short",
         /// The deadline passed while the request waited.
         DeadlinePassed => "deadline-passed",
-        /// The caller already has more than its share waiting.
+        /// The caller already has more than its share of queued requests.
         CallerOverShare => "caller-over-share",
-        /// The key already has more than its share waiting.
+        /// The key already has more than its share of queued requests.
         KeyOverShare => "key-over-share",
         /// The server refused to start the request.
         ServerRefused => "server-refused",
-        /// The server was known to be unreachable before any byte left.
+        /// The server was known to be unreachable before any byte was sent.
         ServerUnreachable => "server-unreachable",
-        /// The owner changed and no redirect was left.
+        /// The owner changed and no more redirects were allowed.
         OwnerMoved => "owner-moved",
-        /// The keeper could not be reached before any byte left.
+        /// The keeper could not be reached before any byte was sent.
         KeeperUnreachable => "keeper-unreachable",
-        /// The caller went away or cancelled before the start.
+        /// The caller disconnected or cancelled before the start.
         Cancelled => "cancelled",
-        /// The gateway has as many requests under way as it may have.
+        /// The gateway has reached its limit of requests in flight.
         GatewayFull => "gateway-full",
-        /// The VM is leaving and takes no new request.
+        /// The VM is draining and accepts no new requests.
         Draining => "draining",
-        /// The link between regions has no room for this answer.
+        /// The link between regions has no capacity for this response.
         LinkFull => "link-full",
         /// The retry budget of the caller or the service is used up.
         RetryBudget => "retry-budget",
@@ -82,35 +82,37 @@
 reason_type!(
     /// Why it is not known whether a request ran.
     UnknownReason {
-        /// The server went silent after it had been sent the request.
+        /// The server stopped responding after the request was sent to it.
         ServerLost => "server-lost",
-        /// The keeper went silent after it had been sent the request.
+        /// The keeper stopped responding after the request was sent to it.
         KeeperLost => "keeper-lost",
-        /// The deadline passed after the server had been sent the request.
+        /// The deadline passed after the request was sent to the server.
         DeadlinePassed => "deadline-passed",
-        /// The answer was another request's, or malformed.
+        /// The response belonged to another request, or was malformed.
         CrossedAnswer => "crossed-answer",
-        /// A resend met a keeper too young to remember the first try.
+        /// A retry reached a keeper that started too recently to know of the
+/// first attempt.
         KeeperTooYoung => "keeper-too-young",
-        /// A resend was refused by one who cannot know of the first try.
+        /// A retry was refused by a process that can't know of the first
+/// attempt.
         ResendRefused => "resend-refused",
-        /// The same request is still under way.
+        /// The same request is still in flight.
         StillRunning => "still-running",
     }
 );
 
 reason_type!(
-    /// Why a request was sent again, or elsewhere.
+    /// Why a request was retried, or sent to another keeper.
     RetryReason {
-        /// The keeper named another keeper.
+        /// The keeper redirected the request to another keeper.
         Redirected => "redirected",
-        /// The keeper was not reached, so the request did not start.
+        /// The keeper could not be reached, so the request did not start.
         KeeperUnreachable => "keeper-unreachable",
-        /// The table held no owner when the request came.
+        /// The table had no owner when the request arrived.
         NoOwner => "no-owner",
-        /// The server refused to start it and may take it later.
+        /// The server refused to start it and may accept it later.
         ServerRefused => "server-refused",
-        /// An idempotent request broke off before its first byte.
+        /// An idempotent request was cut off before the first response byte.
         BrokenOff => "broken-off",
     }
 );
--- a/goldcrestramp-types/src/request.rs
+++ b/goldcrestramp-types/src/request.rs
@@ -1,4 +1,4 @@
-//! The two properties of a request that decide how it may be treated.
+//! The properties of a request that decide how it may be handled.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,21 +6,21 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RequestEffect {
-    /// Running it twice is the same as running it once.
+    /// Executing it twice has the same effect as executing it once.
     Idempotent,
-    /// Running it twice does harm; it is executed at most once.
+    /// Executing it twice does harm; it is executed at most once.
     NonIdempotent,
 }
 
-/// How long a request is expected to hold a slot.
+/// How long a request is expected to occupy a slot of a server.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RequestClass {
-    /// A lookup: short, idempotent, many.
+    /// A lookup: short, idempotent and frequent.
     Lookup,
-    /// An order or a renewal: short, non-idempotent.
+    /// An order or a renewal: short and not idempotent.
     Order,
-    /// An export or a download: holds a slot for seconds or minutes.
+    /// An export or a download: occupies a slot for seconds or minutes.
     Long,
 }
 
@@ -37,7 +37,7 @@
         }
     }
 
-    /// The stable code in headers, messages and counters.
+    /// The stable code for headers, messages and counters.
     #[must_use]
     pub const fn code(self) -> &'static str {
         match self {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Finds the class that has this code.
+    /// Finds the class with this code.
     #[must_use]
     pub fn from_code(code: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|class| class.code() == code)
--- a/goldcrestramp-types/src/slice.rs
+++ b/goldcrestramp-types/src/slice.rs
@@ -1,27 +1,27 @@
-//! Keys are hashed to slices; a slice is the unit of ownership.
+//! Slices: keys are hashed to them, and each has one owner.
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The most slices that a service can have.
-const SLICE_LIMIT: u32 = 65_536;
+/// The maximum number of slices of a service.
+const MAX_SLICES: u32 = 65_536;
 
 /// The number of slices of a service: a power of two up to 65,536.
 ///
-/// It is fixed when the service is created, because changing it would
-/// change the owner of nearly every key at once.
+/// It is fixed when the service is created, because a change would change
+/// the owner of nearly every key at once.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Serialize, Deserialize)]
 #[serde(try_from = "u32", into = "u32")]
 pub struct SliceCount(u32);
 
 impl SliceCount {
-    /// The count that a service gets when its ticket names none.
+    /// The count of a service whose ticket does not specify one.
     pub const DEFAULT: Self = Self(4_096);
 
-    /// Checks that `count` is a power of two up to 65,536.
+    /// Creates a count; `None` unless it is a power of two up to 65,536.
     #[must_use]
     pub const fn new(count: u32) -> Option<Self> {
-        if count.is_power_of_two() && count <= SLICE_LIMIT {
+        if count.is_power_of_two() && count <= MAX_SLICES {
             Some(Self(count))
         } else {
             None
@@ -71,13 +71,13 @@
 pub struct SliceIndex(u16);
 
 impl SliceIndex {
-    /// The lowest slice there can be.
+    /// The lowest possible slice.
     pub const FIRST: Self = Self(0);
 
-    /// The highest slice there can be.
+    /// The highest possible slice.
     pub const LAST: Self = Self(u16::MAX);
 
-    /// Makes an index when `number` is below 65,536.
+    /// Creates an index; `None` unless `number` is below 65,536.
     #[must_use]
     pub fn new(number: u32) -> Option<Self> {
         u16::try_from(number).ok().map(Self)
@@ -104,8 +104,8 @@
 
 /// The slice of `key` in a service of `count` slices.
 ///
-/// The low bits of xxh3-64 decide, so the result is the same on every
-/// machine and for ever.
+/// The index is the low bits of the key's xxh3-64 hash, so it is the same on
+/// every machine and in every version.
 #[must_use]
 pub fn slice_of(key: &[u8], count: SliceCount) -> SliceIndex {
     let mask = u64::from(count.get() - 1);
--- a/goldcrestramp-types/src/slice_set.rs
+++ b/goldcrestramp-types/src/slice_set.rs
@@ -1,39 +1,39 @@
-//! A set of slices of one service, as a bitmap.
+//! Ranges and sets of slices of one service.
 
 use serde::{Deserialize, Serialize};
 
 use crate::slice::SliceIndex;
 
-/// Slices in one word of the bitmap.
+/// The number of slices in one word of the bitmap.
 const WORD_BITS: usize = 64;
 
-/// A run of slices, both ends included, as it travels in messages.
+/// A range of adjacent slices, both ends included.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Serialize, Deserialize)]
 pub struct SliceRange {
-    /// The first slice of the run.
+    /// The first slice of the range.
     pub first: SliceIndex,
-    /// The last slice of the run.
+    /// The last slice of the range.
     pub last: SliceIndex,
 }
 
 impl SliceRange {
-    /// Every slice there can be.
+    /// All possible slices.
     pub const ALL: Self =
         Self { first: SliceIndex::FIRST, last: SliceIndex::LAST };
 
-    /// Whether the slice lies in the run.
+    /// Whether the range contains the slice.
     #[must_use]
     pub fn contains(self, index: SliceIndex) -> bool {
         self.first <= index && index <= self.last
     }
 
-    /// Whether all of `other` lies in the run.
+    /// Whether the range contains all of `other`.
     #[must_use]
     pub fn covers(self, other: Self) -> bool {
         self.first <= other.first && other.last <= self.last
     }
 
-    /// The number of slices in the run.
+    /// The number of slices in the range.
     #[must_use]
     pub fn slices(self) -> u32 {
         let first = u32::from(self.first.get());
@@ -41,9 +41,9 @@
     }
 }
 
-/// A set of slices: one bit each, 8 KiB at 65,536 slices.
+/// A set of slices, stored as a bitmap: 8 KiB at 65,536 slices.
 ///
-/// It travels as its runs, which are few where slices were placed in
+/// It is serialized as its ranges, which are few if slices were assigned in
 /// blocks.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(from = "Vec<SliceRange>", into = "Vec<SliceRange>")]
@@ -58,9 +58,9 @@
         Self { words: Vec::new() }
     }
 
-    /// Adds a slice; tells whether it was new.
+    /// Adds a slice; returns whether it was new.
     pub fn insert(&mut self, index: SliceIndex) -> bool {
-        let (word, bit) = place(index);
+        let (word, bit) = word_and_bit(index);
         if self.words.len() <= word {
             self.words.resize(word + 1, 0);
         }
@@ -69,9 +69,9 @@
         before != self.words[word]
     }
 
-    /// Takes a slice out; tells whether it was there.
+    /// Removes a slice; returns whether it was present.
     pub fn remove(&mut self, index: SliceIndex) -> bool {
-        let (word, bit) = place(index);
+        let (word, bit) = word_and_bit(index);
         let Some(value) = self.words.get_mut(word) else {
             return false;
         };
@@ -83,7 +83,7 @@
     /// Whether the slice is in the set.
     #[must_use]
     pub fn contains(&self, index: SliceIndex) -> bool {
-        let (word, bit) = place(index);
+        let (word, bit) = word_and_bit(index);
         self.words.get(word).is_some_and(|value| value & bit != 0)
     }
 
@@ -93,13 +93,13 @@
         self.words.iter().map(|word| word.count_ones() as usize).sum()
     }
 
-    /// Whether the set has no slice.
+    /// Whether the set is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.words.iter().all(|word| *word == 0)
     }
 
-    /// The slices in rising order.
+    /// The slices in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = SliceIndex> + '_ {
         let words = self.words.iter().enumerate();
         words.flat_map(|(position, word)| word_slices(position, *word))
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Takes out every slice of `other`.
+    /// Removes every slice of `other`.
     pub fn subtract(&mut self, other: &Self) {
         for (mine, theirs) in self.words.iter_mut().zip(&other.words) {
             *mine &= !theirs;
@@ -136,7 +136,7 @@
         self.words.iter().zip(&other.words).any(|(a, b)| a & b != 0)
     }
 
-    /// The runs of the set in rising order.
+    /// The ranges of the set in ascending order.
     #[must_use]
     pub fn ranges(&self) -> Vec<SliceRange> {
         let mut ranges: Vec<SliceRange> = Vec::new();
@@ -156,7 +156,7 @@
 }
 
 impl PartialEq for SliceSet {
-    /// Trailing empty words do not count: equal sets may differ in them.
+    /// Ignores trailing empty words, in which equal sets may differ.
     fn eq(&self, other: &Self) -> bool {
         let length = self.words.len().max(other.words.len());
         (0..length).all(|word| {
@@ -193,13 +193,13 @@
     }
 }
 
-/// The word of a slice in the bitmap, and its bit in that word.
-fn place(index: SliceIndex) -> (usize, u64) {
+/// The index of a slice's word in the bitmap, and the slice's bit in it.
+fn word_and_bit(index: SliceIndex) -> (usize, u64) {
     let position = index.position();
     (position / WORD_BITS, 1 << (position % WORD_BITS))
 }
 
-/// The slices that one word of the bitmap holds.
+/// The slices in one word of the bitmap.
 fn word_slices(
     position: usize,
     word: u64,
--- a/goldcrestramp-types/src/time.rs
+++ b/goldcrestramp-types/src/time.rs
@@ -1,15 +1,14 @@
-//! Points in time, each in the clock of one process.
+//! Times, each by the clock of one process, and time spans.
 //!
-//! Deadlines are stored, never durations: a stored duration loses the
-//! moment it counts from, and a holder that was paused would start it
-//! afresh.
+//! State stores deadlines, never durations: a stored duration loses the time
+//! that it counts from, and a process that was paused would start it again.
 
 use std::ops::{Add, Sub};
 
 use rustix::time::{ClockId, clock_gettime};
 use serde::{Deserialize, Serialize};
 
-/// A length of time in microseconds; used in sums, not kept as state.
+/// A duration in microseconds, for arithmetic; state stores deadlines.
 #[derive(
     Clone,
     Copy,
@@ -27,16 +26,16 @@
 pub struct TimeSpan(u64);
 
 impl TimeSpan {
-    /// No time at all.
+    /// A span of 0 microseconds.
     pub const ZERO: Self = Self(0);
 
-    /// A span of so many microseconds.
+    /// Creates a span from microseconds.
     #[must_use]
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
 
-    /// A span of so many milliseconds.
+    /// Creates a span from milliseconds.
     #[must_use]
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis.saturating_mul(1_000))
@@ -54,7 +53,7 @@
         self.0 / 1_000
     }
 
-    /// What is left of the span after `other`; zero if that is longer.
+    /// The span without `other`; zero if that is longer.
     #[must_use]
     pub const fn minus(self, other: Self) -> Self {
         Self(self.0.saturating_sub(other.0))
@@ -66,13 +65,13 @@
         Self(self.0.saturating_mul(percent) / 100)
     }
 
-    /// Both spans together.
+    /// The sum of both spans.
     #[must_use]
     pub const fn plus(self, other: Self) -> Self {
         Self(self.0.saturating_add(other.0))
     }
 
-    /// The span as the standard library's duration.
+    /// The span as a [`Duration`](std::time::Duration).
     #[must_use]
     pub const fn to_std(self) -> std::time::Duration {
         std::time::Duration::from_micros(self.0)
@@ -90,7 +89,7 @@
         pub struct $name(u64);
 
         impl $name {
-            /// The point so many microseconds after the clock's start.
+            /// Creates a time from microseconds since the clock's start.
             #[must_use]
             pub const fn from_micros(micros: u64) -> Self {
                 Self(micros)
@@ -102,7 +101,7 @@
                 self.0
             }
 
-            /// The time from `earlier` to here; zero if it is later.
+            /// The span since `earlier`; zero if that is later.
             #[must_use]
             pub const fn since(self, earlier: Self) -> TimeSpan {
                 TimeSpan(self.0.saturating_sub(earlier.0))
@@ -128,27 +127,27 @@
 }
 
 time_type!(
-    /// A point in the clock of the process that stores it.
+    /// A time by the clock of the process that stores it.
     ///
-    /// It is never sent to another process; messages carry the span that
-    /// is left, and the receiver counts it from when it sent its request.
+    /// It is never sent to another process. Messages carry the remaining
+    /// span, and the receiver counts it from when it sent its request.
     LocalTime
 );
 time_type!(
-    /// A point in the clock of one run of one backend server.
+    /// A time by the clock of one instance of a backend server.
     ServerTime
 );
 
-/// Where a process reads its own time.
+/// The clock from which a process reads its local time.
 pub trait ClockSource {
-    /// The present moment.
+    /// The current time.
     fn now(&self) -> LocalTime;
 }
 
-/// The machine's clock that never steps and counts while suspended.
+/// The machine's monotonic clock that also counts while suspended.
 ///
-/// A clock that stops while a VM is suspended would let a lapsed lease
-/// look alive on waking; `CLOCK_BOOTTIME` goes on.
+/// With a clock that stops while a VM is suspended, an expired lease would
+/// look valid after the VM resumes. `CLOCK_BOOTTIME` does not stop.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MonotonicClock;
 
--- a/goldcrestramp-types/src/token.rs
+++ b/goldcrestramp-types/src/token.rs
@@ -1,14 +1,15 @@
-//! Numbers that order decisions: terms, fencing tokens, table versions.
+//! Ordered numbers of decisions: terms, fencing tokens and table versions.
 
 use serde::{Deserialize, Serialize};
 
 use crate::names::VmName;
 
-/// A term of a steward, ordered by number, then VM, then start.
+/// A term of a steward, the VM that decides for a failure domain; ordered by
+/// number, then VM, then start.
 ///
-/// The VM's name and the random number of its process start make two
-/// candidates with the same number differ, also when a VM is replaced by
-/// one with the same name.
+/// The VM's name and the random number of its process distinguish two
+/// candidates with the same number, even if a VM is replaced by one with the
+/// same name.
 #[derive(
     Clone,
     Copy,
@@ -24,16 +25,16 @@
 )]
 #[serde(deny_unknown_fields)]
 pub struct TermId {
-    /// Rises with every new steward of the failure domain.
+    /// Increases with every new steward of the failure domain.
     pub number: u64,
-    /// A digest of the steward's VM name.
+    /// A hash of the steward's VM name.
     pub vm: u64,
-    /// A random number that the steward's process drew when it started.
+    /// A random number that the steward's process generated at its start.
     pub start: u64,
 }
 
 impl TermId {
-    /// The term of the process `start` on `vm` with this number.
+    /// Creates the term with this number of the process `start` on `vm`.
     #[must_use]
     pub fn new(number: u64, vm: &VmName, start: u64) -> Self {
         let vm = xxhash_rust::xxh3::xxh3_64(vm.as_str().as_bytes());
@@ -41,8 +42,8 @@
     }
 }
 
-/// The fencing token of a grant: a server refuses what carries a lower
-/// one than it has seen for the slice.
+/// The fencing token of a grant. A server rejects a token that is lower than
+/// the highest one that it has seen for the slice.
 #[derive(
     Clone,
     Copy,
@@ -60,11 +61,11 @@
 pub struct FenceToken {
     /// The term of the steward that decided.
     pub term: TermId,
-    /// Rises with every decision of that steward.
+    /// Increases with every decision of that steward.
     pub sequence: u64,
 }
 
-/// The version of a failure domain's routing table; ordered.
+/// The version of a failure domain's routing table.
 #[derive(
     Clone,
     Copy,
@@ -82,6 +83,6 @@
 pub struct TableVersion {
     /// The term of the steward that published the table.
     pub term: TermId,
-    /// Rises with every change within the term.
+    /// Increases with every change within the term.
     pub sequence: u64,
 }
--- a/goldcrestramp-types/tests/slices.rs
+++ b/goldcrestramp-types/tests/slices.rs
@@ -1,4 +1,4 @@
-//! Slice sets behave as sets, and travel as their runs without loss.
+//! Slice sets behave as sets, and convert to ranges without loss.
 
 use std::collections::BTreeSet;
 
@@ -11,13 +11,13 @@
 
 proptest! {
     #[test]
-    fn a_set_survives_its_runs(
+    fn a_set_equals_the_set_of_its_ranges(
         numbers in prop::collection::btree_set(0_u32..65_536, 0..200),
     ) {
         let set = set_of(&numbers);
-        let back = SliceSet::from(set.ranges());
-        prop_assert_eq!(&back, &set);
-        prop_assert_eq!(back.len(), numbers.len());
+        let restored = SliceSet::from(set.ranges());
+        prop_assert_eq!(&restored, &set);
+        prop_assert_eq!(restored.len(), numbers.len());
     }
 
     #[test]
@@ -27,16 +27,16 @@
     ) {
         let mut union = set_of(&left);
         union.union_with(&set_of(&right));
-        let mut rest = set_of(&left);
-        rest.subtract(&set_of(&right));
-        let mut both = set_of(&left);
-        both.intersect_with(&set_of(&right));
+        let mut difference = set_of(&left);
+        difference.subtract(&set_of(&right));
+        let mut intersection = set_of(&left);
+        intersection.intersect_with(&set_of(&right));
         let expected: BTreeSet<u32> = &left | &right;
         prop_assert_eq!(&union, &set_of(&expected));
         let expected: BTreeSet<u32> = &left - &right;
-        prop_assert_eq!(&rest, &set_of(&expected));
+        prop_assert_eq!(&difference, &set_of(&expected));
         let expected: BTreeSet<u32> = &left & &right;
-        prop_assert_eq!(&both, &set_of(&expected));
+        prop_assert_eq!(&intersection, &set_of(&expected));
         let shared = !expected.is_empty();
         prop_assert_eq!(set_of(&left).overlaps(&set_of(&right)), shared);
     }
