--- a/goldcrestramp-platform/src/backoff.rs
+++ b/goldcrestramp-platform/src/backoff.rs
@@ -1,23 +1,24 @@
-//! When to call again after a call has failed.
+//! Backoff with jitter between retries of failed calls.
 
 use goldcrestramp_types::{LocalTime, TimeSpan};
 
-/// Between which pauses a caller backs off.
+/// The bounds of a caller's backoff delays.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct BackoffRange {
-    /// The longest pause after the first failure.
+    /// The maximum delay after the first failure.
     pub base: TimeSpan,
-    /// The longest pause at all.
+    /// The maximum delay after any number of failures.
     pub cap: TimeSpan,
 }
 
 impl Default for BackoffRange {
     /// 50 ms to 4 s.
     ///
-    /// 50 ms: a slow moment passes unnoticed. 4 s: 640 nodes that return
-    /// after a long outage call about 320 times a second, a sixth of the
-    /// 2,000 reads that the service takes, and a change is still in force
-    /// within its 8 s.
+    /// With a base of 50 ms, a short failure is retried without a noticeable
+    /// delay. With a cap of 4 s, 640 nodes that return after a long outage
+    /// make about 320 calls per second, a sixth of the 2,000 reads per second
+    /// that the service accepts, and a change is still in force within its
+    /// 8 s.
     fn default() -> Self {
         Self {
             base: TimeSpan::from_millis(50),
@@ -26,12 +27,12 @@
     }
 }
 
-/// The pause before the next try: evenly spread between zero and a bound
-/// that doubles with each failure ("full jitter").
+/// The delay before the next retry: uniformly distributed between zero and a
+/// bound that doubles with each failure ("full jitter").
 ///
-/// `random` is any number drawn evenly from all of `u64`. Without the
-/// spread all nodes would call at the same moments after an outage, be
-/// refused together and come back together.
+/// `random` is a uniformly distributed `u64`. Without jitter all nodes would
+/// call at the same times after an outage, be refused together and retry
+/// together.
 #[must_use]
 pub fn full_jitter(
     range: BackoffRange,
@@ -47,7 +48,7 @@
     TimeSpan::from_micros(micros)
 }
 
-/// A caller's failures in a row, and when it may call again.
+/// A caller's consecutive failures, and when it may retry.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBackoff {
     range: BackoffRange,
@@ -56,13 +57,13 @@
 }
 
 impl RetryBackoff {
-    /// A caller that has not failed yet.
+    /// Creates the state of a caller without failures.
     #[must_use]
     pub fn new(range: BackoffRange) -> Self {
         Self { range, failures: 0, until: LocalTime::default() }
     }
 
-    /// Notes a failure at `now`; tells when to call again.
+    /// Records a failure at `now`; returns when the caller may retry.
     pub fn record_failure(
         &mut self,
         now: LocalTime,
@@ -73,19 +74,19 @@
         self.until
     }
 
-    /// Notes a success.
+    /// Records a success, which resets the backoff.
     pub fn record_success(&mut self) {
         self.failures = 0;
         self.until = LocalTime::default();
     }
 
-    /// Whether the caller may call at `now`.
+    /// Whether the backoff delay is over at `now`.
     #[must_use]
     pub fn may_call(&self, now: LocalTime) -> bool {
         now >= self.until
     }
 
-    /// Failures since the last success.
+    /// The number of failures since the last success.
     #[must_use]
     pub const fn failures(&self) -> u32 {
         self.failures
--- a/goldcrestramp-platform/src/calls.rs
+++ b/goldcrestramp-platform/src/calls.rs
@@ -1,17 +1,17 @@
-//! Counts of calls to the platform, by kind.
+//! Counts the calls to the platform by kind.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The kinds of calls that the platform counts.
+/// A kind of call, as the platform counts them.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CallKind {
     /// A read of a key.
     Read,
     /// A write of a key.
     Write,
-    /// A waiting watch; each counts as a call.
+    /// A long-polling watch; each poll counts as a call.
     Watch,
-    /// Taking or renewing a lease.
+    /// Opening, renewing or ending a lease.
     Lease,
     /// A read of the VM list.
     VmList,
@@ -22,7 +22,7 @@
     pub const ALL: [Self; 5] =
         [Self::Read, Self::Write, Self::Watch, Self::Lease, Self::VmList];
 
-    /// The stable name in counters.
+    /// The stable code for counters.
     #[must_use]
     pub const fn code(self) -> &'static str {
         match self {
@@ -35,7 +35,7 @@
     }
 }
 
-/// How many calls of each kind were made.
+/// The number of calls of each kind.
 #[derive(Debug, Default)]
 pub struct CallCounts {
     counts: [AtomicU64; CallKind::ALL.len()],
@@ -47,7 +47,7 @@
         self.counts[kind as usize].fetch_add(1, Ordering::Relaxed);
     }
 
-    /// How many calls of this kind were made.
+    /// The number of calls of this kind.
     #[must_use]
     pub fn get(&self, kind: CallKind) -> u64 {
         self.counts[kind as usize].load(Ordering::Relaxed)
--- a/goldcrestramp-platform/src/client.rs
+++ b/goldcrestramp-platform/src/client.rs
@@ -1,4 +1,4 @@
-//! The platform's services over HTTP.
+//! The HTTP client of the platform's services.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,10 +15,10 @@
     store::{PutCondition, PutOutcome, StoreAccess, StoreError, StoredValue},
 };
 
-/// A call that has not been answered after so long is given up.
+/// The timeout of a call.
 ///
-/// The service answers in milliseconds; two seconds tell an outage from a
-/// slow moment.
+/// The service responds within milliseconds, so 2 s tell an outage from a
+/// short delay.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A client of one platform; cheap to clone.
@@ -30,12 +30,12 @@
 }
 
 impl PlatformClient {
-    /// Opens a client of the platform at `base`, such as
-    /// `http://127.0.0.1:7000`; nothing is sent yet.
+    /// Creates a client of the platform at the URL `base`, such as
+    /// `http://127.0.0.1:7000`, without connecting.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Refused`] when no HTTP client can be built.
+    /// [`StoreError::Refused`] if the HTTP client can't be built.
     pub fn open(base: &str) -> Result<Self, StoreError> {
         let http = Client::builder()
             .connect_timeout(CALL_TIMEOUT)
@@ -46,7 +46,7 @@
         Ok(Self { base, http, counts: Arc::new(CallCounts::default()) })
     }
 
-    /// The calls made so far, by kind.
+    /// The counts of the calls made so far.
     #[must_use]
     pub fn counts(&self) -> Arc<CallCounts> {
         Arc::clone(&self.counts)
@@ -56,7 +56,7 @@
     ///
     /// # Errors
     ///
-    /// [`StoreError::Unavailable`] when the list can't be read.
+    /// [`StoreError::Unavailable`] if the list can't be read.
     pub async fn vms(&self) -> Result<Vec<VmEntry>, StoreError> {
         self.counts.add(CallKind::VmList);
         let url = format!("{}/vms", self.base);
@@ -66,12 +66,11 @@
         response.json().await.map_err(unavailable)
     }
 
-    /// Ends a lease, so that what is tied to it goes at once.
+    /// Ends a lease, so that the values bound to it are removed at once.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Unavailable`] when it can't be told; it then ends by
-    /// itself.
+    /// A [`StoreError`] if the call fails; the lease then expires.
     pub async fn end(&self, lease: u64) -> Result<(), StoreError> {
         self.counts.add(CallKind::Lease);
         let url = format!("{}/leases/{lease}", self.base);
@@ -131,7 +130,7 @@
                 request.header(IF_MATCH, format!("\"{version}\""))
             }
         };
-        let response = request.send().await.map_err(lost_write)?;
+        let response = request.send().await.map_err(failed_write)?;
         match response.status() {
             StatusCode::OK => version_of(&response)
                 .map(PutOutcome::Written)
@@ -197,10 +196,10 @@
     StoreError::Unavailable(error.to_string())
 }
 
-/// A write that failed before the connection stood had no effect; any other
-/// failure may have come after the service carried it out.
+/// Classifies a failed write. It had no effect if the connection could not be
+/// opened; after any other failure the service may have carried it out.
 #[expect(clippy::needless_pass_by_value, reason = "passed to map_err")]
-fn lost_write(error: reqwest::Error) -> StoreError {
+fn failed_write(error: reqwest::Error) -> StoreError {
     if error.is_connect() {
         StoreError::Unavailable(error.to_string())
     } else {
@@ -208,7 +207,8 @@
     }
 }
 
-/// A read that was refused; too many calls are as good as an outage.
+/// Classifies a refused call. A refusal for too many calls is treated as an
+/// outage.
 fn refused(status: StatusCode) -> StoreError {
     let busy = status == StatusCode::TOO_MANY_REQUESTS;
     if busy || status.is_server_error() {
@@ -218,11 +218,11 @@
     }
 }
 
-/// A write that was refused.
+/// Classifies a refused write.
 ///
-/// A server error, such as an intermediary's 502, may hide a write that
-/// took effect: taken for "no effect", an operator would be told that an
-/// accepted ticket was lost. Only a read tells.
+/// A server error, such as 502 from an intermediary, may hide a write that
+/// took effect. If it were treated as "no effect", an operator would be told
+/// that an accepted ticket was lost. Only a read can decide.
 fn refused_write(status: StatusCode) -> StoreError {
     if status.is_server_error() {
         StoreError::Unknown(status.to_string())
--- a/goldcrestramp-platform/src/gate.rs
+++ b/goldcrestramp-platform/src/gate.rs
@@ -1,4 +1,4 @@
-//! Versions that only rise, also when the store comes back with older data.
+//! Rejects older values when the store is restored from older data.
 
 use bytes::Bytes;
 
@@ -7,58 +7,59 @@
     store::{PutCondition, StoredValue},
 };
 
-/// A write that puts the newest known value back.
+/// A write that restores the newest known value.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct StoreRewrite {
-    /// The older state that it replaces.
+    /// The state of the key that it replaces.
     pub condition: PutCondition,
     /// The newest known value.
     pub value: Bytes,
 }
 
-/// What a reader makes of a value that it has read.
+/// The result of checking a value that was read.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum GateVerdict<R> {
-    /// It is newer than all before: use it.
+    /// The value is newer than all previous ones and is accepted.
     Newer(R),
-    /// It is what is known.
+    /// The value is the newest known one.
     Same,
-    /// It is older than what is known: the store was restored. Whoever is
-    /// to keep the record writes the newer value again.
+    /// The value is older than the newest known one: the store was restored.
+    /// The process responsible for the record has to write the newer value
+    /// again.
     Older(StoreRewrite),
-    /// It has the number of what is known, but says something else: after
-    /// a restore somebody built on the older data. It is not taken, and
-    /// an operator has to be told.
+    /// The value has the number of the newest known one, but other content:
+    /// after a restore, another process made a change to the older data. The
+    /// value is rejected, and an operator has to be informed.
     Forked,
-    /// It is malformed and not taken.
+    /// The value is malformed and is rejected.
     Malformed(RecordError),
-    /// There is no value, and none was known.
+    /// The key has no value, and none was known.
     Absent,
 }
 
-/// What a reader knows of one key.
+/// Tracks the newest known value of one key.
 ///
-/// It compares the numbers inside the values, not the store's versions:
-/// those go back with the data, and are given out a second time.
+/// It compares the numbers inside the values, not the store's versions: a
+/// restore resets those along with the data, and they are assigned again.
 #[derive(Clone, Debug)]
 pub struct VersionGate<R: NumberedRecord> {
     known: Option<(R::Number, Bytes)>,
 }
 
 impl<R: NumberedRecord> VersionGate<R> {
-    /// A reader that knows nothing yet.
+    /// Creates a gate without a known value.
     #[must_use]
     pub const fn new() -> Self {
         Self { known: None }
     }
 
-    /// The newest known number.
+    /// The number of the newest known value.
     #[must_use]
     pub fn number(&self) -> Option<R::Number> {
         self.known.as_ref().map(|(number, _)| *number)
     }
 
-    /// Takes what is known by another way than this reader's own reads.
+    /// Records a value that was not read through this gate, if it is newer.
     pub fn observe(&mut self, record: &R) {
         let newer = self.number().is_none_or(|known| known < record.number());
         if let Ok(value) = record.encode()
@@ -68,10 +69,10 @@
         }
     }
 
-    /// Judges what was read.
+    /// Checks a value that was read, and records it if it is newer.
     pub fn check(&mut self, found: Option<&StoredValue>) -> GateVerdict<R> {
         let Some(found) = found else {
-            return self.gone();
+            return self.check_missing();
         };
         let record = match R::decode(&found.value) {
             Ok(record) => record,
@@ -96,8 +97,9 @@
         GateVerdict::Newer(record)
     }
 
-    /// The key has no value: fine at the start, a restore later.
-    fn gone(&self) -> GateVerdict<R> {
+    /// The verdict on a missing value: normal if none was known, otherwise the
+    /// result of a restore.
+    fn check_missing(&self) -> GateVerdict<R> {
         match &self.known {
             None => GateVerdict::Absent,
             Some((_, value)) => GateVerdict::Older(StoreRewrite {
--- a/goldcrestramp-platform/src/protocol.rs
+++ b/goldcrestramp-platform/src/protocol.rs
@@ -1,4 +1,4 @@
-//! Bodies of the platform's calls.
+//! The bodies of the platform's responses.
 
 use goldcrestramp_types::{DomainName, RegionName, VmName};
 use serde::{Deserialize, Serialize};
@@ -7,32 +7,32 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum VmState {
-    /// It runs, as far as the platform knows.
+    /// The VM runs, as far as the platform knows.
     Live,
-    /// It is being taken away.
+    /// The VM is being removed.
     Leaving,
 }
 
-/// A VM on the platform's list, which lags and may be wrong.
+/// A VM on the platform's list, which lags and may be inaccurate.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct VmEntry {
-    /// Its name.
+    /// The VM's name.
     pub name: VmName,
-    /// Its failure domain.
+    /// The VM's failure domain.
     pub domain: DomainName,
-    /// Its region.
+    /// The VM's region.
     pub region: RegionName,
-    /// Where its control listener is, `IP:port`.
+    /// The address of its control listener, as `IP:port`.
     pub address: String,
-    /// Live or leaving.
+    /// Whether the VM is live or leaving.
     pub state: VmState,
 }
 
-/// A lease as the service grants it.
+/// The service's response to opening a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseGrant {
-    /// The id to name it by.
+    /// The id of the lease.
     pub lease: u64,
-    /// How long it lasts from now, in milliseconds.
+    /// Its TTL from now, in milliseconds.
     pub ttl_ms: u64,
 }
--- a/goldcrestramp-platform/src/records/codec.rs
+++ b/goldcrestramp-platform/src/records/codec.rs
@@ -1,4 +1,4 @@
-//! Records to and from the bytes of a value.
+//! Encodes records to stored values and decodes them.
 
 use bytes::Bytes;
 use goldcrestramp_config::DeploymentState;
@@ -6,50 +6,50 @@
 
 use super::error::RecordError;
 
-/// The largest value that is written, in bytes.
+/// The maximum size of a written value, in bytes.
 ///
-/// The store takes a megabyte; the rest is room for its own bookkeeping.
-const VALUE_LIMIT: usize = 950_000;
+/// The store accepts up to a megabyte; the rest is room for its own metadata.
+const MAX_VALUE_BYTES: usize = 950_000;
 
-/// A record that the store keeps.
+/// A record that can be stored.
 pub trait StoreRecord: Sized {
-    /// Its form in JSON.
+    /// The record's JSON representation.
     type Form: Serialize + DeserializeOwned;
 
-    /// The record's form, if the record is within its bounds.
+    /// Converts the record to its JSON form.
     ///
     /// # Errors
     ///
-    /// A [`RecordError`] that names the bound.
+    /// A [`RecordError`] that names the bound that the record exceeds.
     fn to_form(&self) -> Result<Self::Form, RecordError>;
 
-    /// The record of this form.
+    /// Converts a JSON form to the record.
     ///
     /// # Errors
     ///
-    /// A [`RecordError`] that names the first fault.
+    /// A [`RecordError`] that names the first invalid part.
     fn from_form(form: Self::Form) -> Result<Self, RecordError>;
 
-    /// The bytes to write.
+    /// Encodes the record.
     ///
     /// # Errors
     ///
-    /// A [`RecordError`] when the record breaks a bound; what
-    /// [`StoreRecord::decode`] would refuse is never written.
+    /// A [`RecordError`] if the record exceeds a bound, so that a value that
+    /// [`StoreRecord::decode`] would reject is never written.
     fn encode(&self) -> Result<Bytes, RecordError> {
         let form = self.to_form()?;
         let bytes = serde_json::to_vec(&form).map_err(json)?;
-        if bytes.len() > VALUE_LIMIT {
+        if bytes.len() > MAX_VALUE_BYTES {
             return Err(RecordError::TooLarge { bytes: bytes.len() });
         }
         Ok(Bytes::from(bytes))
     }
 
-    /// The record in these bytes.
+    /// Decodes a record.
     ///
     /// # Errors
     ///
-    /// A [`RecordError`] when any part of the value is malformed.
+    /// A [`RecordError`] if any part of the value is malformed.
     fn decode(value: &[u8]) -> Result<Self, RecordError> {
         Self::from_form(serde_json::from_slice(value).map_err(json)?)
     }
--- a/goldcrestramp-platform/src/records/directory.rs
+++ b/goldcrestramp-platform/src/records/directory.rs
@@ -1,11 +1,12 @@
-//! To which service each server belongs.
+//! Maps servers to their services.
 
 use goldcrestramp_config::DeploymentState;
 use goldcrestramp_types::{FastMap, ServerName, ServiceName, SliceCount};
 
 use super::domain::DomainShard;
 
-/// The services of servers, which a domain's record itself does not hold.
+/// The service of each server, which a domain's record does not contain, and
+/// the slice count of each service.
 #[derive(Clone, Debug, Default)]
 pub struct ServerDirectory {
     servers: FastMap<ServerName, ServiceName>,
@@ -13,15 +14,15 @@
 }
 
 impl ServerDirectory {
-    /// A directory that knows nobody.
+    /// Creates an empty directory.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes in the configuration.
+    /// Adds the services and servers of the configuration.
     ///
-    /// Servers that were known before stay known: one that a ticket has
+    /// Servers that were added before stay: a server that a ticket has
     /// removed may hold slices until they have moved.
     pub fn add_configuration(&mut self, state: &DeploymentState) {
         for service in &state.services {
@@ -32,19 +33,19 @@
         }
     }
 
-    /// Takes in the servers of a stored shard.
+    /// Adds the servers of a stored shard.
     pub fn add_shard(&mut self, shard: &DomainShard) {
         for server in shard.holders.keys() {
             self.add_server(server.clone(), shard.service.clone());
         }
     }
 
-    /// Adds a service.
+    /// Adds a service, or replaces its slice count.
     pub fn add_service(&mut self, service: ServiceName, count: SliceCount) {
         self.counts.insert(service, count);
     }
 
-    /// Adds a server.
+    /// Adds a server, or replaces its service.
     pub fn add_server(&mut self, server: ServerName, service: ServiceName) {
         self.servers.insert(server, service);
     }
@@ -61,7 +62,7 @@
         self.counts.get(service).copied()
     }
 
-    /// The services, in the order of their names.
+    /// The services with their slice counts, ordered by name.
     #[must_use]
     pub fn services(&self) -> Vec<(&ServiceName, SliceCount)> {
         let mut services: Vec<_> =
--- a/goldcrestramp-platform/src/records/domain.rs
+++ b/goldcrestramp-platform/src/records/domain.rs
@@ -1,9 +1,9 @@
-//! Which server of a failure domain holds each slice.
+//! The record of which server of a failure domain holds each slice.
 //!
-//! A domain's record is kept in shards of [`SHARD_SLICES`] slices of one
-//! service, and a head that names the token of each. Shards are written
-//! first and the head last: a write that was broken off leaves the head's
-//! older token, by which what servers report counts as newer.
+//! A domain's record is stored as shards of [`SHARD_SLICES`] slices of one
+//! service, and a head with the token of each shard. The shards are written
+//! first and the head last: an interrupted write leaves the older token in
+//! the head, so that the reports of servers count as newer.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -20,12 +20,14 @@
 mod form;
 mod split;
 
-/// Slices in one shard: a service of default size fits in one, and the
-/// worst shard (every slice with another server) takes about 400 KB.
+/// The number of slices in one shard.
+///
+/// A service of the default size fits in one shard, and the largest shard
+/// (with another server for every slice) takes about 400 KB.
 pub const SHARD_SLICES: u32 = 4_096;
 
-/// The most shards that a head names.
-const SHARD_LIMIT: usize = 2_048;
+/// The maximum number of shards, and of stranded services, of a head.
+const MAX_SHARDS: usize = 2_048;
 
 /// The holders of up to [`SHARD_SLICES`] slices of one service.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -37,23 +39,24 @@
     /// The position of the shard: it holds the slices from
     /// `shard * SHARD_SLICES` on.
     pub shard: u16,
-    /// The token of the decision with which it was written.
+    /// The token of the decision that the shard was written with.
     pub token: FenceToken,
-    /// Each server's slices of this shard.
+    /// The slices of this shard that each server holds.
     pub holders: BTreeMap<ServerName, SliceSet>,
-    /// Slices of this shard that left the domain.
+    /// The slices of this shard that the domain has released.
     pub released: SliceSet,
 }
 
 impl DomainShard {
-    /// Whether both say the same of the slices, whatever their tokens.
+    /// Whether both have the same holders and released slices; tokens are
+    /// ignored.
     #[must_use]
     pub fn same_content(&self, other: &Self) -> bool {
         self.holders == other.holders && self.released == other.released
     }
 }
 
-/// A shard as a head names it.
+/// A head's reference to a shard.
 #[derive(
     Clone, Debug, Eq, Ord, PartialEq, PartialOrd, Serialize, Deserialize,
 )]
@@ -63,7 +66,7 @@
     pub service: ServiceName,
     /// The position of the shard.
     pub shard: u16,
-    /// The lowest token that the shard may have.
+    /// The minimum token of the shard.
     pub token: FenceToken,
 }
 
@@ -75,7 +78,7 @@
     pub domain: DomainName,
     /// The token of the newest decision whose shards are all written.
     pub token: FenceToken,
-    /// Every shard of the record.
+    /// All shards of the record.
     pub shards: Vec<ShardReference>,
     /// The services that the domain has no server for.
     #[serde(default, skip_serializing_if = "FastMap::is_empty")]
@@ -83,7 +86,7 @@
 }
 
 impl DomainHead {
-    /// The head of these shards.
+    /// Creates the head of these shards.
     #[must_use]
     pub fn of(
         domain: DomainName,
@@ -91,20 +94,20 @@
         shards: &[DomainShard],
         stranded: FastMap<ServiceName, StrandedCause>,
     ) -> Self {
-        let marks = shards.iter().map(|shard| ShardReference {
+        let references = shards.iter().map(|shard| ShardReference {
             service: shard.service.clone(),
             shard: shard.shard,
             token: shard.token,
         });
-        Self { domain, token, shards: marks.collect(), stranded }
+        Self { domain, token, shards: references.collect(), stranded }
     }
 
     /// Splits a domain's record by service and shard.
     ///
     /// # Errors
     ///
-    /// A [`RecordError`] when the directory lacks a server's service, or a
-    /// slice stands with two servers or is held and released at once.
+    /// A [`RecordError`] if the directory lacks a server's service, or a
+    /// slice has two holders or is both held and released.
     pub fn split(
         domain: &DomainName,
         record: &DomainRecord,
@@ -113,12 +116,12 @@
         split::split(domain, record, directory)
     }
 
-    /// Joins a head's shards to the domain's record.
+    /// Joins the shards of a head to the domain's record.
     ///
     /// # Errors
     ///
-    /// [`RecordError::Outdated`] when a shard that the head names is missing
-    /// or older than the head says; a [`RecordError`] for other faults.
+    /// [`RecordError::Outdated`] if a shard that the head refers to is
+    /// missing, or older than its reference.
     pub fn join(
         &self,
         shards: &[DomainShard],
@@ -127,16 +130,16 @@
     }
 
     fn check(&self) -> Result<(), RecordError> {
-        if self.shards.len() > SHARD_LIMIT {
+        if self.shards.len() > MAX_SHARDS {
             return Err(RecordError::TooMany("shards"));
         }
-        if self.stranded.len() > SHARD_LIMIT {
+        if self.stranded.len() > MAX_SHARDS {
             return Err(RecordError::TooMany("stranded services"));
         }
         let mut seen = BTreeSet::new();
-        for mark in &self.shards {
-            if !seen.insert((&mark.service, mark.shard)) {
-                return Err(RecordError::Duplicate(mark_name(mark)));
+        for reference in &self.shards {
+            if !seen.insert((&reference.service, reference.shard)) {
+                return Err(RecordError::Duplicate(shard_name(reference)));
             }
         }
         Ok(())
@@ -157,6 +160,6 @@
     }
 }
 
-fn mark_name(mark: &ShardReference) -> String {
-    format!("shard {} of {}", mark.shard, mark.service)
+fn shard_name(reference: &ShardReference) -> String {
+    format!("shard {} of {}", reference.shard, reference.service)
 }
--- a/goldcrestramp-platform/src/records/domain/form.rs
+++ b/goldcrestramp-platform/src/records/domain/form.rs
@@ -1,4 +1,4 @@
-//! A shard in JSON.
+//! Encodes a shard of a failure domain's record.
 
 use std::collections::BTreeMap;
 
@@ -14,17 +14,17 @@
     runs::{from_runs, to_runs},
 };
 
-/// What is known of a slice: held by the server at this position, released
+/// The state of a slice: held by the server at this position, released
 /// ([`RELEASED`]) or neither ([`ABSENT`]).
-type SliceMark = i32;
+type SliceState = i32;
 
-/// The domain holds nothing of this slice.
-const ABSENT: SliceMark = -1;
+/// The domain neither holds nor has released the slice.
+const ABSENT: SliceState = -1;
 
-/// The slice has left the domain.
-const RELEASED: SliceMark = -2;
+/// The domain has released the slice.
+const RELEASED: SliceState = -2;
 
-/// A shard in JSON: one mark a slice, as runs `[length, mark]`.
+/// A shard in JSON, with the state of each slice, as runs `[length, state]`.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ShardForm {
@@ -33,35 +33,35 @@
     shard: u16,
     token: FenceToken,
     servers: Vec<ServerName>,
-    slices: Vec<(u32, SliceMark)>,
+    slices: Vec<(u32, SliceState)>,
 }
 
 impl StoreRecord for DomainShard {
     type Form = ShardForm;
 
     fn to_form(&self) -> Result<ShardForm, RecordError> {
-        let mut marks = vec![ABSENT; SHARD_SLICES as usize];
+        let mut states = vec![ABSENT; SHARD_SLICES as usize];
         for (position, slices) in (0..).zip(self.holders.values()) {
-            set_marks(&mut marks, self.shard, slices, position)?;
+            set_states(&mut states, self.shard, slices, position)?;
         }
-        set_marks(&mut marks, self.shard, &self.released, RELEASED)?;
+        set_states(&mut states, self.shard, &self.released, RELEASED)?;
         Ok(ShardForm {
             domain: self.domain.clone(),
             service: self.service.clone(),
             shard: self.shard,
             token: self.token,
             servers: self.holders.keys().cloned().collect(),
-            slices: to_runs(marks),
+            slices: to_runs(states),
         })
     }
 
     fn from_form(form: ShardForm) -> Result<Self, RecordError> {
-        let marks = from_runs(&form.slices, SHARD_SLICES as usize)?;
+        let states = from_runs(&form.slices, SHARD_SLICES as usize)?;
         let mut sets = vec![SliceSet::new(); form.servers.len()];
         let mut released = SliceSet::new();
-        for (offset, mark) in (0_u32..).zip(marks) {
+        for (offset, state) in (0_u32..).zip(states) {
             let slice = slice_at(form.shard, offset)?;
-            match mark {
+            match state {
                 ABSENT => {}
                 RELEASED => {
                     released.insert(slice);
@@ -82,27 +82,27 @@
     }
 }
 
-/// Marks every slice of `slices`; each may be marked once.
+/// Sets the state of every slice of `slices`, which must be absent before.
 ///
-/// A slice with two marks would have two owners, or be given away while a
+/// A slice with two states would have two owners, or be reassigned while a
 /// server still holds it.
-fn set_marks(
-    marks: &mut [SliceMark],
+fn set_states(
+    states: &mut [SliceState],
     shard: u16,
     slices: &SliceSet,
-    mark: SliceMark,
+    state: SliceState,
 ) -> Result<(), RecordError> {
     let first = u32::from(shard) * SHARD_SLICES;
     for slice in slices.iter() {
         let offset = u32::from(slice.get()).checked_sub(first);
-        let place = offset
-            .and_then(|offset| marks.get_mut(offset as usize))
+        let entry = offset
+            .and_then(|offset| states.get_mut(offset as usize))
             .ok_or(RecordError::OutOfRange("slice of a shard"))?;
-        if *place != ABSENT {
+        if *entry != ABSENT {
             let name = format!("slice {}", slice.get());
             return Err(RecordError::Duplicate(name));
         }
-        *place = mark;
+        *entry = state;
     }
     Ok(())
 }
@@ -114,7 +114,7 @@
 
 fn set_at(
     sets: &mut [SliceSet],
-    position: SliceMark,
+    position: SliceState,
 ) -> Result<&mut SliceSet, RecordError> {
     let position = usize::try_from(position).ok();
     position
--- a/goldcrestramp-platform/src/records/domain/split.rs
+++ b/goldcrestramp-platform/src/records/domain/split.rs
@@ -1,4 +1,4 @@
-//! A domain's record to its shards and back.
+//! Splits a failure domain's record into shards, and joins them.
 
 use std::collections::BTreeMap;
 
@@ -8,14 +8,14 @@
 };
 
 use super::{
-    DomainHead, DomainShard, SHARD_SLICES, ShardReference, mark_name,
+    DomainHead, DomainShard, SHARD_SLICES, ShardReference, shard_name,
 };
 use crate::records::{directory::ServerDirectory, error::RecordError};
 
 /// Shards by service and position.
 type ShardMap = BTreeMap<(ServiceName, u16), DomainShard>;
 
-/// Splits a record; every service of the directory gets all its shards.
+/// Splits a record; every service of the directory gets all of its shards.
 pub(super) fn split(
     domain: &DomainName,
     record: &DomainRecord,
@@ -42,7 +42,7 @@
     Ok(shards.into_values().collect())
 }
 
-/// Joins the shards that a head names.
+/// Joins the shards that a head refers to.
 pub(super) fn join(
     head: &DomainHead,
     shards: &[DomainShard],
@@ -52,8 +52,8 @@
         stranded: head.stranded.clone(),
         ..DomainRecord::default()
     };
-    for mark in &head.shards {
-        let shard = find(head, shards, mark)?;
+    for reference in &head.shards {
+        let shard = find(head, shards, reference)?;
         for (server, slices) in &shard.holders {
             let mine = record.holders.entry(server.clone()).or_default();
             mine.union_with(slices);
@@ -67,20 +67,21 @@
     Ok(record)
 }
 
-/// The shard of a mark; an older one tells of a half-restored store.
+/// Finds the shard of a reference. A shard that is older than the reference
+/// requires means that the store was only partly restored.
 fn find<'a>(
     head: &DomainHead,
     shards: &'a [DomainShard],
-    mark: &ShardReference,
+    reference: &ShardReference,
 ) -> Result<&'a DomainShard, RecordError> {
     let found = shards.iter().find(|shard| {
         shard.domain == head.domain
-            && shard.service == mark.service
-            && shard.shard == mark.shard
+            && shard.service == reference.service
+            && shard.shard == reference.shard
     });
     found
-        .filter(|shard| shard.token >= mark.token)
-        .ok_or_else(|| RecordError::Outdated(mark_name(mark)))
+        .filter(|shard| shard.token >= reference.token)
+        .ok_or_else(|| RecordError::Outdated(shard_name(reference)))
 }
 
 fn empty_shards(
@@ -122,7 +123,8 @@
         .ok_or_else(|| RecordError::Unknown(service.to_string()))
 }
 
-/// A slice that stood with two servers would have two owners.
+/// Checks that the slice is in no set of the shard, because it would have two
+/// owners.
 fn check_absent(
     shard: &DomainShard,
     slice: SliceIndex,
--- a/goldcrestramp-platform/src/records/error.rs
+++ b/goldcrestramp-platform/src/records/error.rs
@@ -1,26 +1,27 @@
-//! Why a record is refused.
+//! The error of encoding or decoding a record.
 
 use std::fmt;
 
-/// Why a value is no valid record, or a record cannot be kept.
+/// Why a value is not a valid record, or a record can't be stored.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum RecordError {
-    /// The bytes are no JSON of the record's form.
+    /// The bytes are not JSON of the record's form.
     Json(String),
-    /// The encoded value is larger than the store takes.
+    /// The encoded value is larger than the store accepts.
     TooLarge {
-        /// Its size in bytes.
+        /// The size of the value, in bytes.
         bytes: usize,
     },
-    /// More entries of a kind than the record may have.
+    /// The record has too many entries of this kind.
     TooMany(&'static str),
-    /// A number is out of its range.
+    /// This number is out of range.
     OutOfRange(&'static str),
-    /// A name or slice stands twice where it may stand once.
+    /// This name or slice appears twice.
     Duplicate(String),
-    /// A server, service or slice count that the directory lacks.
+    /// The directory lacks this server, service or slice count.
     Unknown(String),
-    /// A part of a domain's record is missing or older than its head says.
+    /// This part of a domain's record is missing, or older than its head
+    /// requires.
     Outdated(String),
 }
 
@@ -33,10 +34,10 @@
             }
             Self::TooMany(what) => write!(f, "too many {what}"),
             Self::OutOfRange(what) => write!(f, "{what} out of range"),
-            Self::Duplicate(name) => write!(f, "{name} stands twice"),
+            Self::Duplicate(name) => write!(f, "{name} appears twice"),
             Self::Unknown(name) => write!(f, "{name} is not configured"),
             Self::Outdated(part) => {
-                write!(f, "{part} is older than the head says")
+                write!(f, "{part} is missing or older than its head")
             }
         }
     }
--- a/goldcrestramp-platform/src/records/lease.rs
+++ b/goldcrestramp-platform/src/records/lease.rs
@@ -1,4 +1,4 @@
-//! Who plans.
+//! The record of the deployment's planner.
 
 use std::sync::Arc;
 
@@ -7,18 +7,19 @@
 
 use super::{codec::StoreRecord, error::RecordError};
 
-/// The planner of the deployment; the value ends with the planner's lease.
+/// The planner of the deployment; the value is removed when its lease ends.
 ///
-/// The lease keeps planners few, not safe: a paused one may act after it.
-/// Safe is each change of a service's record, by compare-and-swap.
+/// The lease limits the number of planners, but does not make them safe: a
+/// paused planner may act after its lease has expired. Changes of a service's
+/// record are safe because they use compare-and-swap.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlannerRecord {
-    /// The planner's VM.
+    /// The name of the planner's VM.
     pub vm: VmName,
-    /// A random number of its process start.
+    /// A random number that the planner's process generated at its start.
     pub start: u64,
-    /// Where peers reach it.
+    /// The planner's address for peers.
     pub address: Arc<str>,
 }
 
--- a/goldcrestramp-platform/src/records/mod.rs
+++ b/goldcrestramp-platform/src/records/mod.rs
@@ -1,4 +1,4 @@
-//! What the project keeps in the key-value service.
+//! The records that the project stores in the key-value service.
 //!
 //! | key | value | changed by |
 //! | --- | --- | --- |
@@ -7,13 +7,13 @@
 //! | `slices/SERVICE` | [`ServiceRecord`] | the planner |
 //! | `domain/DOMAIN` | [`DomainHead`] | the domain's steward |
 //! | `domain/DOMAIN/SERVICE/SHARD` | [`DomainShard`] | the domain's steward |
-//! | `planner` | [`PlannerRecord`], tied to a lease | the planner |
+//! | `planner` | [`PlannerRecord`], bound to a lease | the planner |
 //!
 //! Values are JSON, encoded by [`StoreRecord::encode`] and read by
-//! [`StoreRecord::decode`]. A value that is malformed is refused whole: a
-//! half-understood record could give a slice two owners. Every value holds
-//! its own rising number, because the service's versions start over when
-//! it is restored from older data.
+//! [`StoreRecord::decode`]. A value with any malformed part is rejected,
+//! because a partly decoded record could give a slice two owners. Every
+//! value contains its own increasing number, because the service's versions
+//! start over when it is restored from older data.
 //!
 //! [`DeploymentState`]: goldcrestramp_config::DeploymentState
 //! [`VoterRoster`]: goldcrestramp_ownership::VoterRoster
--- a/goldcrestramp-platform/src/records/number.rs
+++ b/goldcrestramp-platform/src/records/number.rs
@@ -1,4 +1,4 @@
-//! The rising number inside each record.
+//! The increasing number inside each record.
 
 use std::fmt;
 
@@ -11,9 +11,9 @@
     domain::{DomainHead, DomainShard},
 };
 
-/// A record that tells how new it is.
+/// A record with a number that orders its versions.
 pub trait NumberedRecord: StoreRecord {
-    /// Rises with each change of the record.
+    /// The type of the number, which increases with each change of the record.
     type Number: Copy + Ord + fmt::Debug;
 
     /// The record's number.
--- a/goldcrestramp-platform/src/records/roster.rs
+++ b/goldcrestramp-platform/src/records/roster.rs
@@ -1,4 +1,4 @@
-//! The voters of a failure domain.
+//! Encodes the record of a failure domain's voters.
 
 use std::{collections::BTreeSet, sync::Arc};
 
@@ -56,10 +56,10 @@
     }
 }
 
-/// Checks that the voters are within bounds and differ.
+/// Checks the number of voters, and that they are distinct.
 ///
-/// A VM that stood twice would count twice: a minority would then pass for
-/// a majority, and two stewards could act at once.
+/// A VM listed twice would count twice. A minority could then pass as a
+/// majority, and two stewards could act at the same time.
 fn check(roster: &VoterRoster) -> Result<(), RecordError> {
     if roster.voters.is_empty() {
         return Err(RecordError::OutOfRange("number of voters"));
--- a/goldcrestramp-platform/src/records/runs.rs
+++ b/goldcrestramp-platform/src/records/runs.rs
@@ -1,8 +1,8 @@
-//! Runs of equal entries, the compact form of long arrays.
+//! Run-length encoding of long arrays.
 
 use super::error::RecordError;
 
-/// Joins neighbouring equal entries to `(length, entry)`.
+/// Encodes runs of equal adjacent entries as `(length, entry)`.
 pub(super) fn to_runs<T: Copy + PartialEq>(
     entries: impl IntoIterator<Item = T>,
 ) -> Vec<(u32, T)> {
@@ -16,10 +16,10 @@
     runs
 }
 
-/// The entries of `runs`, at most `limit` of them.
+/// Decodes the entries of `runs`, at most `limit` of them.
 ///
-/// The lengths are checked before anything is laid out, so that a
-/// malformed value cannot ask for unbounded memory.
+/// The lengths are checked before memory is allocated, so that a malformed
+/// value can't cause an unbounded allocation.
 pub(super) fn from_runs<T: Copy>(
     runs: &[(u32, T)],
     limit: usize,
--- a/goldcrestramp-platform/src/records/service.rs
+++ b/goldcrestramp-platform/src/records/service.rs
@@ -1,4 +1,4 @@
-//! Which failure domain holds each slice of a service.
+//! Encodes the record of which failure domain holds each slice of a service.
 
 use std::collections::BTreeSet;
 
@@ -13,21 +13,22 @@
     runs::{from_runs, to_runs},
 };
 
-/// The most slices of a service.
-const SLICE_LIMIT: usize = 65_536;
+/// The maximum number of slices of a service.
+const MAX_SLICES: usize = 65_536;
 
-/// The most failure domains in one record.
+/// The maximum number of failure domains in one record.
 ///
-/// With two digits the worst record (65,536 runs of one slice, all of
-/// them moving) stays below a megabyte, and below 530 KB when few move.
-const DOMAIN_LIMIT: usize = 100;
+/// With positions of two digits, the largest record (65,536 runs of one
+/// slice, all of them moving) stays below a megabyte, and below 530 KB if
+/// few slices move.
+const MAX_DOMAINS: usize = 100;
 
 /// A service's record in JSON.
 ///
-/// `held` has one run `[length, domain]` a block of slices that a domain
-/// holds, `moving` one `[slice, target]` a slice that is to move; domains
-/// are positions in `domains`, which has one `[name, ticket]` each, the ticket by
-/// its mark.
+/// `held` has one run `[length, domain]` for each block of slices that a
+/// domain holds, and `moving` one `[slice, target]` for each slice that is to
+/// move. Domains are given as positions in `domains`, which has one
+/// `[name, ticket]` for each domain, with the mark of the ticket.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceForm {
@@ -62,7 +63,7 @@
     }
 
     fn from_form(form: ServiceForm) -> Result<Self, RecordError> {
-        let held = from_runs(&form.held, SLICE_LIMIT)?;
+        let held = from_runs(&form.held, MAX_SLICES)?;
         if held.len() != form.count.get() as usize {
             return Err(RecordError::OutOfRange("number of held slices"));
         }
@@ -93,9 +94,9 @@
     }
 }
 
-/// Checks the domains and every reference to them.
+/// Checks that domains are distinct, and every reference to them is valid.
 fn check(record: &ServiceRecord) -> Result<(), RecordError> {
-    if record.domains.len() > DOMAIN_LIMIT {
+    if record.domains.len() > MAX_DOMAINS {
         return Err(RecordError::TooMany("failure domains"));
     }
     let mut names = BTreeSet::new();
--- a/goldcrestramp-platform/src/resolve.rs
+++ b/goldcrestramp-platform/src/resolve.rs
@@ -1,4 +1,4 @@
-//! What became of a write whose answer was lost.
+//! Resolves the outcome of a write whose response was lost.
 
 use bytes::Bytes;
 
@@ -6,28 +6,28 @@
     PutCondition, PutOutcome, StoreAccess, StoreError, StoredValue,
 };
 
-/// What became of a write.
+/// The outcome of a write.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum WriteOutcome {
-    /// What was written stands, with this version.
+    /// The key holds the written value, at this version.
     Written(u64),
-    /// The key is still as it was before the write.
+    /// The key is unchanged.
     ///
-    /// The write may be under way yet; writing the same again under the
-    /// same condition is safe, because only one of the two takes effect.
+    /// The write may still be in flight. Retrying it under the same condition
+    /// is safe, because only one of the two takes effect.
     Lost,
-    /// The key holds something else, or nothing.
+    /// The key holds another value, or none.
     ///
-    /// The write may have stood for a while before; where that matters the
-    /// value itself must tell, as a configuration does by the tickets that
-    /// it has taken in.
+    /// The written value may have been stored for a while and then replaced.
+    /// Where that matters, the new value must show it, as a configuration
+    /// does by the tickets that it includes.
     Superseded(Option<StoredValue>),
 }
 
-/// Compares what a key holds with what was written to it.
+/// Determines the outcome of a write from the value found in the key.
 ///
-/// Values must tell their writers apart (a token, a revision by one
-/// writer, a ticket's text): equal bytes count as the own write.
+/// Values must identify their writers (by a token, a revision of a single
+/// writer or a ticket's text), because equal bytes count as the own write.
 #[must_use]
 pub fn classify_write(
     condition: PutCondition,
@@ -48,16 +48,16 @@
     }
 }
 
-/// Writes a key and, unless the answer is certain, reads it back.
+/// Writes a key and, unless the response confirms the write, reads it back.
 ///
-/// A conflict is read back too: a client's own earlier try may be what the
-/// condition failed on.
+/// A conflict is read back too, because the caller's own earlier attempt may
+/// have caused it.
 ///
 /// # Errors
 ///
-/// [`StoreError::Unknown`] when the write's answer was lost and the key
-/// can't be read either: it is to be read before anything is decided. Any
-/// other error: the write had no effect.
+/// [`StoreError::Unknown`] if the response was lost or a conflict, and the
+/// key can't be read back: it must be read before anything is decided. After
+/// any other error, the write had no effect.
 pub async fn resolve_write<S>(
     store: &S,
     key: &str,
@@ -79,7 +79,7 @@
     }
 }
 
-/// A failed read leaves the write's fate open, whatever the read's error.
+/// If the read fails, the write's outcome is unknown, whatever the error.
 #[expect(clippy::needless_pass_by_value, reason = "passed to map_err")]
 fn unknown(error: StoreError) -> StoreError {
     StoreError::Unknown(error.to_string())
--- a/goldcrestramp-platform/src/store.rs
+++ b/goldcrestramp-platform/src/store.rs
@@ -1,4 +1,4 @@
-//! What the project needs of a key-value service.
+//! The interface of a key-value service.
 
 use std::fmt;
 
@@ -8,9 +8,9 @@
 /// A value with its version.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct StoredValue {
-    /// Rises with each write of the key.
+    /// The version, which increases with each write of the key.
     pub version: u64,
-    /// The bytes.
+    /// The value's bytes.
     pub value: Bytes,
 }
 
@@ -23,30 +23,30 @@
     Version(u64),
 }
 
-/// What a write came to.
+/// The service's response to a write.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PutOutcome {
-    /// It took effect and made this version.
+    /// The write took effect, at this version.
     Written(u64),
     /// The condition did not hold; nothing changed.
     Conflict,
 }
 
-/// Why a call to the store gave no answer.
+/// Why a call to the store failed.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum StoreError {
-    /// It certainly had no effect.
+    /// The call certainly had no effect.
     Unavailable(String),
-    /// A write may or may not have taken effect: read it back.
+    /// A write may or may not have taken effect, and has to be read back.
     Unknown(String),
-    /// The service refused it as too large, malformed or too frequent.
+    /// The service refused the call as too large, malformed or too frequent.
     Refused(String),
 }
 
 impl fmt::Display for StoreError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Unavailable(why) => write!(f, "no answer: {why}"),
+            Self::Unavailable(why) => write!(f, "unavailable: {why}"),
             Self::Unknown(why) => write!(f, "effect unknown: {why}"),
             Self::Refused(why) => write!(f, "refused: {why}"),
         }
@@ -63,10 +63,10 @@
         key: &str,
     ) -> impl Future<Output = Result<Option<StoredValue>, StoreError>> + Send;
 
-    /// Waits until a key's version differs from `seen` or `wait` is over.
+    /// Waits until a key's version differs from `seen`, at most for `wait`.
     ///
-    /// `Ok(None)`: it has not changed. A version *below* `seen` is
-    /// reported too: the store came back with older data.
+    /// `Ok(None)` if it has not changed. A version *below* `seen` is
+    /// returned too: the store was restored from older data.
     fn watch(
         &self,
         key: &str,
@@ -74,7 +74,8 @@
         wait: TimeSpan,
     ) -> impl Future<Output = Result<Option<StoredValue>, StoreError>> + Send;
 
-    /// Writes a key if its state is as `condition` says.
+    /// Writes a key if its state matches `condition`. The value is bound to
+    /// `lease`, if there is one.
     fn put(
         &self,
         key: &str,
@@ -83,13 +84,13 @@
         lease: Option<u64>,
     ) -> impl Future<Output = Result<PutOutcome, StoreError>> + Send;
 
-    /// Takes a new lease that lasts `ttl`.
+    /// Opens a lease that expires after `ttl`, and returns its id.
     fn lease(
         &self,
         ttl: TimeSpan,
     ) -> impl Future<Output = Result<u64, StoreError>> + Send;
 
-    /// Renews a lease; `Ok(false)`: it has ended.
+    /// Renews a lease; `Ok(false)` if it has ended.
     fn renew(
         &self,
         lease: u64,
--- a/goldcrestramp-platform/tests/gate.rs
+++ b/goldcrestramp-platform/tests/gate.rs
@@ -1,4 +1,4 @@
-//! What a reader takes never gets older.
+//! A gate never accepts an older value than before.
 
 use bytes::Bytes;
 use goldcrestramp_config::DeploymentState;
@@ -13,19 +13,19 @@
 }
 
 fn bytes(version: u64) -> Bytes {
-    state(version).encode().expect("within bounds")
+    state(version).encode().expect("state is within bounds")
 }
 
 fn stored(version: u64, number: u64) -> StoredValue {
     StoredValue { version, value: bytes(number) }
 }
 
-/// Operators see an accepted ticket vanish: the platform restores its
-/// store from a copy, and every node reads the older configuration again.
-/// The gate compares the tickets' numbers, keeps the newer state and says
-/// what to write back.
+/// The platform restores its store from a backup, and every node reads the
+/// older configuration again, so that an accepted ticket is lost. The gate
+/// compares the numbers in the values, keeps the newer state and returns what
+/// to write back.
 #[test]
-fn an_older_value_is_not_taken_and_the_newer_is_written_again() {
+fn an_older_value_is_rejected_and_the_newer_is_written_again() {
     let mut gate = VersionGate::<DeploymentState>::new();
     assert_eq!(gate.check(Some(&stored(10, 7))), GateVerdict::Newer(state(7)));
 
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_value_that_vanished_is_written_again() {
+fn a_missing_value_is_written_again() {
     let mut gate = VersionGate::<DeploymentState>::new();
     assert_eq!(gate.check(None), GateVerdict::Absent);
     gate.check(Some(&stored(10, 7)));
@@ -50,8 +50,8 @@
     assert_eq!(verdict, GateVerdict::Older(rewrite));
 }
 
-/// After a restore the store gives version 10 out a second time, for
-/// another ticket 7. The versions agree, the values do not.
+/// After a restore the store assigns version 10 a second time, to another
+/// ticket 7. The versions are equal, but the values differ.
 #[test]
 fn a_second_value_with_the_same_number_is_a_fork() {
     let mut gate = VersionGate::<DeploymentState>::new();
@@ -67,7 +67,7 @@
 
 proptest! {
     #[test]
-    fn the_number_never_falls(
+    fn the_number_never_decreases(
         reads in prop::collection::vec(prop::option::of(0_u64..20), 0..60),
     ) {
         let mut gate = VersionGate::<DeploymentState>::new();
--- a/goldcrestramp-platform/tests/records.rs
+++ b/goldcrestramp-platform/tests/records.rs
@@ -1,4 +1,4 @@
-//! What is kept in the store comes back whole, or is refused whole.
+//! Stored records decode to what was encoded, or are rejected as a whole.
 
 use std::sync::Arc;
 
@@ -21,7 +21,7 @@
 const SERVERS: u8 = 5;
 
 fn domain(name: &str) -> DomainName {
-    DomainName::new(name).expect("a valid name")
+    DomainName::new(name).expect("name is valid")
 }
 
 fn record_domain(name: &str) -> RecordDomain {
@@ -29,11 +29,11 @@
 }
 
 fn service(name: &str) -> ServiceName {
-    ServiceName::new(name).expect("a valid name")
+    ServiceName::new(name).expect("name is valid")
 }
 
 fn server(number: u8) -> ServerName {
-    ServerName::new(&format!("server-{number}")).expect("a valid name")
+    ServerName::new(&format!("server-{number}")).expect("name is valid")
 }
 
 fn token(sequence: u64) -> FenceToken {
@@ -42,7 +42,7 @@
 
 /// Servers 0 to 3 belong to `stock`, server 4 to `orders`.
 fn directory() -> ServerDirectory {
-    let count = SliceCount::new(SLICES).expect("a power of two");
+    let count = SliceCount::new(SLICES).expect("count is a power of two");
     let mut directory = ServerDirectory::new();
     for name in ["stock", "orders"] {
         directory.add_service(service(name), count);
@@ -54,12 +54,12 @@
     directory
 }
 
-fn record_of(marks: &[(u32, u8)], sequence: u64) -> DomainRecord {
+fn record_of(holdings: &[(u32, u8)], sequence: u64) -> DomainRecord {
     let mut seen = SliceSet::new();
     let mut record =
         DomainRecord { token: token(sequence), ..DomainRecord::default() };
-    for (number, holder) in marks {
-        let slice = SliceIndex::new(*number).expect("in range");
+    for (number, holder) in holdings {
+        let slice = SliceIndex::new(*number).expect("slice is in range");
         if !seen.insert(slice) {
             continue;
         }
@@ -95,65 +95,65 @@
 
 proptest! {
     #[test]
-    fn a_domain_record_survives_its_shards(
-        marks in prop::collection::vec((0..SLICES, 0..=SERVERS), 0..300),
+    fn a_domain_record_equals_its_joined_shards(
+        holdings in prop::collection::vec((0..SLICES, 0..=SERVERS), 0..300),
         sequence in any::<u64>(),
     ) {
-        let record = record_of(&marks, sequence);
-        let here = domain("sierra-a");
-        let shards = DomainHead::split(&here, &record, &directory());
-        let shards = shards.expect("a sound record");
-        let head = DomainHead::of(here, record.token, &shards, record.stranded.clone());
+        let record = record_of(&holdings, sequence);
+        let name = domain("sierra-a");
+        let shards = DomainHead::split(&name, &record, &directory());
+        let shards = shards.expect("record is valid");
+        let head = DomainHead::of(name, record.token, &shards, record.stranded.clone());
 
         let read: Vec<DomainShard> = shards
             .iter()
-            .map(|shard| shard.encode().expect("within bounds"))
-            .map(|value| DomainShard::decode(&value).expect("well formed"))
+            .map(|shard| shard.encode().expect("value is within bounds"))
+            .map(|value| DomainShard::decode(&value).expect("value decodes"))
             .collect();
-        let value = head.encode().expect("within bounds");
-        let head = DomainHead::decode(&value).expect("well formed");
+        let value = head.encode().expect("value is within bounds");
+        let head = DomainHead::decode(&value).expect("value decodes");
 
         prop_assert_eq!(head.join(&read), Ok(record));
     }
 
     #[test]
-    fn a_service_record_survives_its_value(
+    fn a_service_record_decodes_to_itself(
         holdings in prop::collection::vec(
             (0_u16..3, prop::option::of(0_u16..3)), 1_024),
     ) {
         let record = service_record(&holdings);
 
-        let value = record.encode().expect("within bounds");
+        let value = record.encode().expect("value is within bounds");
 
         prop_assert_eq!(ServiceRecord::decode(&value), Ok(record));
     }
 
     #[test]
-    fn a_roster_survives_its_value(
+    fn a_roster_decodes_to_itself(
         voters in prop::collection::btree_set("[a-z]{1,8}", 1..=5),
         version in any::<u64>(),
     ) {
         let voters = voters.iter().map(|name| RosterVoter {
-            vm: VmName::new(name).expect("a valid name"),
+            vm: VmName::new(name).expect("name is valid"),
             address: Arc::from("127.0.0.1:7001"),
         });
         let voters = voters.collect();
         let roster = VoterRoster { domain: domain("a"), version, voters };
 
-        let value = roster.encode().expect("within bounds");
+        let value = roster.encode().expect("value is within bounds");
 
         prop_assert_eq!(VoterRoster::decode(&value), Ok(roster));
     }
 
-    /// A cut or changed value is refused, or reads as a sound record: what
-    /// decodes can always be encoded again.
+    /// A truncated or modified value is rejected or decodes to a valid
+    /// record, which can be encoded again.
     #[test]
-    fn a_damaged_value_never_gives_an_unsound_record(
+    fn a_damaged_value_never_decodes_to_an_invalid_record(
         position in 0_usize..400, byte in any::<u8>(), cut in any::<bool>(),
     ) {
         let record = service_record(&[(0, None), (1, Some(2)), (2, None),
             (2, Some(0))]);
-        let value = record.encode().expect("within bounds");
+        let value = record.encode().expect("value is within bounds");
         let mut bytes = value.to_vec();
         let position = position % bytes.len();
         bytes[position] = byte;
@@ -161,17 +161,17 @@
             bytes.truncate(position);
         }
         if let Ok(read) = ServiceRecord::decode(&bytes) {
-            let value = read.encode().expect("sound");
+            let value = read.encode().expect("record is valid");
             prop_assert_eq!(ServiceRecord::decode(&value), Ok(read));
         }
     }
 }
 
 #[test]
-fn malformed_service_records_are_refused_whole() {
-    let good = r#"{"service":"stock","count":4,"revision":1,
+fn malformed_service_records_are_rejected() {
+    let valid = r#"{"service":"stock","count":4,"revision":1,
         "domains":[["a",[1,0]],["b",[2,0]]],"held":[[2,0],[2,1]],"moving":[[0,1]]}"#;
-    ServiceRecord::decode(good.as_bytes()).expect("well formed");
+    ServiceRecord::decode(valid.as_bytes()).expect("value decodes");
     let faults = [
         ("\"count\":4", "\"count\":3"),
         ("\"count\":4", "\"count\":8"),
@@ -188,18 +188,18 @@
         ("\"revision\":1", "\"revision\":-1"),
     ];
     for (from, to) in faults {
-        let bad = good.replace(from, to);
-        let read = ServiceRecord::decode(bad.as_bytes());
-        assert!(read.is_err(), "{to} was taken");
+        let invalid = valid.replace(from, to);
+        let read = ServiceRecord::decode(invalid.as_bytes());
+        assert!(read.is_err(), "{to} was accepted");
     }
 }
 
 #[test]
-fn malformed_shards_are_refused_whole() {
-    let good = r#"{"domain":"a","service":"stock","shard":1,
+fn malformed_shards_are_rejected() {
+    let valid = r#"{"domain":"a","service":"stock","shard":1,
         "token":{"term":{"number":1,"vm":2,"start":3},"sequence":4},
         "servers":["s1","s2"],"slices":[[2,0],[3,1],[1,-2]]}"#;
-    DomainShard::decode(good.as_bytes()).expect("well formed");
+    DomainShard::decode(valid.as_bytes()).expect("value decodes");
     let faults = [
         ("[3,1]", "[3,2]"),
         ("[3,1]", "[3,-3]"),
@@ -209,43 +209,43 @@
         ("\"sequence\":4", "\"sequence\":4,\"extra\":1"),
     ];
     for (from, to) in faults {
-        let bad = good.replace(from, to);
-        let read = DomainShard::decode(bad.as_bytes());
-        assert!(read.is_err(), "{to} was taken");
+        let invalid = valid.replace(from, to);
+        let read = DomainShard::decode(invalid.as_bytes());
+        assert!(read.is_err(), "{to} was accepted");
     }
 }
 
-/// A VM that counts twice lets two VMs of four pass for a majority: two
-/// stewards could then act at once, and a slice would have two owners.
+/// If a VM counts twice, two VMs of four pass as a majority. Two stewards
+/// could then act at the same time, and a slice would have two owners.
 #[test]
-fn a_roster_with_a_doubled_voter_is_refused() {
-    let bad = r#"{"domain":"a","version":1,"voters":[
+fn a_roster_with_a_duplicate_voter_is_rejected() {
+    let invalid = r#"{"domain":"a","version":1,"voters":[
         {"vm":"vm-1","address":"127.0.0.1:1"},
         {"vm":"vm-1","address":"127.0.0.1:2"}]}"#;
-    let read = VoterRoster::decode(bad.as_bytes());
+    let read = VoterRoster::decode(invalid.as_bytes());
     assert_eq!(read, Err(RecordError::Duplicate("vm-1".into())));
 }
 
-/// The steward's write breaks off between the shards and the head, or the
-/// store comes back with one older shard. Taken as it stands, the record
-/// would mix two decisions under the newer token; it is refused, and the
-/// steward asks its servers.
+/// The steward's write is interrupted between the shards and the head, or
+/// the store is restored with one older shard. The joined record would mix
+/// two decisions under the newer token. It is rejected, and the steward
+/// queries its servers.
 #[test]
-fn a_shard_older_than_its_head_is_refused() {
+fn a_shard_older_than_its_head_is_rejected() {
     let record = record_of(&[(1, 0), (5_000, 1)], 8);
-    let here = domain("sierra-a");
-    let mut shards = DomainHead::split(&here, &record, &directory())
-        .expect("a sound record");
+    let name = domain("sierra-a");
+    let mut shards = DomainHead::split(&name, &record, &directory())
+        .expect("record is valid");
     let head =
-        DomainHead::of(here, record.token, &shards, record.stranded.clone());
+        DomainHead::of(name, record.token, &shards, record.stranded.clone());
 
     shards[0].token = token(7);
 
     assert!(matches!(head.join(&shards), Err(RecordError::Outdated(_))));
 }
 
-/// Two servers on record for a slice, or a slice on record as released
-/// while a server holds it, would be two owners after a recovery.
+/// A record with two holders of a slice, or with a slice that is released and
+/// held, would lead to two owners after a recovery.
 #[test]
 fn a_slice_with_two_holders_is_never_written() {
     let slice: SliceSet = SliceIndex::new(7).into_iter().collect();
@@ -270,26 +270,27 @@
     }
 }
 
-/// The worst record of each kind stays below the store's megabyte.
+/// The largest record of each kind stays below the store's limit of a
+/// megabyte.
 #[test]
-fn the_worst_values_are_below_the_limit() {
+fn the_largest_values_are_below_the_limit() {
     let slices = (0_u16..=u16::MAX)
         .map(|number| SliceHolding { domain: 10 + number % 90, target: None });
     let names =
         (0..100).map(|number| record_domain(&format!("domain-{number}")));
-    let worst = ServiceRecord {
+    let largest = ServiceRecord {
         service: service("stock"),
         revision: u64::MAX,
         domains: names.collect(),
         slices: slices.collect(),
     };
-    let size = worst.encode().expect("within bounds").len();
+    let size = largest.encode().expect("value is within bounds").len();
     assert!(size < 530_000, "a service's record takes {size} bytes");
 
     let holders = (0..SHARD_SLICES).map(|number| {
         let name = format!("{number:064}");
         let slice: SliceSet = SliceIndex::new(number).into_iter().collect();
-        (ServerName::new(&name).expect("a valid name"), slice)
+        (ServerName::new(&name).expect("name is valid"), slice)
     });
     let shard = DomainShard {
         domain: domain("a"),
@@ -299,17 +300,17 @@
         holders: holders.collect(),
         released: SliceSet::new(),
     };
-    let size = shard.encode().expect("within bounds").len();
+    let size = shard.encode().expect("value is within bounds").len();
     assert!(size < 400_000, "a shard takes {size} bytes");
 }
 
 #[test]
-fn the_planner_record_survives_its_value() {
+fn the_planner_record_decodes_to_itself() {
     let record = PlannerRecord {
-        vm: VmName::new("vm-1").expect("a valid name"),
+        vm: VmName::new("vm-1").expect("name is valid"),
         start: 5,
         address: Arc::from("127.0.0.1:7001"),
     };
-    let value = record.encode().expect("within bounds");
+    let value = record.encode().expect("value is within bounds");
     assert_eq!(PlannerRecord::decode(&value), Ok(record));
 }
--- a/goldcrestramp-platform/tests/resolve.rs
+++ b/goldcrestramp-platform/tests/resolve.rs
@@ -1,4 +1,4 @@
-//! A write whose answer was lost is read back, never guessed.
+//! The outcome of a write whose response was lost is read back.
 
 use std::sync::Mutex;
 
@@ -9,16 +9,16 @@
 };
 use goldcrestramp_types::TimeSpan;
 
-/// What becomes of the next write in a [`FakeStore`].
+/// The behavior of a [`FakeStore`] on the next write.
 #[derive(Clone, Copy, Debug)]
 enum NextWrite {
-    Answered,
+    Confirmed,
     LostAfterEffect,
     LostBeforeEffect,
-    LostAndOvertaken,
+    LostAndSuperseded,
 }
 
-/// A store of one key that answers at once.
+/// A store of one key that responds immediately.
 #[derive(Debug)]
 struct FakeStore {
     value: Mutex<Option<StoredValue>>,
@@ -43,7 +43,7 @@
         if !self.readable {
             return Err(StoreError::Unavailable("outage".into()));
         }
-        Ok(self.value.lock().expect("no panic").clone())
+        Ok(self.value.lock().expect("lock is not poisoned").clone())
     }
 
     async fn watch(
@@ -62,7 +62,7 @@
         value: Bytes,
         _lease: Option<u64>,
     ) -> Result<PutOutcome, StoreError> {
-        let mut present = self.value.lock().expect("no panic");
+        let mut present = self.value.lock().expect("lock is not poisoned");
         let version = present.as_ref().map_or(0, |p| p.version);
         if condition != PutCondition::Version(version) {
             return Ok(PutOutcome::Conflict);
@@ -71,11 +71,13 @@
         let written = StoredValue { version: version + 1, value };
         match self.next {
             NextWrite::LostBeforeEffect => return lost,
-            NextWrite::LostAndOvertaken => *present = Some(stored(9, "other")),
+            NextWrite::LostAndSuperseded => {
+                *present = Some(stored(9, "other"))
+            }
             _ => *present = Some(written),
         }
         match self.next {
-            NextWrite::Answered => Ok(PutOutcome::Written(version + 1)),
+            NextWrite::Confirmed => Ok(PutOutcome::Written(version + 1)),
             _ => lost,
         }
     }
@@ -99,24 +101,24 @@
 }
 
 #[tokio::test]
-async fn each_fate_is_told_from_what_is_stored() {
+async fn each_outcome_is_determined_from_the_stored_value() {
     let other = WriteOutcome::Superseded(Some(stored(9, "other")));
     let cases = [
-        (NextWrite::Answered, WriteOutcome::Written(5)),
+        (NextWrite::Confirmed, WriteOutcome::Written(5)),
         (NextWrite::LostAfterEffect, WriteOutcome::Written(5)),
         (NextWrite::LostBeforeEffect, WriteOutcome::Lost),
-        (NextWrite::LostAndOvertaken, other),
+        (NextWrite::LostAndSuperseded, other),
     ];
-    for (next, fate) in cases {
+    for (next, outcome) in cases {
         let store = store(next, true);
-        assert_eq!(write(&store, 4).await, Ok(fate), "{next:?}");
+        assert_eq!(write(&store, 4).await, Ok(outcome), "{next:?}");
     }
 }
 
-/// The caller's first try took effect but its answer was lost, so the
-/// second try meets a conflict. The conflict is the caller's own write.
+/// The first attempt takes effect but its response is lost, so the second
+/// attempt gets a conflict. The conflict is with the caller's own write.
 #[tokio::test]
-async fn a_conflict_with_the_own_write_is_told_as_written() {
+async fn a_conflict_with_the_own_write_is_reported_as_written() {
     let store = store(NextWrite::LostAfterEffect, true);
     assert_eq!(write(&store, 4).await, Ok(WriteOutcome::Written(5)));
 
@@ -125,11 +127,11 @@
     assert_eq!(again, Ok(WriteOutcome::Written(5)));
 }
 
-/// The store goes away right after the write: nothing is known, and
-/// nothing else is said.
+/// The store becomes unavailable right after the write. The outcome must not
+/// be reported as anything but unknown.
 #[tokio::test]
 async fn a_write_that_cannot_be_read_back_stays_unknown() {
     let store = store(NextWrite::LostAfterEffect, false);
-    let fate = write(&store, 4).await;
-    assert!(matches!(fate, Err(StoreError::Unknown(_))), "{fate:?}");
+    let outcome = write(&store, 4).await;
+    assert!(matches!(outcome, Err(StoreError::Unknown(_))), "{outcome:?}");
 }
