--- a/goldcrestramp-assignment/tests/patch.rs
+++ b/goldcrestramp-assignment/tests/patch.rs
@@ -94,7 +94,7 @@
             };
 
             let patch = newer.patch_from(planner.table());
-            replica = replica.patched(&patch).expect("patch was made from this table");
+            replica = replica.patched(&patch).expect("patch applies");
 
             prop_assert_eq!(owners(&replica), owners(&newer));
             prop_assert_eq!(replica.highest_token(), newer.highest_token());
