--- a/goldcrestramp-platform/tests/resolve.rs
+++ b/goldcrestramp-platform/tests/resolve.rs
@@ -15,7 +15,7 @@
     Confirmed,
     LostAfterEffect,
     LostBeforeEffect,
-    LostAndSuperseded,
+    LostAndReplaced,
 }
 
 /// A store of one key that responds immediately.
@@ -71,9 +71,7 @@
         let written = StoredValue { version: version + 1, value };
         match self.next {
             NextWrite::LostBeforeEffect => return lost,
-            NextWrite::LostAndSuperseded => {
-                *present = Some(stored(9, "other"))
-            }
+            NextWrite::LostAndReplaced => *present = Some(stored(9, "other")),
             _ => *present = Some(written),
         }
         match self.next {
@@ -107,7 +105,7 @@
         (NextWrite::Confirmed, WriteOutcome::Written(5)),
         (NextWrite::LostAfterEffect, WriteOutcome::Written(5)),
         (NextWrite::LostBeforeEffect, WriteOutcome::Lost),
-        (NextWrite::LostAndSuperseded, other),
+        (NextWrite::LostAndReplaced, other),
     ];
     for (next, outcome) in cases {
         let store = store(next, true);
