--- a/goldcrestramp-assignment/tests/ownership/fuzz.rs
+++ b/goldcrestramp-assignment/tests/ownership/fuzz.rs
@@ -141,6 +141,7 @@
     setting.and_then(|text| text.parse().ok()).unwrap_or(CASES)
 }
 
+/// With all guards, no sequence of faults gives a key two owners.
 #[test]
 fn any_sequence_of_faults_keeps_one_owner_per_key() {
     let found = finds_two_owners(ClusterGuards::ALL, cases());
@@ -148,6 +149,8 @@
     assert_eq!(found, None);
 }
 
+/// A replaced planner that does not know of its successor commits a table. If
+/// the commit did not depend on its own record, it would take effect.
 #[test]
 fn without_a_condition_on_the_record_a_replaced_planner_commits() {
     let guards =
@@ -223,6 +226,8 @@
     assert!(!two_owners_in(ClusterGuards::ALL, &steps));
 }
 
+/// A grant is delivered after its keys were released and reassigned. A server
+/// that did not compare tokens would accept it.
 #[test]
 fn without_token_checks_a_delayed_grant_creates_a_second_owner() {
     let guards =
