--- a/goldcrestramp-assignment/src/planner.rs
+++ b/goldcrestramp-assignment/src/planner.rs
@@ -278,8 +278,8 @@
         else {
             return false;
         };
-        // Grants are renewed until `Releasing` is committed, so a range that
-        // is not yet committed as such is not free.
+        // Grants are renewed until `Releasing` is committed, so before that
+        // a range is not free, unless its holder has ended.
         let committed = self.table.ranges.iter().any(|known| {
             known.phase == AssignmentPhase::Releasing
                 && known.range == run.range
--- a/goldcrestramp-platform/src/resolve.rs
+++ b/goldcrestramp-platform/src/resolve.rs
@@ -55,9 +55,9 @@
 ///
 /// # Errors
 ///
-/// [`StoreError::Unknown`] if the response was lost or a conflict, and the
-/// key can't be read back: it must be read before anything is decided. After
-/// any other error, the write had no effect.
+/// [`StoreError::Unknown`] if the response was lost, or was a conflict, and
+/// the key can't be read back: it must be read before anything is decided.
+/// After any other error, the write had no effect.
 pub async fn resolve_write<S>(
     store: &S,
     key: &str,
