--- a/goldcrestramp-decisions/src/admission.rs
+++ b/goldcrestramp-decisions/src/admission.rs
@@ -1,29 +1,29 @@
-//! Who is next when a slot becomes free.
+//! The order in which waiting requests get a free slot.
 //!
-//! The load: more requests than slots for a moment. Woken all at once, the
-//! luckiest takes the slot and an old request can wait for ever; woken by
-//! age alone, a request of low rank is served before one of high rank.
-//! Here the rank decides, then the arrival; one that was woken in vain
-//! keeps its place.
+//! For a moment there may be more requests than slots. If all of them are
+//! woken at once, whichever runs first takes the slot and an old request can
+//! starve. If age alone decides, a request of low priority is served before
+//! one of high priority. Here priority decides first, then the order of
+//! arrival. A request that was woken but got no slot keeps its position.
 
 use std::collections::BTreeMap;
 
 use goldcrestramp_types::{LocalTime, TimeSpan};
 
-/// A queue in which somebody has waited for so long stands: more comes than
-/// can be served, and it is no burst that passes.
-const STANDING: TimeSpan = TimeSpan::from_millis(300);
+/// A queue is standing once requests have waited in it for this long: the load
+/// exceeds the capacity, and not only in a short burst.
+const STANDING_AFTER: TimeSpan = TimeSpan::from_millis(300);
 
-/// The place of a request in any queue it comes to wait in.
+/// The position of a request, the same in every queue that it joins.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct QueuePosition {
-    /// The rank, 0 first.
+    /// The priority; 0 is served first.
     pub priority: u8,
-    /// The order of arrival; no two requests have the same.
+    /// The order of arrival, unique for each request.
     pub sequence: u64,
 }
 
-/// Requests that wait for the same thing, each with what wakes it.
+/// Requests that wait for the same resource, each with its waker.
 ///
 /// # Example
 ///
@@ -38,64 +38,65 @@
 #[derive(Debug)]
 pub struct AdmissionQueue<Waker> {
     waiting: BTreeMap<QueuePosition, Waker>,
-    /// Since when somebody has had to wait.
-    since: Option<LocalTime>,
+    /// When the current period of waiting began.
+    waiting_since: Option<LocalTime>,
 }
 
 impl<Waker> Default for AdmissionQueue<Waker> {
     fn default() -> Self {
-        Self { waiting: BTreeMap::new(), since: None }
+        Self { waiting: BTreeMap::new(), waiting_since: None }
     }
 }
 
 impl<Waker> AdmissionQueue<Waker> {
-    /// Waits at a place.
-    pub fn join(&mut self, place: QueuePosition, waker: Waker) {
-        self.waiting.insert(place, waker);
+    /// Adds a waiter at a position.
+    pub fn join(&mut self, position: QueuePosition, waker: Waker) {
+        self.waiting.insert(position, waker);
     }
 
-    /// Notes that somebody has to wait; whether the queue stands.
+    /// Records that a request has to wait, and returns whether the queue is
+    /// standing.
     ///
-    /// While it does, one that could only be answered late is better told
-    /// so at once: let in, every request is late, as each waits for those
-    /// before it until the last moment of its deadline.
+    /// In a standing queue, a request that can only be served late should be
+    /// refused at once. If it were admitted, every request would be late,
+    /// since each one waits for those before it until the end of its deadline.
     pub fn is_standing(&mut self, now: LocalTime) -> bool {
-        now.since(*self.since.get_or_insert(now)) >= STANDING
+        now.since(*self.waiting_since.get_or_insert(now)) >= STANDING_AFTER
     }
 
-    /// Notes that a request did not have to wait.
+    /// Records that a request did not have to wait.
     pub const fn record_progress(&mut self) {
-        self.since = None;
+        self.waiting_since = None;
     }
 
-    /// Leaves the queue.
-    pub fn leave(&mut self, place: QueuePosition) {
-        self.waiting.remove(&place);
+    /// Removes a waiter.
+    pub fn leave(&mut self, position: QueuePosition) {
+        self.waiting.remove(&position);
     }
 
-    /// Takes the first of the queue.
+    /// Removes the first waiter and returns its waker.
     pub fn wake(&mut self) -> Option<Waker> {
-        self.waiting.pop_first().map(|(_place, waker)| waker)
+        self.waiting.pop_first().map(|(_position, waker)| waker)
     }
 
-    /// Takes everyone, in order.
+    /// Removes all waiters and returns their wakers in order.
     pub fn wake_all(&mut self) -> impl Iterator<Item = Waker> {
         std::mem::take(&mut self.waiting).into_values()
     }
 
-    /// How many wait before this place.
+    /// The number of waiters before this position.
     #[must_use]
-    pub fn ahead_of(&self, place: QueuePosition) -> usize {
-        self.waiting.range(..place).count()
+    pub fn ahead_of(&self, position: QueuePosition) -> usize {
+        self.waiting.range(..position).count()
     }
 
-    /// How many wait.
+    /// The number of waiters.
     #[must_use]
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether nobody waits.
+    /// Whether the queue has no waiters.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
--- a/goldcrestramp-decisions/src/attempt/mod.rs
+++ b/goldcrestramp-decisions/src/attempt/mod.rs
@@ -1,26 +1,24 @@
 /*!
-At most once, also when a caller sends the same request again.
+At-most-once execution when a caller resends a request.
 
-The load: a phone loses its network while an order runs and sends the order
-again with the same id; or a gateway does. Without a memory the keeper takes
-it for a second order, and two parcels are sent.
+A phone loses its network while an order runs, and it or a gateway resends the
+order with the same id. Without a memory, the keeper would treat it as a second
+order, and two parcels would be sent.
 
-The keeper of a server is the one way to it, so it remembers the id of each
-non-idempotent request until the request's deadline, after which nothing may
-start, and for as long as the longest deadline after that: a caller that
-sends it again late, or with a new deadline, still learns how the first one
-ended.
+All requests to a server pass through its keeper. The keeper remembers the id
+of each non-idempotent request until the request's deadline, after which it
+cannot start, and for the longest deadline after that. So a caller that resends
+it late, or with a new deadline, still learns the outcome of the first attempt.
 
-When a slice moves, what is remembered of it goes to its next keeper as
-records. They say what they say whoever else held the slice meanwhile, so a
-record that comes late, twice or never does no harm. That *nothing else* was
-sent, no record can prove: a keeper whose time on a slice is shorter than an
-id is remembered answers a resend that it does not know with *too young*.
-The resend's own deadline proves nothing about that, since it may be a new
-one.
+When a slice moves, its remembered attempts are sent to the next keeper as
+records. A record is valid whoever else had the slice in the meantime, so
+records that arrive late, twice or never do no harm. No record can prove that
+*nothing else* was sent: a keeper that has had a slice for less time than an id
+is remembered responds *too young* to an unknown resend. The deadline of the
+resend proves nothing here, since it may be a new one.
 
-The memory is bounded, and a full one refuses new requests: to forget one in
-its stead would allow the doubled order that it is there to prevent.
+The memory is bounded, and a full one refuses new requests. Evicting an id
+would allow the duplicate order that the memory has to prevent.
 */
 
 mod record;
@@ -36,38 +34,40 @@
     StoredAnswer,
 };
 
-/// The longest answer that is kept whole: an order's is a few hundred
-/// bytes. A longer one is known to be done, without its body.
+/// The longest response body that is stored. The response to an order has a
+/// few hundred bytes. Of a longer one only the outcome is stored, without the
+/// body.
 pub const MAX_ANSWER_BYTES: usize = 4_096;
 
-/// The bytes of a record without its body: three names and an address.
+/// The size of a record without its body: three names and an address.
 const RECORD_BYTES: usize = 256;
 
 /// The bounds of a memory.
 #[derive(Clone, Copy, Debug)]
 pub struct MemorySettings {
-    /// The most ids: at 200 orders a second, with deadlines of 30 s and as
-    /// long again after them, 12,000.
+    /// The maximum number of ids. 200 orders a second, with deadlines of 30 s
+    /// and the same time again after them, need 12,000.
     pub id_limit: usize,
-    /// The most bytes of answers; those beyond are known without bodies.
-    pub answer_bytes: usize,
+    /// The maximum size of all stored response bodies; beyond it, outcomes are
+    /// stored without bodies.
+    pub max_stored_bytes: usize,
     /// The longest time between a request's start and its deadline; the
     /// gateway refuses longer ones.
-    pub longest: TimeSpan,
+    pub max_timeout: TimeSpan,
 }
 
-/// What is to be done with a request that arrives.
+/// What to do with a request that arrives.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum AttemptVerdict {
-    /// It is new here: go on, and report its end.
+    /// The id is new: start the request, and report its outcome.
     Start,
-    /// The first one is still under way.
+    /// The first attempt is still in flight.
     InProgress,
-    /// The first one ended so.
+    /// The outcome of the first attempt.
     Known(AttemptOutcome),
-    /// It may have come before the memory began.
+    /// The first attempt may have arrived before the memory began.
     TooYoung,
-    /// It is not taken, and did not run.
+    /// It is refused, and did not run.
     Refused(NotRunReason),
 }
 
@@ -76,10 +76,10 @@
     slice: SliceIndex,
     deadline: LocalTime,
     sent: AttemptSent,
-    /// Nothing while it is under way.
+    /// `None` while it is in flight.
     outcome: Option<AttemptOutcome>,
-    /// The keeper that has been told of it.
-    passed_to: Option<Arc<str>>,
+    /// The keeper that has received the record of it.
+    received_by: Option<Arc<str>>,
 }
 
 /// The ids that one keeper remembers for one server.
@@ -87,113 +87,115 @@
 pub struct AttemptMemory {
     settings: MemorySettings,
     entries: FastMap<AttemptId, AttemptEntry>,
-    /// Ended attempts by when they are forgotten.
-    ended: BTreeSet<(LocalTime, AttemptId)>,
-    /// Since when everything on a slice came through here; at most 65,536.
-    complete_since: FastMap<SliceIndex, LocalTime>,
-    /// Bytes of the answers that are kept.
-    kept_bytes: usize,
+    /// Completed attempts by the time at which they expire.
+    completed: BTreeSet<(LocalTime, AttemptId)>,
+    /// Since when all requests on a slice have passed through this keeper; at
+    /// most 65,536 entries.
+    covered_since: FastMap<SliceIndex, LocalTime>,
+    /// Total size of the stored response bodies.
+    stored_bytes: usize,
 }
 
 impl AttemptMemory {
-    /// An empty memory that is responsible for no slice.
+    /// An empty memory that covers no slice.
     #[must_use]
     pub fn open(settings: MemorySettings) -> Self {
         Self {
             settings,
             entries: FastMap::default(),
-            ended: BTreeSet::new(),
-            complete_since: FastMap::default(),
-            kept_bytes: 0,
+            completed: BTreeSet::new(),
+            covered_since: FastMap::default(),
+            stored_bytes: 0,
         }
     }
 
-    /// The ids that are remembered.
+    /// The number of remembered ids.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether nothing is remembered.
+    /// Whether no id is remembered.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Begins a slice of whose past nothing is known.
+    /// Starts to cover a slice of which no earlier attempts are known.
     ///
-    /// One that is remembered already stays so.
-    pub fn begin_slice(&mut self, now: LocalTime, slice: SliceIndex) {
-        self.complete_since.entry(slice).or_insert(now);
+    /// A slice that is already covered keeps its start.
+    pub fn cover_slice(&mut self, now: LocalTime, slice: SliceIndex) {
+        self.covered_since.entry(slice).or_insert(now);
     }
 
-    /// Makes every slice one of whose past nothing is known; the ids that
-    /// are remembered stay so.
-    pub fn begin_anew(&mut self) {
-        self.complete_since.clear();
+    /// Treats every slice as one of which no earlier attempts are known. Ids
+    /// that are remembered stay.
+    pub fn reset_slices(&mut self) {
+        self.covered_since.clear();
     }
 
-    /// Takes what another keeper remembers of a request.
+    /// Imports what another keeper remembers of a request.
     ///
-    /// What is known here already is first hand and stays. Beyond the bound
-    /// a record is left out: its resend is *too young* then.
-    pub fn take(&mut self, now: LocalTime, record: AttemptRecord) {
-        self.forget_past(now);
+    /// An entry of this keeper takes precedence over the record. A record
+    /// beyond the bound is dropped; its resend then gets *too young*.
+    pub fn import(&mut self, now: LocalTime, record: AttemptRecord) {
+        self.remove_expired(now);
         let full = self.entries.len() >= self.settings.id_limit;
         let known = self.entries.contains_key(&record.id);
         if full || known || matches!(record.outcome, AttemptOutcome::NotRun(_))
         {
             return;
         }
-        let sent = AttemptSent { server: record.server, begun: None };
-        let deadline = now + record.left.min(self.settings.longest);
+        let sent = AttemptSent { server: record.server, arrived_at: None };
+        let deadline = now + record.remaining.min(self.settings.max_timeout);
         let entry = AttemptEntry {
             slice: record.slice,
             deadline,
             sent,
             outcome: None,
-            passed_to: None,
+            received_by: None,
         };
         self.entries.insert(record.id.clone(), entry);
         self.finish(&record.id, record.outcome);
     }
 
-    /// What ended on slices that another keeper has now, and that one does
-    /// not know of: records of about `byte_limit` bytes, at least one, all
-    /// for the same keeper.
+    /// Completed attempts on slices that another keeper has now, and which
+    /// that keeper has not received: records of about `byte_limit` bytes, at
+    /// least one, all for the same keeper.
     ///
-    /// `keeper_of` tells who has a slice; nothing if that is this keeper, or
-    /// nobody.
-    pub fn untold<'a>(
+    /// `keeper_of` returns the keeper of a slice; `None` if that is this
+    /// keeper or if there is none.
+    pub fn pending_records<'a>(
         &mut self,
         now: LocalTime,
         keeper_of: impl Fn(SliceIndex) -> Option<&'a Arc<str>>,
         byte_limit: usize,
     ) -> Option<(Arc<str>, Vec<AttemptRecord>)> {
-        self.forget_past(now);
+        self.remove_expired(now);
         let mut next: Option<Arc<str>> = None;
         let mut records = Vec::new();
         let mut bytes = 0;
         for (id, entry) in &mut self.entries {
             let Some(outcome) = &entry.outcome else { continue };
             let Some(keeper) = keeper_of(entry.slice) else {
-                // Back here: whoever has it next is told again.
-                entry.passed_to = None;
+                // The slice is back here: its next keeper needs the record
+                // again.
+                entry.received_by = None;
                 continue;
             };
-            if entry.passed_to.as_ref() == Some(keeper) {
+            if entry.received_by.as_ref() == Some(keeper) {
                 continue;
             }
             let chosen = next.get_or_insert_with(|| Arc::clone(keeper));
-            let more = bytes + RECORD_BYTES + outcome.body_bytes();
-            if chosen != keeper || (bytes > 0 && more > byte_limit) {
+            let total = bytes + RECORD_BYTES + outcome.body_bytes();
+            if chosen != keeper || (bytes > 0 && total > byte_limit) {
                 continue;
             }
-            bytes = more;
+            bytes = total;
             records.push(AttemptRecord {
                 id: id.clone(),
                 slice: entry.slice,
-                left: entry.deadline.since(now),
+                remaining: entry.deadline.since(now),
                 server: Arc::clone(&entry.sent.server),
                 outcome: outcome.clone(),
             });
@@ -201,16 +203,20 @@
         Some((next?, records))
     }
 
-    /// Notes that a keeper has taken these records.
-    pub fn told(&mut self, keeper: &Arc<str>, records: &[AttemptRecord]) {
+    /// Records that a keeper has received these records.
+    pub fn mark_received(
+        &mut self,
+        keeper: &Arc<str>,
+        records: &[AttemptRecord],
+    ) {
         for record in records {
             if let Some(entry) = self.entries.get_mut(&record.id) {
-                entry.passed_to = Some(Arc::clone(keeper));
+                entry.received_by = Some(Arc::clone(keeper));
             }
         }
     }
 
-    /// Takes a request that arrives at `now`.
+    /// Handles a request that arrives at `now`.
     pub fn begin(
         &mut self,
         now: LocalTime,
@@ -221,11 +227,11 @@
         if let Some(verdict) = self.recall(now, id) {
             return verdict;
         }
-        // Before any refusal: a refusal says "not run", and of the first
-        // try that is known here only if the memory reaches back to it. A
-        // late resend may come after its id was forgotten.
+        // This precedes any refusal. A refusal says "not run", which is known
+        // of the first attempt only if the memory covers its time. A late
+        // resend may arrive after its id has expired.
         let is_late = deadline <= now;
-        if is_resend && (is_late || !self.is_complete(now, slice)) {
+        if is_resend && (is_late || !self.is_covered(now, slice)) {
             return AttemptVerdict::TooYoung;
         }
         if is_late {
@@ -234,32 +240,32 @@
         if self.entries.len() >= self.settings.id_limit {
             return AttemptVerdict::Refused(NotRunReason::QueueFull);
         }
-        let begun = Some(now);
-        let sent = AttemptSent { server: Arc::clone(server), begun };
+        let arrived_at = Some(now);
+        let sent = AttemptSent { server: Arc::clone(server), arrived_at };
         let entry = AttemptEntry {
             slice,
             deadline,
             sent,
             outcome: None,
-            passed_to: None,
+            received_by: None,
         };
         self.entries.insert(id.clone(), entry);
         AttemptVerdict::Start
     }
 
-    /// Since when everything on a slice came through here.
+    /// Since when all requests on a slice have passed through this keeper.
     #[must_use]
-    pub fn since(&self, slice: SliceIndex) -> Option<LocalTime> {
-        self.complete_since.get(&slice).copied()
+    pub fn covered_since(&self, slice: SliceIndex) -> Option<LocalTime> {
+        self.covered_since.get(&slice).copied()
     }
 
-    /// What is known of an id; nothing if it is not remembered.
+    /// What is known of an id; `None` if it is not remembered.
     pub fn recall(
         &mut self,
         now: LocalTime,
         id: &AttemptId,
     ) -> Option<AttemptVerdict> {
-        self.forget_past(now);
+        self.remove_expired(now);
         let entry = self.entries.get(id)?;
         let verdict = match &entry.outcome {
             None => AttemptVerdict::InProgress,
@@ -274,45 +280,47 @@
         self.entries.get(id).map(|entry| &entry.sent)
     }
 
-    /// Notes how a request ended.
+    /// Records the outcome of a request.
     ///
-    /// One that did not run is forgotten: it may be sent again.
+    /// A request that did not run is forgotten, so that it may be sent again.
     pub fn finish(&mut self, id: &AttemptId, outcome: AttemptOutcome) {
         if matches!(outcome, AttemptOutcome::NotRun(_)) {
             self.entries.remove(id);
             return;
         }
-        let room = self.settings.answer_bytes.saturating_sub(self.kept_bytes);
+        let room =
+            self.settings.max_stored_bytes.saturating_sub(self.stored_bytes);
         if let Some(entry) = self.entries.get_mut(id) {
-            let outcome = outcome.within(MAX_ANSWER_BYTES.min(room));
-            self.kept_bytes += outcome.body_bytes();
+            let outcome =
+                outcome.without_long_body(MAX_ANSWER_BYTES.min(room));
+            self.stored_bytes += outcome.body_bytes();
             entry.outcome = Some(outcome);
-            let forget_at = entry.deadline + self.settings.longest;
-            self.ended.insert((forget_at, id.clone()));
+            let expires_at = entry.deadline + self.settings.max_timeout;
+            self.completed.insert((expires_at, id.clone()));
         }
     }
 
-    /// Whether no request on the slice that is still to be remembered can
-    /// have come before its memory began.
+    /// Whether every request on the slice that must still be remembered
+    /// arrived after its memory began.
     ///
-    /// The first try was sent at most the longest deadline before its own,
-    /// and is remembered for as long again after that.
-    fn is_complete(&self, now: LocalTime, slice: SliceIndex) -> bool {
-        let longest = self.settings.longest;
-        self.complete_since
+    /// The first attempt was sent at most the longest deadline before its own
+    /// deadline, and is remembered for the same time after it.
+    fn is_covered(&self, now: LocalTime, slice: SliceIndex) -> bool {
+        let max_timeout = self.settings.max_timeout;
+        self.covered_since
             .get(&slice)
-            .is_some_and(|since| *since + longest + longest <= now)
+            .is_some_and(|since| *since + max_timeout + max_timeout <= now)
     }
 
-    /// Forgets what ended long ago.
-    fn forget_past(&mut self, now: LocalTime) {
-        while let Some((forget_at, _)) = self.ended.first()
-            && *forget_at < now
-            && let Some((_, id)) = self.ended.pop_first()
+    /// Removes completed attempts that have expired.
+    fn remove_expired(&mut self, now: LocalTime) {
+        while let Some((expires_at, _)) = self.completed.first()
+            && *expires_at < now
+            && let Some((_, id)) = self.completed.pop_first()
         {
             let entry = self.entries.remove(&id);
             let outcome = entry.and_then(|entry| entry.outcome);
-            self.kept_bytes -= outcome.map_or(0, |o| o.body_bytes());
+            self.stored_bytes -= outcome.map_or(0, |o| o.body_bytes());
         }
     }
 }
--- a/goldcrestramp-decisions/src/attempt/record.rs
+++ b/goldcrestramp-decisions/src/attempt/record.rs
@@ -1,4 +1,4 @@
-//! What is remembered of an attempt, and passed on.
+//! What is remembered of an attempt and handed over to the next keeper.
 
 use std::sync::Arc;
 
@@ -6,30 +6,30 @@
     CallerName, LocalTime, NotRunReason, RequestName, SliceIndex, TimeSpan,
 };
 
-/// A request as its caller names it.
+/// A request as its caller identifies it.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct AttemptId {
-    /// The caller, within which the name is unique.
+    /// The caller; the request id is unique within it.
     pub caller: CallerName,
-    /// The caller's own id.
+    /// The caller's id of the request.
     pub request: RequestName,
 }
 
-/// A server's answer, kept for a resend.
+/// A server's response, stored for a resend.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct StoredAnswer {
     /// The HTTP status.
     pub status: u16,
-    /// The media type; empty if the server named none.
+    /// The media type; empty if the server sent none.
     pub content_type: Arc<str>,
-    /// The body; nothing if it was too long to keep.
+    /// The body; `None` if it was too long to store.
     pub body: Option<Arc<[u8]>>,
 }
 
-/// How a non-idempotent request ended.
+/// The outcome of a non-idempotent request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum AttemptOutcome {
-    /// The server ran it and answered so.
+    /// The server ran it and sent this response.
     Done(StoredAnswer),
     /// It certainly did not run.
     NotRun(NotRunReason),
@@ -38,14 +38,14 @@
 }
 
 impl AttemptOutcome {
-    /// The outcome without a body that is longer than `limit` bytes.
-    pub(crate) fn within(self, limit: usize) -> Self {
+    /// The outcome, without its body if that is longer than `limit` bytes.
+    pub(crate) fn without_long_body(self, limit: usize) -> Self {
         let Self::Done(answer) = self else { return self };
         let body = answer.body.filter(|body| body.len() <= limit);
         Self::Done(StoredAnswer { body, ..answer })
     }
 
-    /// The bytes of the body that it keeps.
+    /// The size of the stored body.
     pub(crate) fn body_bytes(&self) -> usize {
         let Self::Done(answer) = self else { return 0 };
         answer.body.as_ref().map_or(0, |body| body.len())
@@ -55,38 +55,38 @@
 /// A request that arrives.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptArrival<'a> {
-    /// Which one.
+    /// The id of the request.
     pub id: &'a AttemptId,
     /// The slice of its key.
     pub slice: SliceIndex,
-    /// When its caller gives it up.
+    /// The deadline of its caller.
     pub deadline: LocalTime,
-    /// What the caller says: that it may have sent it before.
+    /// Whether the caller says that it may have sent the request before.
     pub is_resend: bool,
-    /// Where the server listens that it would be sent to.
+    /// The address of the server that it would be sent to.
     pub server: &'a Arc<str>,
 }
 
 /// Where a remembered request was sent.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct AttemptSent {
-    /// Where the server listens that was sent it.
+    /// The address of the server that it was sent to.
     pub server: Arc<str>,
-    /// When it came here; nothing if another keeper had it.
-    pub begun: Option<LocalTime>,
+    /// When it arrived at this keeper; `None` if another keeper had it.
+    pub arrived_at: Option<LocalTime>,
 }
 
-/// An attempt on its way to the next keeper.
+/// An attempt that is handed over to the next keeper.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct AttemptRecord {
-    /// Which one.
+    /// The id of the request.
     pub id: AttemptId,
     /// The slice of its key.
     pub slice: SliceIndex,
-    /// The time to its deadline; zero if that is over.
-    pub left: TimeSpan,
-    /// Where the server listens that was sent it.
+    /// The time to its deadline; zero if that has passed.
+    pub remaining: TimeSpan,
+    /// The address of the server that it was sent to.
     pub server: Arc<str>,
-    /// How it ended.
+    /// The outcome of the request.
     pub outcome: AttemptOutcome,
 }
--- a/goldcrestramp-decisions/src/baseline/fifo.rs
+++ b/goldcrestramp-decisions/src/baseline/fifo.rs
@@ -1,4 +1,4 @@
-//! Gateways by round robin, each first in first out.
+//! Gateways by round robin, each with first-in-first-out queues.
 
 use std::collections::VecDeque;
 
@@ -6,8 +6,8 @@
 
 use crate::baseline::{BaselineEvent, BaselineRequest};
 
-/// A server's free slot goes to the gateways in turn; each gateway has one
-/// queue for each server, bounded in length alone.
+/// A server's free slot is offered to the gateways in turn. Each gateway has
+/// one queue for each server, bounded in length only.
 #[derive(Clone, Debug)]
 pub struct FifoBaseline {
     slots: usize,
@@ -15,13 +15,13 @@
     /// By server, then by gateway.
     queues: Vec<Vec<VecDeque<BaselineRequest>>>,
     running: Vec<usize>,
-    /// The gateway that is asked next, by server.
-    turns: Vec<usize>,
+    /// The next gateway that is offered a slot, by server.
+    next_gateways: Vec<usize>,
     arrivals: usize,
 }
 
 impl FifoBaseline {
-    /// Gateways with empty queues.
+    /// Creates gateways with empty queues.
     #[must_use]
     pub fn new(
         servers: usize,
@@ -34,12 +34,13 @@
             queue_limit,
             queues: vec![vec![VecDeque::new(); gateways]; servers],
             running: vec![0; servers],
-            turns: vec![0; servers],
+            next_gateways: vec![0; servers],
             arrivals: 0,
         }
     }
 
-    /// Queues a request at the next gateway; `false`: its queue is full.
+    /// Queues a request at the next gateway; returns `false` if its queue is
+    /// full.
     pub fn offer(&mut self, request: BaselineRequest) -> bool {
         let queues = &mut self.queues[request.server];
         let gateway = self.arrivals % queues.len();
@@ -76,8 +77,8 @@
     fn next(&mut self, server: usize) -> Option<BaselineRequest> {
         let gateways = self.queues[server].len();
         for _ in 0..gateways {
-            let gateway = self.turns[server] % gateways;
-            self.turns[server] += 1;
+            let gateway = self.next_gateways[server] % gateways;
+            self.next_gateways[server] += 1;
             let request = self.queues[server][gateway].pop_front();
             if request.is_some() {
                 return request;
--- a/goldcrestramp-decisions/src/baseline/mod.rs
+++ b/goldcrestramp-decisions/src/baseline/mod.rs
@@ -1,11 +1,11 @@
 /*!
-Two simple ways to run the same traffic, kept to be measured against.
+Two simple policies, as a baseline for measurements.
 
 - [`FifoBaseline`]: gateways by round robin, first in first out.
-- [`StaticBaseline`]: a fixed limit of requests under way at each gateway.
+- [`StaticBaseline`]: a fixed limit of requests in flight at each gateway.
 
-Both are given what servers offer anyway: a request that is past its
-deadline is not started. Nothing else here is used by the daemon.
+Both have the check that servers provide anyway: a request past its deadline is
+not started. The daemon uses nothing of this module.
 */
 
 mod fifo;
@@ -14,21 +14,21 @@
 pub use crate::baseline::{fifo::FifoBaseline, limit::StaticBaseline};
 use goldcrestramp_types::LocalTime;
 
-/// A request as a baseline knows it.
+/// A request of a baseline.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct BaselineRequest {
-    /// The number by which the events name it.
+    /// The number that identifies it in events.
     pub ticket: usize,
     /// The server that owns its key.
     pub server: usize,
-    /// After this it is not started.
+    /// It is not started after this time.
     pub deadline: LocalTime,
 }
 
-/// What happens to a request that waited.
+/// What happens to a waiting request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum BaselineEvent {
-    /// It runs at its server now.
+    /// It starts at its server.
     Start(usize),
     /// Its turn came after its deadline.
     GiveUp(usize),
--- a/goldcrestramp-decisions/src/deadline.rs
+++ b/goldcrestramp-decisions/src/deadline.rs
@@ -1,17 +1,17 @@
-//! Deadlines that cross from one process to the next.
+//! Deadlines that are forwarded from one process to the next.
 //!
-//! Clocks of two machines are never compared, so a request carries the time
-//! that is left and the receiver makes a deadline of it again. The time on
-//! the way is not in either clock. If it were not taken off, each hop would
-//! lengthen the deadline: with 12 ms between regions and two hops, a server
-//! could start a request 24 ms after its caller has given it up.
+//! Clocks of two machines are never compared. A request carries its remaining
+//! time, and the receiver converts it to a deadline. Neither clock measures
+//! the time in transit. If it were not subtracted, each hop would extend the
+//! deadline: with 12 ms between regions and two hops, a server could start a
+//! request 24 ms after its caller has given up.
 
 use goldcrestramp_types::{LocalTime, TimeSpan};
 
-/// The time left to send with a request, or nothing if it would be over on
-/// arrival.
+/// The remaining time to forward with a request, or `None` if the deadline
+/// would have passed on arrival.
 ///
-/// `transit` is the usual time of one way to the receiver.
+/// `transit` is the typical one-way time to the receiver.
 ///
 /// # Example
 ///
@@ -21,8 +21,8 @@
 ///
 /// let deadline = LocalTime::from_micros(50_000);
 /// let now = LocalTime::from_micros(30_000);
-/// let left = timeout_to_forward(now, deadline, TimeSpan::from_millis(12));
-/// assert_eq!(left, Some(TimeSpan::from_millis(8)));
+/// let remaining = timeout_to_forward(now, deadline, TimeSpan::from_millis(12));
+/// assert_eq!(remaining, Some(TimeSpan::from_millis(8)));
 /// ```
 #[must_use]
 pub fn timeout_to_forward(
@@ -30,26 +30,28 @@
     deadline: LocalTime,
     transit: TimeSpan,
 ) -> Option<TimeSpan> {
-    let left = deadline.since(now + transit);
-    (left > TimeSpan::ZERO).then_some(left)
+    let remaining = deadline.since(now + transit);
+    (remaining > TimeSpan::ZERO).then_some(remaining)
 }
 
-/// Round trips before the way is known: one alone may have met a pause.
+/// Round trips needed before the estimate is used: a single one may include a
+/// pause.
 const MIN_ROUND_TRIPS: u32 = 3;
 
-/// The way is forgotten when no answer came for so long.
+/// The estimate expires when no response came for this long.
 ///
-/// A wrong estimate refuses requests that would correct it: without an end
-/// callers with short deadlines would be turned away for good.
-const TRIP_KEPT: TimeSpan = TimeSpan::from_millis(5_000);
+/// A wrong estimate refuses the requests that would correct it. Without an
+/// expiry, callers with short deadlines would be refused forever.
+const ESTIMATE_TTL: TimeSpan = TimeSpan::from_millis(5_000);
 
-/// A longer trip than the estimate moves it by this part of the difference.
-const RISE_PART: u64 = 64;
+/// A round trip above the estimate raises it by this fraction of the
+/// difference.
+const RISE_DIVISOR: u64 = 64;
 
-/// The usual time of one way to a peer.
+/// Estimates the one-way time to a peer.
 ///
-/// It follows the shortest round trips, as the longer ones hold waits that
-/// the next request need not meet.
+/// The estimate follows the shortest round trips. Longer ones include waits
+/// that the next request may not have.
 ///
 /// # Example
 ///
@@ -68,33 +70,35 @@
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TransitEstimate {
-    trip: TimeSpan,
-    trips: u32,
-    seen: LocalTime,
+    round_trip: TimeSpan,
+    samples: u32,
+    updated_at: LocalTime,
 }
 
 impl TransitEstimate {
-    /// Takes a round trip, without the time spent at the peer.
-    pub fn record(&mut self, now: LocalTime, trip: TimeSpan) {
-        if now.since(self.seen) > TRIP_KEPT {
-            self.trips = 0;
+    /// Records a round trip, without the time spent at the peer.
+    pub fn record(&mut self, now: LocalTime, round_trip: TimeSpan) {
+        if now.since(self.updated_at) > ESTIMATE_TTL {
+            self.samples = 0;
         }
-        let rise = trip.minus(self.trip).as_micros() / RISE_PART;
-        self.trip = if self.trips == 0 || trip < self.trip {
-            trip
+        let rise =
+            round_trip.minus(self.round_trip).as_micros() / RISE_DIVISOR;
+        self.round_trip = if self.samples == 0 || round_trip < self.round_trip
+        {
+            round_trip
         } else {
-            self.trip.plus(TimeSpan::from_micros(rise))
+            self.round_trip.plus(TimeSpan::from_micros(rise))
         };
-        self.trips = self.trips.saturating_add(1);
-        self.seen = now;
+        self.samples = self.samples.saturating_add(1);
+        self.updated_at = now;
     }
 
-    /// The time of one way; zero while it is not known.
+    /// The one-way time; zero while it is unknown.
     #[must_use]
     pub fn one_way(&self, now: LocalTime) -> TimeSpan {
-        let known = self.trips >= MIN_ROUND_TRIPS;
-        if known && now.since(self.seen) <= TRIP_KEPT {
-            return self.trip.percent(50);
+        let known = self.samples >= MIN_ROUND_TRIPS;
+        if known && now.since(self.updated_at) <= ESTIMATE_TTL {
+            return self.round_trip.percent(50);
         }
         TimeSpan::ZERO
     }
--- a/goldcrestramp-decisions/src/gateway.rs
+++ b/goldcrestramp-decisions/src/gateway.rs
@@ -1,24 +1,24 @@
 /*!
-How many requests a gateway has under way, and whose they are.
+Limits the requests in flight of a gateway, fair by caller.
 
-The load: one caller opens thousands of requests to servers that are slow.
-Each takes memory and a connection on an entry VM of small size; with a plain
-bound the hot caller holds all of it and everyone else is turned away.
+One caller may open thousands of requests to slow servers. Each takes memory
+and a connection on a small entry VM. With a plain limit, that caller would use
+all of it and everyone else would be refused.
 
-The bound is shared by dynamic thresholds, as in switches with one buffer for
-many ports: a caller may hold [`FREE_SHARES`] times what is free now. A
-caller alone may take 80% of the bound; as others come, less is free and its
-threshold falls, so that `n` hot callers hold equal parts and a fifth of one
-such part stays free for those who come next. The table holds those who have
-something under way, so it is exact and bounded by the limit.
+The limit is shared by dynamic thresholds, as in switches with a buffer shared
+by many ports: a caller may have [`FREE_FACTOR`] times the free capacity in
+flight. A single caller may use 80% of the limit. With more callers, less is
+free and the threshold falls: `n` busy callers get equal parts, and a fifth of
+one such part stays free for new callers. The table has an entry only for
+callers with requests in flight, so it is exact and bounded by the limit.
 */
 
 use goldcrestramp_types::{CallerName, FastMap, NotRunReason};
 
-/// A caller may hold this many times the free places.
-const FREE_SHARES: usize = 4;
+/// A caller may have this many times the free capacity in flight.
+const FREE_FACTOR: usize = 4;
 
-/// The bound of a gateway.
+/// The limit of a gateway.
 ///
 /// # Example
 ///
@@ -27,59 +27,60 @@
 /// use goldcrestramp_types::{CallerName, NotRunReason};
 ///
 /// let (hot, rare) = (CallerName::new("hot"), CallerName::new("rare"));
-/// let (hot, rare) = (hot.expect("valid"), rare.expect("valid"));
+/// let (hot, rare) = (hot.expect("name is valid"), rare.expect("name is valid"));
 /// let mut limit = GatewayLimit::new(100);
-/// let taken = (0..100).filter(|_| limit.enter(&hot).is_ok()).count();
-/// assert_eq!(taken, 81);
+/// let admitted = (0..100).filter(|_| limit.enter(&hot).is_ok()).count();
+/// assert_eq!(admitted, 81);
 /// assert_eq!(limit.enter(&hot), Err(NotRunReason::CallerOverShare));
 /// assert_eq!(limit.enter(&rare), Ok(()));
 /// ```
 #[derive(Clone, Debug)]
 pub struct GatewayLimit {
     limit: usize,
-    under_way: usize,
+    in_flight: usize,
     callers: FastMap<CallerName, usize>,
 }
 
 impl GatewayLimit {
-    /// A gateway that may have `limit` requests under way.
+    /// Creates a limit of `limit` requests in flight.
     #[must_use]
     pub fn new(limit: usize) -> Self {
-        Self { limit, under_way: 0, callers: FastMap::default() }
+        Self { limit, in_flight: 0, callers: FastMap::default() }
     }
 
-    /// Requests under way.
+    /// The number of requests in flight.
     #[must_use]
-    pub const fn under_way(&self) -> usize {
-        self.under_way
+    pub const fn in_flight(&self) -> usize {
+        self.in_flight
     }
 
-    /// Counts a request in; each that entered has to leave.
+    /// Admits a request. Every admitted request has to call
+    /// [`leave`](Self::leave).
     ///
     /// # Errors
     ///
-    /// `GatewayFull` when no place is free, `CallerOverShare` when the
-    /// caller holds its part of what is.
+    /// `GatewayFull` when the limit is reached, `CallerOverShare` when the
+    /// caller has reached its threshold.
     pub fn enter(&mut self, caller: &CallerName) -> Result<(), NotRunReason> {
-        let free = self.limit.saturating_sub(self.under_way);
+        let free = self.limit.saturating_sub(self.in_flight);
         if free == 0 {
             return Err(NotRunReason::GatewayFull);
         }
-        let held = self.callers.get(caller).copied().unwrap_or(0);
-        if held > free * FREE_SHARES {
+        let current = self.callers.get(caller).copied().unwrap_or(0);
+        if current > free * FREE_FACTOR {
             return Err(NotRunReason::CallerOverShare);
         }
-        self.callers.insert(caller.clone(), held + 1);
-        self.under_way += 1;
+        self.callers.insert(caller.clone(), current + 1);
+        self.in_flight += 1;
         Ok(())
     }
 
-    /// Counts a request out.
+    /// Removes a request that ended.
     pub fn leave(&mut self, caller: &CallerName) {
-        let Some(held) = self.callers.get_mut(caller) else { return };
-        *held -= 1;
-        let is_last = *held == 0;
-        self.under_way -= 1;
+        let Some(current) = self.callers.get_mut(caller) else { return };
+        *current -= 1;
+        let is_last = *current == 0;
+        self.in_flight -= 1;
         if is_last {
             self.callers.remove(caller);
         }
--- a/goldcrestramp-decisions/src/lib.rs
+++ b/goldcrestramp-decisions/src/lib.rs
@@ -1,36 +1,36 @@
 /*!
 Pure decisions under load: admission, fairness, retries, placement.
 
-Nothing here reads a clock, a socket or a random source: the present moment
-and random numbers come in as arguments, so every decision can be read and
-tested without a network. Each module tells which load it answers, what
-happens without it, and where its figures come from.
+Nothing in this crate reads a clock, a socket or a random source. The current
+time and random numbers are arguments, so that every decision can be tested
+without a network. The docs of each module name the load that it handles, what
+fails without it, and the reasons for its constants.
 
-- [`GatewayLimit`]: what a gateway may have under way, shared by caller.
-- [`PlacementPlanner`]: which server gets which slice.
-- [`ServerQueue`]: the one queue in front of a backend server.
-- [`ServerLimit`]: how many requests a server is given at once.
-- [`AttemptMemory`]: at most once across a caller's own resends.
-- [`RetryPolicy`]: whether a failed attempt is made again.
+- [`GatewayLimit`]: limits the requests in flight of a gateway, fair by caller.
+- [`PlacementPlanner`]: assigns slices to servers.
+- [`ServerQueue`]: the single queue in front of a backend server.
+- [`ServerLimit`]: the concurrency limit of a server.
+- [`AttemptMemory`]: at-most-once execution when a caller resends a request.
+- [`RetryPolicy`]: whether a failed attempt is retried.
 - [`RefusalProof`]: whether a refusal proves that a request did not run.
-- [`LinkShare`]: the short link between two regions.
-- [`ServerLoad`]: what a server's slots were used for.
+- [`LinkShare`]: schedules traffic on the slow link between two regions.
+- [`ServerLoad`]: slot time used at a server, by slice.
 - [`is_reader_stalled`]: how long a stalled reader may hold a slot.
-- [`timeout_to_forward`]: a deadline that crosses to another process.
-- [`choose_server`]: which server of a service that any may serve.
-- [`ResponseTimes`]: how long a server's answers usually take.
-- [`AdmissionQueue`]: who is next when a slot becomes free.
-- [`attempt_timeout()`]: how long an answer is waited for.
-- [`PipelineGate`]: which pipelined requests are served at once.
-- [`RateLedger`], [`RateAllowance`]: who sends to a server that names the
-  rate it takes from all.
-- [`AttemptBudget`]: how many sends beyond the first a VM may make.
-- [`server_share`]: what one VM may have under way at a server.
+- [`timeout_to_forward`]: converts a deadline for another process.
+- [`choose_server`]: picks a server of a service that any of them may serve.
+- [`ResponseTimes`]: the typical response times of a server.
+- [`AdmissionQueue`]: the order in which waiting requests get a slot.
+- [`attempt_timeout()`]: the timeout of a single attempt.
+- [`PipelineGate`]: which pipelined requests run concurrently.
+- [`RateLedger`], [`RateAllowance`]: share the rate limit that a server states
+  for all of its senders.
+- [`AttemptBudget`]: limits the attempts beyond the first that a VM may make.
+- [`server_share`]: the requests that one VM may have in flight at a server.
 - [`WorkEstimate`]: how long a server works on a request.
 - [`denial_action`]: whether an owner that denied a key is asked again.
-- [`WeightedRoundRobin`]: the parts of a divided route.
-- [`rebalancing_moves`]: which runs of keys move between servers, and when.
-- [`baseline`]: two simple ways, kept to be measured against.
+- [`WeightedRoundRobin`]: splits a route by weight.
+- [`rebalancing_moves`]: which key ranges move between servers, and when.
+- [`baseline`]: two simple policies for comparison.
 */
 
 mod admission;
@@ -72,7 +72,7 @@
     gateway::GatewayLimit,
     limit::{LimitVerdict, OwnerAdvice, ServerLimit, ServerSignal},
     link::{LINK_CHUNK, LinkFlow, LinkSettings, LinkShare, LinkVolume},
-    load::{LoadReading, REPORTED_SLICES, ServerLoad},
+    load::{LoadReport, REPORTED_SLICES, ServerLoad},
     pipeline::{PipelineEffect, PipelineGate, PipelineStart},
     placement::{
         LoadEstimate, PlacementPlanner, PlacementSettings, PlannedMove,
@@ -93,7 +93,7 @@
         least_loaded_target, rebalancing_moves, target_utilization,
     },
     retry::{
-        AttemptStart, FailedAttempt, REDIRECT_LIMIT, RefusalProof, RefusedBy,
+        AttemptStart, FailedAttempt, MAX_REDIRECTS, RefusalProof, RefusedBy,
         RetryDecision, RetryPolicy,
     },
     round_robin::WeightedRoundRobin,
--- a/goldcrestramp-decisions/src/limit/mod.rs
+++ b/goldcrestramp-decisions/src/limit/mod.rs
@@ -1,29 +1,29 @@
 /*!
-How many requests a server is given at once.
-
-The load: a server that is cold, sheds load, is slow, is frozen, or says on
-its health page that all is well while it is none of that. A fixed number
-of slots then fills with requests that wait for a frozen server, a cold one
-is flooded on its first second, and one that sheds is asked again and again
-only to refuse.
-
-What the keeper itself saw decides: answers, refusals, breaks and silence.
-The health page is not read: a server at work shows more by its answers, and
-one that is idle is asked one request at a time anyway.
-
-- *Cold*: it starts with one request; the limit grows with its answers.
-- *Shedding*: a refusal halves the limit; a run of answers adds one.
-- *Failing or frozen*: nothing is sent for a time that doubles with each
-  failed probe; then one request goes as a probe, and its answer lets the
-  limit grow again by degrees.
-- *Slow*: it keeps its slots, since fewer would only serve less, but
+The concurrency limit of a server.
+
+A server may be cold, overloaded, slow or frozen, or its health page may say
+that all is well when it is not. With a fixed number of slots, requests pile up
+at a frozen server, a cold server is flooded in its first second, and an
+overloaded server is sent requests again and again only to refuse them.
+
+The limit depends on what the keeper itself observes: responses, refusals,
+broken connections and silence. The health page is not read. A busy server
+shows more by its responses, and an idle one gets one request at a time anyway.
+
+- *Cold*: the limit starts at one request and grows with the responses.
+- *Overloaded*: a refusal halves the limit; a run of responses adds one.
+- *Failing or frozen*: the server is suspended for a time that doubles with
+  each failed probe. Then one request is sent as a probe, and its response lets
+  the limit grow again step by step.
+- *Slow*: it keeps its slots, since fewer slots would only serve less, but
   [`OwnerAdvice::MoveAway`] has it reported as full.
 
-The only owner of a key cannot be routed around. While it is held, the queue
-refuses at once what cannot wait for the next probe, and says when to come
-back; what can wait, waits. Moving the ownership is the steward's decision:
-its placement empties a server that is reported as full as far as the others
-have room, see [`ServerLoad`](crate::ServerLoad).
+A key has a single owner, so requests cannot be routed around it. While the
+owner is suspended, the queue refuses at once what cannot wait for the next
+probe, with a time to retry after; the rest waits. Moving the ownership is the
+steward's decision: its placement moves slices away from a server that is
+reported as full, as far as others have capacity, see
+[`ServerLoad`](crate::ServerLoad).
 */
 
 mod pace;
@@ -32,72 +32,74 @@
 
 use crate::limit::pace::ServerPace;
 
-/// Failures in a row after which a server is held: two may be chance, on
-/// a server of two slots one cut connection already breaks both.
-const FAILURE_LIMIT: u32 = 3;
+/// Consecutive failures after which a server is suspended. Two may be chance:
+/// on a server of two slots, one lost connection can break both.
+const FAILURE_THRESHOLD: u32 = 3;
 
-/// Refusals in a row, at one request at a time, after which a server is
-/// held: one that sheds half of its requests whatever its load refuses a few
-/// in a row by chance, and asking it less would have it serve less.
-const REFUSAL_LIMIT: u32 = 16;
+/// Consecutive refusals, at one request at a time, after which a server is
+/// suspended. A server that refuses half of its requests whatever its load
+/// refuses a few in a row by chance, and would serve less if it were sent
+/// less.
+const REFUSAL_THRESHOLD: u32 = 16;
 
-/// The first hold, and the longest: a restart takes seconds, and a key is
-/// to be served again within 2 s of a loss.
+/// The first and the longest suspension. A restart takes seconds, and a key
+/// has to be served again within 2 s of a loss.
 const INITIAL_SUSPENSION: TimeSpan = TimeSpan::from_millis(100);
 const MAX_SUSPENSION: TimeSpan = TimeSpan::from_millis(2_000);
 
-/// Answers for each present slot before one is added.
-const ANSWERS_PER_STEP: usize = 2;
+/// Responses needed for each current slot before one is added.
+const RESPONSES_PER_STEP: usize = 2;
 
-/// A limit is halved once in this time: the refusals of one burst are one
-/// sign, not many.
-const HALVE_PAUSE: TimeSpan = TimeSpan::from_millis(20);
+/// The limit is halved at most once in this time: the refusals of one burst
+/// count as one signal.
+const HALVE_INTERVAL: TimeSpan = TimeSpan::from_millis(20);
 
-/// A hold that lasted this long with no answer calls for another owner.
-const HELD_TOO_LONG: TimeSpan = TimeSpan::from_millis(1_000);
+/// A suspension that lasted this long without a response calls for another
+/// owner.
+const LONG_SUSPENSION: TimeSpan = TimeSpan::from_millis(1_000);
 
-/// What the keeper saw of a server.
+/// What the keeper observed of a server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ServerSignal {
-    /// It answered a request of this class in this time.
+    /// It completed a request of this class in this time.
     Answered(RequestClass, TimeSpan),
     /// It refused to start a request.
     Refused,
-    /// A request broke off or timed out.
+    /// A request was cut off or timed out.
     Broken,
     /// No connection could be made.
     Unreachable,
-    /// Its caller withdrew a request; that says nothing of the server.
+    /// The caller cancelled a request; this says nothing about the server.
     Cancelled,
 }
 
 /// What may be sent to a server now.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LimitVerdict {
-    /// So many requests at once.
+    /// This many requests at once.
     Allowed(usize),
-    /// Nothing before this moment.
+    /// Nothing before this time.
     Suspended(LocalTime),
 }
 
-/// Where a server's keys are served best.
+/// Whether a server should keep its keys.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OwnerAdvice {
-    /// The server does its work.
+    /// The server works normally.
     Keep,
-    /// Its keys would be served better elsewhere.
+    /// Its keys should move to another server.
     MoveAway,
 }
 
-/// How far a server is trusted.
+/// The state of a server's limit.
 #[derive(Clone, Copy, Debug)]
 enum LimitStage {
-    /// It takes `limit` requests; `answers` count towards the next step.
-    Active { limit: usize, answers: usize },
-    /// It gets nothing; `tries` probes have failed.
-    Suspended { until: LocalTime, tries: u32 },
-    /// One request is to show whether it is back.
-    Probing { tries: u32 },
+    /// It takes `limit` requests; `responses` count towards the next step.
+    Active { limit: usize, responses: usize },
+    /// It is sent nothing; `failed_probes` probes have failed.
+    Suspended { until: LocalTime, failed_probes: u32 },
+    /// One request is sent to test whether it is back.
+    Probing { failed_probes: u32 },
 }
 
 /// The limit of one server.
@@ -126,7 +128,7 @@
     failures: u32,
     refusals: u32,
     halved_at: LocalTime,
-    held_since: Option<LocalTime>,
+    suspended_since: Option<LocalTime>,
 }
 
 impl ServerLimit {
@@ -135,25 +137,25 @@
     pub fn open(now: LocalTime, slots: usize) -> Self {
         Self {
             slots: slots.max(1),
-            stage: LimitStage::Active { limit: 1, answers: 0 },
+            stage: LimitStage::Active { limit: 1, responses: 0 },
             pace: ServerPace::new(now),
             failures: 0,
             refusals: 0,
             halved_at: now,
-            held_since: None,
+            suspended_since: None,
         }
     }
 
-    /// The limit of a server that has been at work for a while, as seen by
-    /// a VM that has not: all of its slots from the begin.
+    /// The limit of a server that has been running for a while, as seen by a
+    /// VM that has not: it may use all slots at once.
     ///
-    /// VMs that start together, after a loss of all of them, would else give
-    /// each server one request at a time until it has answered a few, and
+    /// When all VMs are lost and start together, they would otherwise limit
+    /// each server to one request at a time until a few responses came, and
     /// refuse what its other slots could run.
     #[must_use]
     pub fn warm(now: LocalTime, slots: usize) -> Self {
         let limit = slots.max(1);
-        let stage = LimitStage::Active { limit, answers: 0 };
+        let stage = LimitStage::Active { limit, responses: 0 };
         Self { stage, ..Self::open(now, slots) }
     }
 
@@ -171,157 +173,157 @@
         }
     }
 
-    /// What the steward should know.
+    /// The advice to the steward.
     #[must_use]
     pub fn advice(&self, now: LocalTime) -> OwnerAdvice {
-        let held = self
-            .held_since
-            .is_some_and(|since| now.since(since) >= HELD_TOO_LONG);
-        if held || self.pace.is_slow(now) {
+        let suspended = self
+            .suspended_since
+            .is_some_and(|since| now.since(since) >= LONG_SUSPENSION);
+        if suspended || self.pace.is_slow(now) {
             OwnerAdvice::MoveAway
         } else {
             OwnerAdvice::Keep
         }
     }
 
-    /// Notes that a request was sent.
+    /// Records that a request was sent.
     pub fn started(&mut self, now: LocalTime, class: RequestClass) {
-        if let LimitStage::Suspended { tries, .. } = self.stage {
-            self.stage = LimitStage::Probing { tries };
+        if let LimitStage::Suspended { failed_probes, .. } = self.stage {
+            self.stage = LimitStage::Probing { failed_probes };
         }
         self.pace.started(now, class);
     }
 
-    /// Notes that a part of an answer came: the server is alive, and the
-    /// limit grows as by an answer, or one download at a cold server would
-    /// keep it at one request until its end.
+    /// Records that a part of a response arrived. The server is alive, and the
+    /// limit grows as with a response. Otherwise one download at a cold server
+    /// would keep the limit at one request until the download ends.
     pub fn progressed(&mut self, now: LocalTime) {
         self.pace.progressed(now);
-        self.answered();
+        self.record_response();
     }
 
-    /// Notes that a request no longer waits for the begin of its answer.
+    /// Records that a request no longer waits for the start of its response.
     ///
-    /// Called once for each that was started, before its end at the latest.
-    /// Only the begin is waited for: an answer under way stands still when
-    /// its reader does, which says nothing of the server.
+    /// Called once for each started request, at the latest before its end.
+    /// Only the start of a response counts: a response in progress also stalls
+    /// when its reader does, which says nothing about the server.
     pub const fn replied(&mut self, now: LocalTime) {
         self.pace.replied(now);
     }
 
-    /// Notes how a request ended; `random` spreads the next probe.
+    /// Records how a request ended; `random` adds jitter to the next probe.
     pub fn finished(
         &mut self,
         now: LocalTime,
-        sign: ServerSignal,
+        signal: ServerSignal,
         random: u64,
     ) {
-        match sign {
+        match signal {
             ServerSignal::Answered(class, span) => {
                 self.pace.record(now, class, span);
-                self.answered();
+                self.record_response();
             }
-            ServerSignal::Refused => self.refused(now, random),
+            ServerSignal::Refused => self.record_refusal(now, random),
             ServerSignal::Broken | ServerSignal::Unreachable => {
-                self.failed(now, random);
+                self.record_failure(now, random);
             }
             ServerSignal::Cancelled => {}
         }
     }
 
-    /// Takes a new run of the server, which is cold again.
+    /// Resets the limit for a new instance of the server, which is cold.
     pub fn restarted(&mut self, now: LocalTime) {
         *self = Self::open(now, self.slots);
     }
 
-    /// Looks for silence; called at [`wake_at`](Self::wake_at) or before.
+    /// Checks for silence; called no later than [`wake_at`](Self::wake_at).
     pub fn tick(&mut self, now: LocalTime, random: u64) {
         if self.pace.silent_at().is_some_and(|time| time <= now) {
-            // The next silence counts from here, or each tick would
-            // double the hold for the same one.
+            // The next silence counts from here. Otherwise each tick would
+            // double the suspension for the same silence.
             self.pace.progressed(now);
-            self.hold(now, random);
+            self.suspend(now, random);
         }
     }
 
-    /// When something changes without an event.
+    /// When the state changes without an event.
     ///
-    /// A hold that has ended waits for a request to be its probe, and its
-    /// end is no such time any more: a keeper of a lost server, for which
-    /// nothing waited, looked again and again without a pause.
+    /// A suspension that has ended waits for a request as its probe, so its
+    /// end is not returned any more. It once was, and the keeper of a lost
+    /// server for which nothing waited looped without a pause.
     #[must_use]
     pub fn wake_at(&self, now: LocalTime) -> Option<LocalTime> {
-        let held = match self.stage {
+        let suspended = match self.stage {
             LimitStage::Suspended { until, .. } => {
                 Some(until).filter(|t| *t > now)
             }
             LimitStage::Active { .. } | LimitStage::Probing { .. } => None,
         };
-        held.into_iter().chain(self.pace.silent_at()).min()
+        suspended.into_iter().chain(self.pace.silent_at()).min()
     }
 
-    /// An answer ends any doubt, and lets the limit grow by degrees.
-    fn answered(&mut self) {
+    /// Clears failures and suspension, and lets the limit grow step by step.
+    fn record_response(&mut self) {
         self.failures = 0;
         self.refusals = 0;
-        self.held_since = None;
-        let LimitStage::Active { limit, answers } = self.stage else {
-            self.stage = LimitStage::Active { limit: 1, answers: 1 };
+        self.suspended_since = None;
+        let LimitStage::Active { limit, responses } = self.stage else {
+            self.stage = LimitStage::Active { limit: 1, responses: 1 };
             return;
         };
-        let answers = answers + 1;
-        let grown = answers >= limit * ANSWERS_PER_STEP;
+        let responses = responses + 1;
+        let grown = responses >= limit * RESPONSES_PER_STEP;
         self.stage = if grown && limit < self.slots {
-            LimitStage::Active { limit: limit + 1, answers: 0 }
+            LimitStage::Active { limit: limit + 1, responses: 0 }
         } else {
-            LimitStage::Active { limit, answers }
+            LimitStage::Active { limit, responses }
         };
     }
 
-    /// A refusal is a sign of life, yet of too much load.
-    fn refused(&mut self, now: LocalTime, random: u64) {
+    /// Handles a refusal: the server is alive but overloaded.
+    fn record_refusal(&mut self, now: LocalTime, random: u64) {
         if let LimitStage::Active { limit, .. } = self.stage
             && limit > 1
         {
-            let due = now.since(self.halved_at) >= HALVE_PAUSE;
+            let due = now.since(self.halved_at) >= HALVE_INTERVAL;
             let limit = if due { limit / 2 } else { limit };
             if due {
                 self.halved_at = now;
             }
-            self.stage = LimitStage::Active { limit, answers: 0 };
+            self.stage = LimitStage::Active { limit, responses: 0 };
             return;
         }
         self.refusals += 1;
-        self.hold_if(self.refusals >= REFUSAL_LIMIT, now, random);
+        self.suspend_if(self.refusals >= REFUSAL_THRESHOLD, now, random);
     }
 
-    fn failed(&mut self, now: LocalTime, random: u64) {
+    fn record_failure(&mut self, now: LocalTime, random: u64) {
         self.failures += 1;
-        self.hold_if(self.failures >= FAILURE_LIMIT, now, random);
+        self.suspend_if(self.failures >= FAILURE_THRESHOLD, now, random);
     }
 
-    /// Holds the server at the end of a row, or of a probe.
-    fn hold_if(&mut self, row_ends: bool, now: LocalTime, random: u64) {
+    /// Suspends the server if a run is long enough or a probe failed.
+    fn suspend_if(&mut self, run_ends: bool, now: LocalTime, random: u64) {
         let probing = matches!(self.stage, LimitStage::Probing { .. });
-        if probing || row_ends {
-            self.hold(now, random);
+        if probing || run_ends {
+            self.suspend(now, random);
         }
     }
 
     /// Stops sending, for a time that doubles with each failed probe.
-    fn hold(&mut self, now: LocalTime, random: u64) {
-        let tries = match self.stage {
+    fn suspend(&mut self, now: LocalTime, random: u64) {
+        let failed_probes = match self.stage {
             LimitStage::Active { .. } => 0,
-            LimitStage::Probing { tries } => tries + 1,
-            // More requests of before the hold fail: no new knowledge.
+            LimitStage::Probing { failed_probes } => failed_probes + 1,
+            // Requests sent before the suspension fail: no new information.
             LimitStage::Suspended { .. } => return,
         };
-        let doubled = INITIAL_SUSPENSION
-            .percent(100 << tries.min(8))
+        let duration = INITIAL_SUSPENSION
+            .percent(100 << failed_probes.min(8))
             .min(MAX_SUSPENSION);
-        let jitter = random % (doubled.as_micros() / 4 + 1);
-        let until = now + doubled + TimeSpan::from_micros(jitter);
-        self.stage = LimitStage::Suspended { until, tries };
-        self.held_since = self.held_since.or(Some(now));
+        let jitter = random % (duration.as_micros() / 4 + 1);
+        let until = now + duration + TimeSpan::from_micros(jitter);
+        self.stage = LimitStage::Suspended { until, failed_probes };
+        self.suspended_since = self.suspended_since.or(Some(now));
     }
 }
--- a/goldcrestramp-decisions/src/limit/pace.rs
+++ b/goldcrestramp-decisions/src/limit/pace.rs
@@ -1,48 +1,49 @@
-//! How fast a server is against its own past, and whether it is silent.
+//! Detects servers that are slower than their own past, or silent.
 
 use goldcrestramp_types::{LocalTime, RequestClass, TimeSpan};
 
-/// The recent pace moves by 1/8 of each difference: some ten answers.
+/// The recent pace moves by 1/8 of each difference, so it follows about ten
+/// responses.
 const RECENT_GAIN: u64 = 8;
 
-/// The usual pace moves by 1/64 of the difference once a second: a minute,
-/// so that a slow spell of seconds stands out against it.
-const USUAL_GAIN: u64 = 64;
-const USUAL_PAUSE: TimeSpan = TimeSpan::from_millis(1_000);
+/// The typical pace moves by 1/64 of the difference once a second. It averages
+/// over a minute, so that a slow period of seconds shows against it.
+const TYPICAL_GAIN: u64 = 64;
+const TYPICAL_INTERVAL: TimeSpan = TimeSpan::from_millis(1_000);
 
-/// A server this many times slower than usual is slow. Twice happens at
-/// each shop opening; the loss that matters begins where its queue cannot
-/// keep up at the usual load of about a third.
+/// A server this many times slower than is typical for it is slow. A factor of
+/// 2 occurs at each shop opening. Harm begins where the queue grows at the
+/// typical load of about a third.
 const SLOW_FACTOR: u64 = 3;
 
-/// It has to stay so for this long before anything is moved: a move costs
-/// more than a short pause of the server.
-const SLOW_FOR: TimeSpan = TimeSpan::from_millis(1_000);
+/// A server has to be slow for this long before anything is moved: a move
+/// costs more than a short pause of the server.
+const SLOW_DURATION: TimeSpan = TimeSpan::from_millis(1_000);
 
-/// Silence of this many slot times means that a server is frozen, within
-/// these bounds.
-const SILENT_FACTOR: u64 = 10;
+/// A server that is silent for this many slot times, within these bounds,
+/// counts as frozen.
+const SILENCE_FACTOR: u64 = 10;
 const MIN_SILENCE: TimeSpan = TimeSpan::from_millis(300);
 const MAX_SILENCE: TimeSpan = TimeSpan::from_millis(10_000);
 
 /// The pace of one class.
 #[derive(Clone, Copy, Debug, Default)]
 struct ClassPace {
-    /// In microseconds; 0 before the first answer.
+    /// In microseconds; 0 before the first response.
     recent: u64,
-    usual: u64,
-    usual_at: LocalTime,
+    typical: u64,
+    typical_at: LocalTime,
 }
 
-/// What is known of a server's speed.
+/// The speed of a server, and when it was last alive.
 #[derive(Clone, Debug)]
 pub(crate) struct ServerPace {
     classes: [ClassPace; 3],
-    /// Requests whose answers have not begun.
+    /// Requests whose responses have not begun.
     running: u32,
-    /// Whether a long answer may be among them.
-    long_runs: bool,
-    alive_at: LocalTime,
+    /// Whether one of them may be a long one.
+    has_long: bool,
+    last_alive_at: LocalTime,
     slow_since: Option<LocalTime>,
 }
 
@@ -51,31 +52,31 @@
         Self {
             classes: [ClassPace::default(); 3],
             running: 0,
-            long_runs: false,
-            alive_at: now,
+            has_long: false,
+            last_alive_at: now,
             slow_since: None,
         }
     }
 
     pub(crate) fn started(&mut self, now: LocalTime, class: RequestClass) {
         if self.running == 0 {
-            self.alive_at = now;
-            self.long_runs = false;
+            self.last_alive_at = now;
+            self.has_long = false;
         }
         self.running += 1;
-        self.long_runs |= class == RequestClass::Long;
+        self.has_long |= class == RequestClass::Long;
     }
 
     pub(crate) const fn progressed(&mut self, now: LocalTime) {
-        self.alive_at = now;
+        self.last_alive_at = now;
     }
 
     pub(crate) const fn replied(&mut self, now: LocalTime) {
         self.running = self.running.saturating_sub(1);
-        self.alive_at = now;
+        self.last_alive_at = now;
     }
 
-    /// Takes the time of an answer.
+    /// Records a response time.
     pub(crate) fn record(
         &mut self,
         now: LocalTime,
@@ -85,46 +86,47 @@
         let sample = span.as_micros().max(1);
         let pace = &mut self.classes[class as usize];
         if pace.recent == 0 {
-            *pace = ClassPace { recent: sample, usual: sample, usual_at: now };
+            *pace =
+                ClassPace { recent: sample, typical: sample, typical_at: now };
         }
         pace.recent = blend(pace.recent, sample, RECENT_GAIN);
-        if now.since(pace.usual_at) >= USUAL_PAUSE {
-            pace.usual = blend(pace.usual, pace.recent, USUAL_GAIN);
-            pace.usual_at = now;
+        if now.since(pace.typical_at) >= TYPICAL_INTERVAL {
+            pace.typical = blend(pace.typical, pace.recent, TYPICAL_GAIN);
+            pace.typical_at = now;
         }
-        // Long answers differ too much in length to tell a server's pace.
+        // Long responses vary too much in length to measure the server's pace.
         if class != RequestClass::Long {
-            let slow = pace.recent > pace.usual * SLOW_FACTOR;
+            let slow = pace.recent > pace.typical * SLOW_FACTOR;
             self.slow_since =
                 if slow { self.slow_since.or(Some(now)) } else { None };
         }
     }
 
-    /// Whether it has been slow for a while.
+    /// Whether it has been slow for long enough.
     pub(crate) fn is_slow(&self, now: LocalTime) -> bool {
-        self.slow_since.is_some_and(|since| now.since(since) >= SLOW_FOR)
+        self.slow_since.is_some_and(|since| now.since(since) >= SLOW_DURATION)
     }
 
-    /// When the silence of what runs becomes a sign.
+    /// When silence during running requests becomes a signal.
     ///
-    /// A long answer may take most of its slot time before its first byte,
-    /// so its class decides while one is awaited.
+    /// A long response may take most of its slot time before its first byte,
+    /// so the bound for long ones applies while one is awaited.
     pub(crate) fn silent_at(&self) -> Option<LocalTime> {
         if self.running == 0 {
             return None;
         }
         let [lookup, order, _] = self.classes.map(|pace| pace.recent);
-        let short = lookup.max(order).saturating_mul(SILENT_FACTOR);
-        let span = if self.long_runs {
+        let short = lookup.max(order).saturating_mul(SILENCE_FACTOR);
+        let span = if self.has_long {
             MAX_SILENCE
         } else {
             TimeSpan::from_micros(short).clamp(MIN_SILENCE, MAX_SILENCE)
         };
-        Some(self.alive_at + span)
+        Some(self.last_alive_at + span)
     }
 }
 
-/// Moves `value` by 1/`gain` of the way to `sample`.
+/// Moves `value` by 1/`gain` of the difference to `sample`.
 const fn blend(value: u64, sample: u64, gain: u64) -> u64 {
     if sample >= value {
         value + (sample - value) / gain
--- a/goldcrestramp-decisions/src/link/mod.rs
+++ b/goldcrestramp-decisions/src/link/mod.rs
@@ -1,18 +1,19 @@
 /*!
-The short link between two regions.
+Schedules traffic on the slow link between two regions.
 
-The load: exports and downloads cross a link of about 30 Mbit/s, 12 ms long,
-on which lookups and orders cross too. A plain TCP stream fills the link and
-its buffers, so that a lookup's answer waits behind a second of download.
+Exports and downloads cross a link of about 30 Mbit/s and 12 ms delay, together
+with lookups and orders. A plain TCP stream fills the link and its buffers, so
+that the response to a lookup waits behind a second of download.
 
-Short answers go at once and take their bytes from the link's credit. Long
-ones are cut into chunks, and a chunk goes only when the link is free of what
-went before, in an order that is fair by caller. While short answers are
-about, long ones leave a quarter of the link unused, since an answer that
-comes in the next millisecond must not find it full.
+Short responses are sent at once and charged to the link's credit. Long ones
+are cut into chunks. A chunk is sent only when the link has carried everything
+before it, in an order that is fair by caller. While there is short traffic,
+long responses leave a quarter of the link unused, so that a short response in
+the next millisecond does not find it full.
 
-Credit is a deadline, the moment at which the link will have carried what was
-let through, so a pause saves up nothing and no timer is needed.
+Credit is stored as a deadline, the time at which the link will have carried
+everything that was let through. So a pause accumulates no credit, and no timer
+is needed.
 */
 
 mod volume;
@@ -26,65 +27,68 @@
 
 pub use crate::link::volume::LinkVolume;
 
-/// The bytes of a chunk: 4.4 ms of 30 Mbit/s, a third of the link's own
-/// delay, is the longest that a short answer waits behind one.
+/// The size of a chunk in bytes. It takes 4.4 ms at 30 Mbit/s, a third of the
+/// link's own delay, which is the longest that a short response waits behind
+/// one.
 pub const LINK_CHUNK: u64 = 16 * 1_024;
 
-/// The part of the link for long answers while short ones are about.
+/// The percentage of the link for long responses while there is short traffic.
 const LONG_PERCENT: u64 = 75;
 
-/// Short answers are about for this long after one was seen.
-const SHORT_MEMORY: TimeSpan = TimeSpan::from_millis(100);
+/// Short traffic counts as present for this long after a short response.
+const SHORT_TRAFFIC_WINDOW: TimeSpan = TimeSpan::from_millis(100);
 
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
 new_key_type! {
-    /// A long answer that crosses a link.
+    /// A long response that crosses a link.
     pub struct LinkFlow;
 }
 
 /// A node's part of a link.
 #[derive(Clone, Copy, Debug)]
 pub struct LinkSettings {
-    /// What it may send: the link's rate over the VMs that share it.
+    /// The rate at which it may send: the link's rate divided by the VMs that
+    /// share it.
     pub bytes_per_second: u64,
-    /// The most long answers at once.
+    /// The maximum number of concurrent long responses.
     pub flow_limit: usize,
 }
 
 #[derive(Clone, Debug)]
 struct FlowState {
     caller: CallerName,
-    /// The bytes of the chunk that waits, if one does.
+    /// The size of the chunk that waits, if one does.
     chunk: Option<u64>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct CallerState {
-    /// Bytes sent in virtual time; the lowest goes next.
+    /// Bytes sent in virtual time; the lowest is sent next.
     tag: u64,
     flows: usize,
 }
 
-/// What crosses a link from this node, and when.
+/// The traffic of this node on a link, and when it may be sent.
 #[derive(Clone, Debug)]
 pub struct LinkShare {
     settings: LinkSettings,
     flows: SlotMap<LinkFlow, FlowState>,
     callers: FastMap<CallerName, CallerState>,
-    /// Flows with a chunk to send, by their caller's tag, then by turn.
+    /// Flows with a chunk to send, by their caller's tag, then by order of
+    /// arrival.
     ready: BTreeSet<(u64, u64, LinkFlow)>,
-    turn: u64,
+    sequence: u64,
     clock: u64,
-    /// When the link will have carried everything let through.
+    /// When the link will have carried everything that was let through.
     free_at: LocalTime,
-    /// When long answers may send again.
-    long_at: LocalTime,
-    short_at: Option<LocalTime>,
+    /// When long responses may send again.
+    long_free_at: LocalTime,
+    last_short_at: Option<LocalTime>,
 }
 
 impl LinkShare {
-    /// A link on which nothing has been sent.
+    /// Opens a link on which nothing has been sent.
     #[must_use]
     pub fn open(now: LocalTime, settings: LinkSettings) -> Self {
         Self {
@@ -92,26 +96,27 @@
             flows: SlotMap::with_key(),
             callers: FastMap::default(),
             ready: BTreeSet::new(),
-            turn: 0,
+            sequence: 0,
             clock: 0,
             free_at: now,
-            long_at: now,
-            short_at: None,
+            long_free_at: now,
+            last_short_at: None,
         }
     }
 
-    /// Notes a short answer, which is sent at once.
-    pub fn short_sent(&mut self, now: LocalTime, bytes: u64) {
-        self.short_at = Some(now);
+    /// Records a short response, which is sent at once.
+    pub fn record_short(&mut self, now: LocalTime, bytes: u64) {
+        self.last_short_at = Some(now);
         self.free_at = self.free_at.max(now) + self.span(bytes, 100);
     }
 
-    /// Takes a long answer of a caller before it starts.
+    /// Admits a long response of a caller before it starts.
     ///
     /// # Errors
     ///
-    /// `LinkFull` when the link has as many as it may have, or when this
-    /// one's fair part could not carry `bytes` until the deadline.
+    /// `LinkFull` when the maximum number of long responses is reached, or
+    /// when this one's fair share of the link could not carry `bytes` before
+    /// the deadline.
     pub fn open_flow(
         &mut self,
         now: LocalTime,
@@ -133,7 +138,7 @@
         Ok(self.flows.insert(flow))
     }
 
-    /// Queues the next chunk of a long answer, at most [`LINK_CHUNK`].
+    /// Queues the next chunk of a long response, at most [`LINK_CHUNK`].
     pub fn offer_chunk(&mut self, flow: LinkFlow, bytes: u64) {
         let Some(state) = self.flows.get_mut(flow) else { return };
         if state.chunk.is_some() {
@@ -142,8 +147,8 @@
         state.chunk = Some(bytes.min(LINK_CHUNK));
         let caller = self.callers.entry(state.caller.clone()).or_default();
         caller.tag = caller.tag.max(self.clock);
-        self.turn += 1;
-        self.ready.insert((caller.tag, self.turn, flow));
+        self.sequence += 1;
+        self.ready.insert((caller.tag, self.sequence, flow));
     }
 
     /// The flow whose chunk may be sent now.
@@ -152,12 +157,12 @@
             return None;
         }
         loop {
-            let (tag, turn, flow) = self.ready.pop_first()?;
+            let (tag, sequence, flow) = self.ready.pop_first()?;
             let Some(state) = self.flows.get_mut(flow) else { continue };
             let caller = self.callers.get_mut(&state.caller)?;
-            // Another flow of the same caller was sent meanwhile.
+            // Another flow of the same caller has sent in the meantime.
             if caller.tag > tag {
-                self.ready.insert((caller.tag, turn, flow));
+                self.ready.insert((caller.tag, sequence, flow));
                 continue;
             }
             let bytes = state.chunk.take().unwrap_or(0);
@@ -168,7 +173,7 @@
         }
     }
 
-    /// Ends a long answer, whole or not.
+    /// Ends a long response, complete or not.
     pub fn close_flow(&mut self, flow: LinkFlow) {
         let Some(state) = self.flows.remove(flow) else { return };
         self.ready.retain(|(_, _, other)| *other != flow);
@@ -179,23 +184,25 @@
         }
     }
 
-    /// When a chunk that waits may go.
+    /// When the next waiting chunk may be sent.
     #[must_use]
     pub fn wake_at(&self) -> Option<LocalTime> {
         let waits = !self.ready.is_empty();
-        waits.then(|| self.free_at.max(self.long_at))
+        waits.then(|| self.free_at.max(self.long_free_at))
     }
 
-    /// Takes a chunk from the credit of the link and of long answers.
+    /// Charges a chunk to the credit of the link and of long responses.
     fn charge(&mut self, now: LocalTime, bytes: u64) {
-        let shorts_about =
-            self.short_at.is_some_and(|time| now.since(time) <= SHORT_MEMORY);
-        let percent = if shorts_about { LONG_PERCENT } else { 100 };
+        let has_short_traffic = self
+            .last_short_at
+            .is_some_and(|time| now.since(time) <= SHORT_TRAFFIC_WINDOW);
+        let percent = if has_short_traffic { LONG_PERCENT } else { 100 };
         self.free_at = self.free_at.max(now) + self.span(bytes, 100);
-        self.long_at = self.long_at.max(now) + self.span(bytes, percent);
+        self.long_free_at =
+            self.long_free_at.max(now) + self.span(bytes, percent);
     }
 
-    /// The time that `bytes` take on a part of the link.
+    /// The time to send `bytes` on this percentage of the link.
     const fn span(&self, bytes: u64, percent: u64) -> TimeSpan {
         let rate = self.settings.bytes_per_second.saturating_mul(percent);
         let rate = if rate == 0 { 1 } else { rate };
--- a/goldcrestramp-decisions/src/link/volume.rs
+++ b/goldcrestramp-decisions/src/link/volume.rs
@@ -2,9 +2,10 @@
 
 use goldcrestramp_types::{CallerName, FastMap, ServiceName};
 
-/// The pairs that are counted each by itself, about 150 bytes each. The
-/// rest is counted by service under no caller, so no byte goes uncounted.
-const PAIR_LIMIT: usize = 4_096;
+/// The maximum number of pairs with a count of their own, about 150 bytes
+/// each. Bytes of further pairs are counted by service without a caller, so
+/// every byte is counted.
+const MAX_PAIRS: usize = 4_096;
 
 /// What crossed a link since the process started.
 #[derive(Clone, Debug, Default)]
@@ -14,8 +15,8 @@
 }
 
 impl LinkVolume {
-    /// Adds what crossed for a caller of a service; tells whether it is
-    /// counted by itself.
+    /// Adds bytes of a caller of a service; returns whether the pair has a
+    /// count of its own.
     pub fn add(
         &mut self,
         service: &ServiceName,
@@ -23,18 +24,19 @@
         bytes: u64,
     ) -> bool {
         let pair = (service.clone(), caller.clone());
-        let has_room = self.pairs.len() < PAIR_LIMIT;
-        let by_itself = has_room || self.pairs.contains_key(&pair);
-        let total = if by_itself {
+        let has_room = self.pairs.len() < MAX_PAIRS;
+        let has_own_count = has_room || self.pairs.contains_key(&pair);
+        let total = if has_own_count {
             self.pairs.entry(pair).or_default()
         } else {
             self.others.entry(service.clone()).or_default()
         };
         *total = total.saturating_add(bytes);
-        by_itself
+        has_own_count
     }
 
-    /// Each service's bytes; no caller stands for those beyond the bound.
+    /// The bytes of each service; the caller is `None` for pairs beyond the
+    /// bound.
     pub fn totals(
         &self,
     ) -> impl Iterator<Item = (&ServiceName, Option<&CallerName>, u64)> {
--- a/goldcrestramp-decisions/src/load.rs
+++ b/goldcrestramp-decisions/src/load.rs
@@ -1,67 +1,68 @@
 /*!
-What a server's slots were used for, slice by slice.
+Slot time used at a server, by slice.
 
-The load: the hottest keys change within minutes, and with them the slices
-that fill a server. A steward that sees only how busy a server is cannot
-tell which slice to move away.
+The hottest keys change within minutes, and with them the slices that load a
+server. A steward that knows only the utilization of a server cannot tell which
+slice to move away.
 
-The keeper adds up slot time by slice, exactly, since a service has 65,536
-slices at most; it reports the heaviest few. Keys are not counted: a slice
-is what moves, and no table of 410 million keys is needed for it.
+The keeper sums slot time by slice. The sums are exact, since a service has at
+most 65,536 slices; only the heaviest few are reported. Keys are not counted:
+slices are what moves, and this avoids a table of 410 million keys.
 
-A server that is slow or silent is reported as *full*, whatever it was used
-for. One that is held runs next to nothing: by its slot time it would look
-idle, and be given the slices of others. As full it is emptied by degrees,
-as far as the others have room: when all are slow, all are full, none stands
-out, and nothing moves, or one after the other would fall over under the
-slices of the one before. The report of a full server ends by itself, since
-one that was emptied is asked nothing that could show it to be well.
+A slow or silent server is reported as *full*, whatever slot time it used. A
+suspended server runs almost nothing: by its slot time it would look idle, and
+the steward would assign it more slices. While it is reported as full, its
+slices move away gradually, as far as other servers have capacity. If all
+servers are slow, all are full and nothing moves; otherwise the slices of each
+slow server would overload the next one. The report of a full server expires,
+since a server without slices gets no requests that could show its recovery.
 */
 
 use goldcrestramp_types::{FastMap, LocalTime, SliceIndex, TimeSpan};
 
-/// The slices of a report: with 64 of them a move of the heaviest is always
-/// among them, and a report takes about 1 KB.
+/// The number of slices in a report. With 64, the report always includes the
+/// heaviest slice to move, and takes about 1 KB.
 pub const REPORTED_SLICES: usize = 64;
 
-/// For so long a server is reported as full after it was last seen slow:
-/// two rounds of placement, in which some twenty slices leave it.
-const FULL_FOR: TimeSpan = TimeSpan::from_millis(10_000);
+/// A server is reported as full for this long after it was last seen slow.
+/// This is two rounds of placement, which move about twenty slices away from
+/// it.
+const FULL_DURATION: TimeSpan = TimeSpan::from_millis(10_000);
 
 /// Slot time used at one server since the last report.
 #[derive(Clone, Debug, Default)]
 pub struct ServerLoad {
     slices: FastMap<SliceIndex, u64>,
     busy: u64,
-    /// All its slots, and until when they count as used.
+    /// The slot count of a full server, and until when it counts as full.
     full: Option<(u64, LocalTime)>,
-    taken_at: Option<LocalTime>,
+    reported_at: Option<LocalTime>,
 }
 
-/// What a report says.
+/// The content of a report.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct LoadReading {
-    /// Slot time in all.
+pub struct LoadReport {
+    /// Total slot time.
     pub busy: TimeSpan,
-    /// Slot time of the heaviest slices, the heaviest first.
+    /// Slot time of the heaviest slices, heaviest first.
     pub slices: Vec<(SliceIndex, TimeSpan)>,
 }
 
 impl ServerLoad {
-    /// Adds the slot time of a request that has ended.
+    /// Adds the slot time of a request that ended.
     pub fn record(&mut self, slice: SliceIndex, span: TimeSpan) {
         let micros = span.as_micros();
         *self.slices.entry(slice).or_default() += micros;
         self.busy += micros;
     }
 
-    /// Notes that the server of `slots` slots is slow or silent.
+    /// Marks the server, which has `slots` slots, as slow or silent.
     pub fn set_full(&mut self, now: LocalTime, slots: usize) {
         let slots = u64::try_from(slots).unwrap_or(u64::MAX);
-        self.full = Some((slots, now + FULL_FOR));
+        self.full = Some((slots, now + FULL_DURATION));
     }
 
-    /// Reads what was used since the last reading, and starts again.
+    /// Returns the load since the last report and starts a new period.
     ///
     /// # Example
     ///
@@ -70,17 +71,17 @@
     /// use goldcrestramp_types::{LocalTime, SliceIndex, TimeSpan};
     ///
     /// let now = LocalTime::from_micros(0);
-    /// let slice = SliceIndex::new(7).expect("a small number");
+    /// let slice = SliceIndex::new(7).expect("index is in range");
     /// let mut load = ServerLoad::default();
     /// load.record(slice, TimeSpan::from_millis(5));
-    /// let reading = load.take(now);
-    /// assert_eq!(reading.slices, [(slice, TimeSpan::from_millis(5))]);
-    /// assert_eq!(load.take(now).busy, TimeSpan::ZERO);
+    /// let report = load.take_report(now);
+    /// assert_eq!(report.slices, [(slice, TimeSpan::from_millis(5))]);
+    /// assert_eq!(load.take_report(now).busy, TimeSpan::ZERO);
     /// ```
-    pub fn take(&mut self, now: LocalTime) -> LoadReading {
+    pub fn take_report(&mut self, now: LocalTime) -> LoadReport {
         let used = std::mem::take(&mut self.busy);
         let busy = used.max(self.full_micros(now));
-        self.taken_at = Some(now);
+        self.reported_at = Some(now);
         let mut slices: Vec<_> = self
             .slices
             .drain()
@@ -88,25 +89,26 @@
             .collect();
         slices.sort_unstable_by(|a, b| b.1.cmp(&a.1).then(a.0.cmp(&b.0)));
         slices.truncate(REPORTED_SLICES);
-        LoadReading { busy: TimeSpan::from_micros(busy), slices }
+        LoadReport { busy: TimeSpan::from_micros(busy), slices }
     }
 
-    /// Slot time of a server that counts as full since the last reading.
+    /// The slot time of all slots since the last report, if the server is
+    /// full.
     fn full_micros(&mut self, now: LocalTime) -> u64 {
         let Some((slots, until)) = self.full else { return 0 };
         if until < now {
             self.full = None;
             return 0;
         }
-        let since = self.taken_at.unwrap_or(now);
+        let since = self.reported_at.unwrap_or(now);
         slots.saturating_mul(now.since(since).as_micros())
     }
 }
 
-/// A slice's part of `busy`, as it had `micros` of what was `used`.
+/// Scales a slice's `micros` out of `used` to its part of `busy`.
 ///
-/// Spread evenly, the time of a full server would make slices that nobody
-/// asks for look heavy, and they would move first.
+/// If the slot time of a full server were spread evenly, slices without
+/// requests would look heavy and would move first.
 fn scaled(micros: u64, busy: u64, used: u64) -> TimeSpan {
     let wide = u128::from(micros) * u128::from(busy) / u128::from(used.max(1));
     TimeSpan::from_micros(u64::try_from(wide).unwrap_or(u64::MAX))
--- a/goldcrestramp-decisions/src/pipeline.rs
+++ b/goldcrestramp-decisions/src/pipeline.rs
@@ -1,40 +1,40 @@
-//! Which pipelined requests are served before the ones ahead are answered.
+//! Which pipelined requests run before earlier ones have their responses.
 //!
-//! The load: callers that send several lookups on one connection without
-//! waiting for answers. Served one after the other, each of them waits for
-//! the sum of all before it: a lookup of 120 ms behind two others takes
-//! 360 ms, though its server was idle, and its caller counts from the
-//! moment at which it was sent.
+//! Callers may send several lookups on one connection without waiting for the
+//! responses. If they run one after the other, each waits for the sum of all
+//! before it: a lookup of 120 ms behind two others takes 360 ms although its
+//! server was idle, and its caller measures from the moment of sending.
 //!
-//! Answers go out in the order of the requests whatever happens here. A
-//! request with an effect is served alone on its connection: an answer
-//! ahead of it may still close the connection, its caller then takes it for
-//! unread and sends it again, and it would run twice. Nothing behind it
-//! begins either, or a lookup could miss what the same caller just ordered.
+//! Responses are always sent in the order of the requests. A request with an
+//! effect runs alone on its connection. A response before it may still close
+//! the connection; the caller would then assume that the request was not read
+//! and retry it, and it would run twice. No request behind it starts either,
+//! or a lookup could miss the effect of an earlier request of the same caller.
 
-/// Requests of one connection that are served at once. Slots of servers are
-/// shared by all callers, and one connection is not to hold many of them.
+/// The maximum number of concurrent requests of one connection. All callers
+/// share the slots of the servers, so one connection must not use many of
+/// them.
 const MAX_CONCURRENT: u64 = 8;
 
-/// When a request of a connection is served.
+/// When a request of a connection starts.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PipelineStart {
-    /// At once, beside those ahead of it.
+    /// At once, concurrently with those before it.
     Now,
-    /// When all ahead of it were answered.
+    /// After all requests before it have their responses.
     InTurn,
 }
 
-/// What a request may do beside others of its connection.
+/// Whether a request may run concurrently with others of its connection.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PipelineEffect {
     /// It may run more than once, and has no body that has to be read.
     Independent,
-    /// It has to be served alone.
+    /// It has to run alone.
     Ordered,
 }
 
-/// The requests of one connection, by their numbers from 0.
+/// The requests of one connection, numbered from 0.
 ///
 /// # Example
 ///
@@ -54,15 +54,16 @@
 pub struct PipelineGate {
     arrived: u64,
     answered: u64,
-    /// Requests from this number on have no ordered one ahead.
+    /// No ordered request is ahead of requests with this number or a higher
+    /// one.
     barrier: u64,
 }
 
 impl PipelineGate {
-    /// Notes the next request of the connection.
+    /// Records the next request of the connection.
     ///
-    /// The first that is not answered yet is always served in turn, which
-    /// is at once.
+    /// The first request without a response always returns `InTurn`, which
+    /// then means at once.
     pub const fn arrived(&mut self, effect: PipelineEffect) -> PipelineStart {
         let number = self.arrived;
         self.arrived += 1;
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Notes that the first request without an answer has one.
+    /// Records a response to the first request that had none.
     pub const fn answered(&mut self) {
         self.answered += 1;
     }
--- a/goldcrestramp-decisions/src/queue/admission.rs
+++ b/goldcrestramp-decisions/src/queue/admission.rs
@@ -1,115 +1,118 @@
 /*!
-Whether a request may wait, and when a refused caller should come back.
+Whether a request may wait, and when a refused caller should retry.
 
-The load: more arrives than the server can do, for a moment or for hours.
-An unbounded queue then serves every request late, and a queue bounded in
-length alone keeps each request for that length and then lets it fail.
+More requests may arrive than the server can run, for a moment or for hours. An
+unbounded queue would then serve every request late. A queue bounded only in
+length would keep each request for that length and then let it fail.
 
-A request is refused on arrival when its place in the fair order comes too
-late for its deadline. In a burst the whole of its time may be spent in
-waiting. When something has waited without a break for [`STANDING_AFTER`],
-the queue is a standing one, and waiting no longer serves more requests, it
-only makes each of them later: then a quarter of the time is all that may be
-spent, except for a caller's first few, which fair shares need.
+A request is refused on arrival when its position in the fair order is too late
+for its deadline. In a burst it may spend all of its time waiting. When
+something has waited without a break for [`STANDING_AFTER`], the queue is a
+standing queue. Waiting then no longer serves more requests and only delays
+each of them. So a request may spend only a quarter of its time waiting, except
+for a caller's first few requests, which fair shares need.
 */
 
 use goldcrestramp_types::{LocalTime, NotRunReason, TimeSpan};
 
 use crate::queue::request::QueueRefusal;
 
-/// A queue that lasts longer than this stands: some 50 times the slot time
-/// of a lookup. A burst that can be worked off in the usual deadline, 200 ms
-/// and more, is over by then.
+/// A queue that lasts longer than this is standing. This is about 50 times the
+/// slot time of a lookup. A burst that can be served within the typical
+/// deadline of 200 ms and more has ended by then.
 const STANDING_AFTER: TimeSpan = TimeSpan::from_millis(250);
 
-/// The part of its time that a request may wait in a standing queue.
+/// The percentage of its time that a request may wait in a standing queue.
 const STANDING_PERCENT: u64 = 25;
 
-/// A standing queue is still as long as so many slot times: one request for
-/// each slot, or slots would run dry between an end and the next arrival.
+/// A standing queue may always be this many slot times long: one request for
+/// each slot, or slots would idle between an end and the next arrival.
 const STANDING_SLOT_TIMES: u64 = 1;
 
-/// A forecast may be short by this part before the deadline is missed.
+/// A forecast is scaled by this percentage before it is compared with the
+/// deadline.
 ///
-/// In the first 150 ms of a rush it is short by up to half: who comes later
-/// and has asked for less goes before. At 125, the mean error, those that
-/// came then were told after 190 ms of waiting what could be told at once.
+/// In the first 150 ms of a burst, a forecast is too low by up to half: later
+/// requests that have asked for less go first. With 125, the mean error,
+/// requests of that time were refused after 190 ms of waiting instead of on
+/// arrival.
 const MARGIN_PERCENT: u64 = 200;
 
-/// A caller may have this many waiting whatever the standing queue: one
-/// whose turn it is, and one behind it, keep its share in use.
-pub(crate) const CALLER_MINIMUM: usize = 2;
+/// A caller may always have this many requests waiting, even in a standing
+/// queue. One whose turn it is, and one behind it, keep its share in use.
+pub(crate) const MIN_CALLER_WAITING: usize = 2;
 
-/// A refused caller is told at least and at most this.
+/// The bounds of the time after which a refused caller should retry.
 const MIN_RETRY_AFTER: TimeSpan = TimeSpan::from_millis(10);
 const MAX_RETRY_AFTER: TimeSpan = TimeSpan::from_millis(30_000);
 
-/// What is known of a request's place when it arrives.
+/// What is known of a request's position when it arrives.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WaitForecast {
-    /// The wait for its turn that follows from what waits now.
+    /// The expected wait, computed from what waits now.
     pub(crate) expected: TimeSpan,
-    /// The same, corrected by how such expectations turned out.
+    /// The expected wait, corrected by the error of earlier ones.
     pub(crate) wait: TimeSpan,
-    /// The part of it until a held server is probed, which is certain.
-    pub(crate) held: TimeSpan,
-    /// The wait after which it could not end in time.
+    /// The part of it until a suspended server is probed, which is certain.
+    pub(crate) suspended: TimeSpan,
+    /// The longest wait after which it can still end in time.
     pub(crate) budget: TimeSpan,
     /// The expected slot time of its class.
     pub(crate) service: TimeSpan,
-    /// Since when something has waited without a break; nothing for long
-    /// answers, whose callers wait anyway and whose slots never run dry.
+    /// Since when something has waited without a break. `None` for long
+    /// responses, whose callers wait anyway and whose slots never idle.
     pub(crate) busy_since: Option<LocalTime>,
-    /// What its caller has waiting.
+    /// The number of waiting requests of its caller.
     pub(crate) caller_waiting: usize,
 }
 
-/// How a forecast is judged.
+/// The result of a forecast.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum WaitVerdict {
     /// It may wait.
     Admit,
     /// Its turn comes too late for its deadline.
     TooLate,
-    /// Its turn comes in time, but the queue stands.
+    /// Its turn comes in time, but the queue is standing.
     Standing,
 }
 
 impl WaitForecast {
     /// Whether the request may wait.
     pub(crate) fn judge(&self, now: LocalTime) -> WaitVerdict {
-        let uncertain = self.wait.minus(self.held).percent(MARGIN_PERCENT);
-        if self.held.plus(uncertain) > self.budget {
+        let uncertain =
+            self.wait.minus(self.suspended).percent(MARGIN_PERCENT);
+        if self.suspended.plus(uncertain) > self.budget {
             return WaitVerdict::TooLate;
         }
         let standing = self
             .busy_since
             .is_some_and(|since| now.since(since) > STANDING_AFTER);
-        if !standing || self.caller_waiting < CALLER_MINIMUM {
+        if !standing || self.caller_waiting < MIN_CALLER_WAITING {
             return WaitVerdict::Admit;
         }
-        let least = self.service.percent(100 * STANDING_SLOT_TIMES);
-        let most = self.budget.percent(STANDING_PERCENT).max(least);
-        if self.wait > most {
+        let minimum = self.service.percent(100 * STANDING_SLOT_TIMES);
+        let maximum = self.budget.percent(STANDING_PERCENT).max(minimum);
+        if self.wait > maximum {
             return WaitVerdict::Standing;
         }
         WaitVerdict::Admit
     }
 
-    /// The refusal for `reason`, with the time until the wait that stands
-    /// now has been worked off, and up to as long again by `random`.
+    /// The refusal for `reason`. Its retry time is the wait that the current
+    /// queue needs, and up to the same again by `random`.
     ///
-    /// Without the jitter, all who were refused in one burst would come
-    /// back as one burst.
+    /// Without the jitter, all requests refused in one burst would return as
+    /// one burst.
     pub(crate) fn refusal(
         &self,
         reason: NotRunReason,
         random: u64,
     ) -> QueueRefusal {
-        let least = self.wait.max(self.service).max(MIN_RETRY_AFTER);
-        let least = least.min(MAX_RETRY_AFTER).as_micros();
-        let jitter = random % (least + 1);
-        let retry_after = TimeSpan::from_micros(least + jitter);
+        let minimum = self.wait.max(self.service).max(MIN_RETRY_AFTER);
+        let minimum = minimum.min(MAX_RETRY_AFTER).as_micros();
+        let jitter = random % (minimum + 1);
+        let retry_after = TimeSpan::from_micros(minimum + jitter);
         QueueRefusal { reason, retry_after }
     }
 }
--- a/goldcrestramp-decisions/src/queue/entry.rs
+++ b/goldcrestramp-decisions/src/queue/entry.rs
@@ -1,4 +1,4 @@
-//! How a request comes into the queue, or why it does not.
+//! How a request enters the queue, or why it is refused.
 
 use goldcrestramp_types::{LocalTime, NotRunReason, RequestClass, TimeSpan};
 
@@ -10,7 +10,7 @@
 };
 
 impl ServerQueue {
-    /// What is known of the place that a request would get.
+    /// What is known of the position that a request would get.
     pub(super) fn forecast(
         &self,
         now: LocalTime,
@@ -19,7 +19,7 @@
         deadline: LocalTime,
     ) -> WaitForecast {
         let estimate = self.estimate(class);
-        let long = self.estimate(RequestClass::Long).mean_unaged();
+        let long = self.estimate(RequestClass::Long).undecayed_mean();
         let service = estimate.mean(now);
         let ahead = self.tree.cost_ahead(leaf, service.as_micros());
         let expected = self.slots.wait(now, class, ahead, service, long);
@@ -30,9 +30,9 @@
         WaitForecast {
             expected,
             wait,
-            held: self
+            suspended: self
                 .slots
-                .hold(now)
+                .suspension(now)
                 .map_or(TimeSpan::ZERO, |t| t.since(now)),
             budget: (deadline - estimate.needed(now)).since(now),
             service,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Why a request may not wait, if so.
+    /// The reason to refuse a request, if there is one.
     pub(super) fn refusal_reason(
         &self,
         now: LocalTime,
@@ -54,9 +54,9 @@
         if deadline <= now {
             return Some(NotRunReason::DeadlinePassed);
         }
-        // A free slot with nobody waiting for it is given to anyone: an
-        // estimate that has become too high can only be corrected so.
-        let long = self.estimate(RequestClass::Long).mean_unaged();
+        // A free slot that nothing waits for is given to any request: only
+        // this corrects an estimate that has become too high.
+        let long = self.estimate(RequestClass::Long).undecayed_mean();
         let free = self.slots.may_start(now, class, long);
         if free && self.tree.waiting_in(class) == 0 {
             return None;
@@ -64,7 +64,7 @@
         match forecast.judge(now) {
             WaitVerdict::Admit => None,
             WaitVerdict::TooLate => {
-                if self.slots.hold(now).is_some() {
+                if self.slots.suspension(now).is_some() {
                     return Some(NotRunReason::ServerUnreachable);
                 }
                 let fallback = NotRunReason::DeadlineTooShort;
@@ -77,7 +77,8 @@
         }
     }
 
-    /// The share that is exceeded by what already waits, if one is.
+    /// The reason of the share that is exceeded by what already waits, if one
+    /// is.
     fn share_reason(&self, leaf: FlowKey) -> Option<NotRunReason> {
         let key = self.tree.flow(leaf);
         let caller_key = key.parent?;
@@ -91,8 +92,8 @@
             .then_some(NotRunReason::KeyOverShare)
     }
 
-    /// Pushes a request out of a full queue for one that joins `leaf`, or
-    /// refuses the latter if its caller has the most waiting.
+    /// Evicts a request from a full queue for one that joins `leaf`, or
+    /// refuses the latter if its caller has the most requests waiting.
     pub(super) fn make_room(
         &mut self,
         leaf: FlowKey,
@@ -110,14 +111,14 @@
                 let reason = NotRunReason::CallerOverShare;
                 self.withdraw(victim);
                 let refusal = forecast.refusal(reason, random);
-                self.pushed_out.push((victim, refusal));
+                self.evicted.push((victim, refusal));
                 None
             }
             _ => Some(forecast.refusal(NotRunReason::QueueFull, random)),
         }
     }
 
-    /// Puts a request in the queue.
+    /// Adds a request to the queue.
     pub(super) fn admit(
         &mut self,
         now: LocalTime,
@@ -150,7 +151,7 @@
     }
 }
 
-/// Whether `cost` is more than its part by weight of what waits in all.
+/// Whether `cost` is more than the part by weight of all that waits.
 const fn exceeds(cost: u64, weight: u64, all: u64, weights: u64) -> bool {
     weights > weight
         && cost.saturating_mul(weights) > all.saturating_mul(weight)
--- a/goldcrestramp-decisions/src/queue/mod.rs
+++ b/goldcrestramp-decisions/src/queue/mod.rs
@@ -1,22 +1,22 @@
 /*!
-The one queue in front of a backend server.
+The single queue in front of a backend server.
 
-The load: bursts, hot callers, hot keys, long answers among short ones, and
-more work than the server can do. Without one queue that sees every slot,
-each gateway decides by its own part of the traffic: the server's slots are
-shared by chance, and what it cannot do waits at the server until it is
-worthless.
+It handles bursts, busy callers, hot keys, long responses among short ones, and
+more work than the server can do. Without one queue for all slots, each gateway
+would decide by its own part of the traffic. The server's slots would be shared
+by chance, and excess requests would wait at the server until their deadlines
+have passed.
 
-- *Whom it serves*: [`tree`] gives classes, callers and keys their shares.
-- *Who waits how long*: within a key the earliest deadline goes first;
-  what can no longer end in time is given up at that moment.
-- *Who is refused*: [`admission`] refuses on arrival what would wait in
-  vain. When the queue is full, the caller with the most waiting for its
-  weight loses its least urgent request.
-- *Which slots*: [`slots`] keeps long answers from holding all of them.
+- *Fairness*: [`tree`] gives classes, callers and keys their shares.
+- *Order*: within a key the earliest deadline goes first. A request that can no
+  longer end in time is given up at that moment.
+- *Refusal*: [`admission`] refuses on arrival what would wait in vain. When the
+  queue is full, the caller with the most waiting requests for its weight loses
+  its least urgent one.
+- *Slots*: [`slots`] keeps long responses from holding all of them.
 
-Every operation is a few insertions in ordered sets, logarithmic in what
-waits; nothing is scanned.
+Every operation is a few insertions in ordered sets, logarithmic in the number
+of waiting requests; nothing is scanned.
 */
 
 mod admission;
@@ -39,20 +39,20 @@
 };
 use crate::queue::{
     estimate::{ServiceEstimate, WaitEstimate},
-    slots::SlotBook,
+    slots::SlotTable,
     tree::{FlowEntry, FlowTree},
 };
 
 /// The bounds of a queue.
 #[derive(Clone, Copy, Debug)]
 pub struct QueueSettings {
-    /// The requests that the server runs at once.
+    /// The number of requests that the server runs at once.
     pub slots: usize,
-    /// The most requests that wait; each takes about 1 KiB.
+    /// The maximum number of waiting requests; each takes about 1 KiB.
     pub waiting_limit: usize,
 }
 
-/// Where a request stands.
+/// Whether a request waits or runs.
 #[derive(Clone, Copy, Debug)]
 enum RequestPhase {
     Waiting { since: LocalTime, give_up_at: LocalTime },
@@ -63,7 +63,7 @@
 struct RequestEntry {
     entry: FlowEntry,
     class: RequestClass,
-    /// The wait that was expected, before its correction.
+    /// The expected wait, before its correction.
     expected: TimeSpan,
     phase: RequestPhase,
 }
@@ -82,7 +82,7 @@
 /// let settings = QueueSettings { slots: 2, waiting_limit: 100 };
 /// let mut queue = ServerQueue::open(now, settings);
 /// let request = QueuedRequest {
-///     caller: CallerName::new("shop-17").expect("a valid name"),
+///     caller: CallerName::new("shop-17").expect("name is valid"),
 ///     weight: 1,
 ///     key_hash: 42,
 ///     class: RequestClass::Lookup,
@@ -98,14 +98,14 @@
     settings: QueueSettings,
     requests: SlotMap<RequestKey, RequestEntry>,
     tree: FlowTree,
-    slots: SlotBook,
+    slots: SlotTable,
     estimates: [ServiceEstimate; 3],
     waits: [WaitEstimate; 3],
-    /// Waiting requests by the last moment that makes sense to start.
+    /// Waiting requests by the latest time at which a start makes sense.
     give_up: BTreeSet<(LocalTime, RequestKey)>,
-    /// Requests pushed out of a full queue, to be told so.
-    pushed_out: Vec<(RequestKey, QueueRefusal)>,
-    /// Since when each class has had something waiting.
+    /// Requests evicted from a full queue, not yet reported by `poll`.
+    evicted: Vec<(RequestKey, QueueRefusal)>,
+    /// Since when each class has had a request waiting.
     busy_since: [Option<LocalTime>; 3],
 }
 
@@ -117,34 +117,34 @@
             settings,
             requests: SlotMap::with_key(),
             tree: FlowTree::new(),
-            slots: SlotBook::new(now, settings.slots),
+            slots: SlotTable::new(now, settings.slots),
             estimates: RequestClass::ALL
                 .map(|class| ServiceEstimate::new(class, now)),
             waits: [const { WaitEstimate::new() }; 3],
             give_up: BTreeSet::new(),
-            pushed_out: Vec::new(),
+            evicted: Vec::new(),
             busy_since: [None; 3],
         }
     }
 
-    /// Takes what may be sent to the server now; what runs goes on.
+    /// Sets what may be sent to the server now; running requests continue.
     pub const fn set_limit(&mut self, verdict: LimitVerdict) {
         self.slots.set_limit(verdict);
     }
 
-    /// Requests that wait.
+    /// The number of waiting requests.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.tree.waiting()
     }
 
-    /// Requests that hold a slot.
+    /// The number of requests that hold a slot.
     #[must_use]
     pub const fn running(&self) -> usize {
         self.slots.running()
     }
 
-    /// Entries in the tables of fair shares: a measure of memory.
+    /// The number of flows in the fair queuing tree, as a measure of memory.
     #[must_use]
     pub fn flows(&self) -> usize {
         self.tree.len()
@@ -160,10 +160,10 @@
         self.estimate(class).mean(now)
     }
 
-    /// Takes a request in or refuses it, at once.
+    /// Admits a request or refuses it at once.
     ///
-    /// `random` is a fresh random number, for the jitter of the time after
-    /// which a refused caller should come back. [`poll`](Self::poll) has to
+    /// `random` is a fresh random number for the jitter of the time after
+    /// which a refused caller should retry. [`poll`](Self::poll) has to
     /// follow.
     pub fn offer(
         &mut self,
@@ -172,7 +172,7 @@
         random: u64,
     ) -> OfferOutcome {
         if request.class != RequestClass::Long {
-            self.slots.saw_short(now);
+            self.slots.record_short(now);
         }
         let QueuedRequest { caller, weight, key_hash, class, deadline } =
             request;
@@ -181,11 +181,11 @@
         let reason =
             self.refusal_reason(now, leaf, class, deadline, &forecast);
         if let Some(reason) = reason {
-            self.tree.settle(leaf);
+            self.tree.release_idle(leaf);
             return OfferOutcome::Refused(forecast.refusal(reason, random));
         }
         if let Some(refused) = self.make_room(leaf, &forecast, random) {
-            self.tree.settle(leaf);
+            self.tree.release_idle(leaf);
             return OfferOutcome::Refused(refused);
         }
         let expected = forecast.expected;
@@ -193,12 +193,12 @@
         OfferOutcome::Waiting(key)
     }
 
-    /// The next thing to do; called until it returns nothing.
+    /// The next event; called until it returns `None`.
     pub fn poll(&mut self, now: LocalTime, random: u64) -> Option<QueueEvent> {
-        if let Some((key, refusal)) = self.pushed_out.pop() {
+        if let Some((key, refusal)) = self.evicted.pop() {
             return Some(QueueEvent::GiveUp(key, refusal));
         }
-        if let Some(key) = self.overdue(now) {
+        if let Some(key) = self.expired(now) {
             let entry = self.requests[key];
             let leaf = entry.entry.leaf;
             let deadline = entry.entry.deadline;
@@ -212,9 +212,9 @@
         self.start_next(now).map(QueueEvent::Start)
     }
 
-    /// Takes the end of a started request and frees its slot.
+    /// Records the end of a started request and frees its slot.
     ///
-    /// A request that the queue does not know as running is passed over.
+    /// A request that is not running in this queue is ignored.
     pub fn finished(
         &mut self,
         now: LocalTime,
@@ -245,8 +245,8 @@
         }
     }
 
-    /// Withdraws everything that waits, when the server leaves or its
-    /// slices move; what runs goes on.
+    /// Withdraws all waiting requests, when the server leaves or its slices
+    /// move; running requests continue.
     pub fn drain(&mut self) -> Vec<RequestKey> {
         let keys: Vec<_> = self.give_up.iter().map(|(_, key)| *key).collect();
         for key in &keys {
@@ -258,38 +258,40 @@
     /// When to poll again if nothing else happens before.
     #[must_use]
     pub fn wake_at(&self) -> Option<LocalTime> {
-        let overdue = self.give_up.first().map(|(time, _)| *time);
-        if let (Some(until), Some(time)) = (self.slots.held_until(), overdue) {
+        let next_give_up = self.give_up.first().map(|(time, _)| *time);
+        if let (Some(until), Some(time)) =
+            (self.slots.suspended_until(), next_give_up)
+        {
             return Some(time.min(until));
         }
         if !self.slots.has_free() {
-            return overdue;
+            return next_give_up;
         }
         let waits = self.tree.waiting_in(RequestClass::Long) > 0;
-        let long = self.estimate(RequestClass::Long).mean_unaged();
+        let long = self.estimate(RequestClass::Long).undecayed_mean();
         let lent = waits.then(|| self.slots.lent_at(long));
-        overdue.into_iter().chain(lent).min()
+        next_give_up.into_iter().chain(lent).min()
     }
 
-    /// A waiting request whose time to start is over.
-    fn overdue(&self, now: LocalTime) -> Option<RequestKey> {
+    /// A waiting request whose latest time to start has passed.
+    fn expired(&self, now: LocalTime) -> Option<RequestKey> {
         let (time, key) = self.give_up.first()?;
         (*time <= now).then_some(*key)
     }
 
-    /// Takes a waiting request out for good.
+    /// Removes a waiting request.
     fn withdraw(&mut self, key: RequestKey) {
         let Some(entry) = self.requests.remove(key) else { return };
         if let RequestPhase::Waiting { give_up_at, .. } = entry.phase {
             self.give_up.remove(&(give_up_at, key));
             self.tree.remove(entry.entry);
         }
-        self.note_empty(entry.class);
+        self.end_busy_if_empty(entry.class);
     }
 
-    /// Starts the request whose turn it is, if a slot is free for it.
+    /// Starts the next request in fair order, if a slot is free for it.
     fn start_next(&mut self, now: LocalTime) -> Option<RequestKey> {
-        let long = self.estimate(RequestClass::Long).mean_unaged();
+        let long = self.estimate(RequestClass::Long).undecayed_mean();
         let slots = &self.slots;
         let key =
             self.tree.first(|class| slots.may_start(now, class, long))?;
@@ -302,7 +304,7 @@
         let (class, entry) = (entry.class, entry.entry);
         self.slots.take(class);
         self.tree.start(entry);
-        self.note_empty(class);
+        self.end_busy_if_empty(class);
         Some(key)
     }
 
@@ -315,8 +317,8 @@
         }
     }
 
-    /// Ends the busy time of a class when nothing of it waits.
-    fn note_empty(&mut self, class: RequestClass) {
+    /// Ends the busy period of a class when none of its requests waits.
+    fn end_busy_if_empty(&mut self, class: RequestClass) {
         if self.tree.waiting_in(class) == 0 {
             self.busy_since[class as usize] = None;
         }
--- a/goldcrestramp-decisions/src/queue/request.rs
+++ b/goldcrestramp-decisions/src/queue/request.rs
@@ -1,4 +1,4 @@
-//! What enters the queue and what comes out of it.
+//! What enters the queue, and its events and outcomes.
 
 use goldcrestramp_types::{
     CallerName, LocalTime, NotRunReason, RequestClass, TimeSpan,
@@ -6,14 +6,14 @@
 use slotmap::new_key_type;
 
 new_key_type! {
-    /// A request that waits or runs; never reused for another one.
+    /// A waiting or running request; a key is never reused.
     pub struct RequestKey;
 }
 
 /// A request as the keeper offers it to the queue of a server.
 #[derive(Clone, Debug)]
 pub struct QueuedRequest {
-    /// Who asks; shares are given by caller.
+    /// The caller; shares are given by caller.
     pub caller: CallerName,
     /// The caller's weight; 0 counts as 1.
     pub weight: u32,
@@ -21,23 +21,23 @@
     pub key_hash: u64,
     /// How long it is expected to hold a slot.
     pub class: RequestClass,
-    /// When the answer stops being of use.
+    /// When the response is no longer of use.
     pub deadline: LocalTime,
 }
 
-/// Why a request will not run, and when to come back.
+/// Why a request will not run, and when to retry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct QueueRefusal {
-    /// The reason that the caller is told and that is counted.
+    /// The reason that the caller gets and that is counted.
     pub reason: NotRunReason,
-    /// How long the caller should stay away, jitter included.
+    /// The time after which the caller should retry, with jitter.
     pub retry_after: TimeSpan,
 }
 
-/// The queue's immediate answer to an offered request.
+/// The immediate result of an offered request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OfferOutcome {
-    /// It waits; [`QueueEvent`]s name it by this key.
+    /// It waits; [`QueueEvent`]s identify it by this key.
     Waiting(RequestKey),
     /// It will not run.
     Refused(QueueRefusal),
@@ -46,9 +46,9 @@
 /// What the keeper has to do next for a request that waited.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum QueueEvent {
-    /// Send it to the server; it holds a slot until it is finished.
+    /// Send it to the server; it holds a slot until it has finished.
     Start(RequestKey),
-    /// Answer it with the refusal; the queue has forgotten it.
+    /// Respond to it with the refusal; it is no longer in the queue.
     GiveUp(RequestKey, QueueRefusal),
 }
 
@@ -59,16 +59,16 @@
     Answered,
     /// The server did not start it.
     Refused,
-    /// It broke off, timed out or was cancelled.
+    /// It was cut off, timed out or was cancelled.
     Broken,
 }
 
-/// What a cancellation met.
+/// The result of a cancellation.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CancelOutcome {
     /// It still waited; it has not run and never will.
     Withdrawn,
-    /// It has been sent: tell the server, and report its end as usual.
+    /// It has been sent: cancel it at the server, and report its end as usual.
     Running,
     /// The queue no longer knows it.
     Unknown,
--- a/goldcrestramp-decisions/src/queue/slots.rs
+++ b/goldcrestramp-decisions/src/queue/slots.rs
@@ -1,80 +1,82 @@
 /*!
-Which classes may take the free slots of a server.
+Which classes may use the free slots of a server.
 
-The load: exports and downloads hold a slot for seconds or minutes on
-servers of two or four slots. Without a bound they come to hold all of them,
-and every lookup waits for the end of an export.
+Exports and downloads hold a slot for seconds or minutes on servers of two or
+four slots. Without a limit they would end up holding all of them, and every
+lookup would wait for the end of an export.
 
 One slot in four, and at least one on a server of several, is reserved for
-short requests. Where there have been none for as long as a long answer is
-expected to take, the reserve is lent out: such a quiet is expected to last
-about as long again, so the loan is back before it is missed. Services that
-serve long answers alone thus use every slot.
+short requests. If no short request came for as long as a long response is
+expected to take, the reserve is lent to long ones. Such a quiet period is
+expected to last about the same time again, so the slot is back before it is
+needed. Services with only long responses thus use every slot.
 */
 
 use goldcrestramp_types::{LocalTime, RequestClass, TimeSpan};
 
 use crate::limit::LimitVerdict;
 
-/// One slot in so many is reserved.
-const RESERVED_PART: usize = 4;
+/// One in this many slots is reserved.
+const SLOTS_PER_RESERVED: usize = 4;
 
-/// The slots of a server and what holds them.
+/// The slots of a server and what uses them.
 #[derive(Clone, Debug)]
-pub(crate) struct SlotBook {
+pub(crate) struct SlotTable {
     slots: usize,
-    /// Nothing starts before this moment.
-    held_until: Option<LocalTime>,
+    /// Nothing starts before this time.
+    suspended_until: Option<LocalTime>,
     running: usize,
     running_long: usize,
-    /// When a short request last came, waited or ended.
+    /// When a short request last arrived, waited or ended.
     short_at: LocalTime,
 }
 
-impl SlotBook {
-    /// A book with every slot free.
+impl SlotTable {
+    /// Creates a table in which every slot is free.
     pub(crate) const fn new(now: LocalTime, slots: usize) -> Self {
         Self {
             slots,
-            held_until: None,
+            suspended_until: None,
             running: 0,
             running_long: 0,
             short_at: now,
         }
     }
 
-    /// Takes what may be sent to the server; what runs goes on.
+    /// Sets what may be sent to the server; running requests continue.
     pub(crate) const fn set_limit(&mut self, verdict: LimitVerdict) {
         match verdict {
             LimitVerdict::Allowed(slots) => {
                 self.slots = slots;
-                self.held_until = None;
+                self.suspended_until = None;
+            }
+            LimitVerdict::Suspended(until) => {
+                self.suspended_until = Some(until)
             }
-            LimitVerdict::Suspended(until) => self.held_until = Some(until),
         }
     }
 
-    /// The end of the time in which nothing may start, if it is not over.
-    pub(crate) fn hold(&self, now: LocalTime) -> Option<LocalTime> {
-        self.held_until.filter(|until| now < *until)
+    /// The end of the suspension, if it has not passed.
+    pub(crate) fn suspension(&self, now: LocalTime) -> Option<LocalTime> {
+        self.suspended_until.filter(|until| now < *until)
     }
 
-    /// When the hold ends, over or not.
-    pub(crate) const fn held_until(&self) -> Option<LocalTime> {
-        self.held_until
+    /// The end of the suspension, passed or not.
+    pub(crate) const fn suspended_until(&self) -> Option<LocalTime> {
+        self.suspended_until
     }
 
-    /// Notes that short requests are about.
-    pub(crate) fn saw_short(&mut self, now: LocalTime) {
+    /// Records that there are short requests.
+    pub(crate) fn record_short(&mut self, now: LocalTime) {
         self.short_at = self.short_at.max(now);
     }
 
-    /// Requests that hold a slot.
+    /// The number of requests that hold a slot.
     pub(crate) const fn running(&self) -> usize {
         self.running
     }
 
-    /// Whether a slot is free at all.
+    /// Whether any slot is free.
     pub(crate) const fn has_free(&self) -> bool {
         self.running < self.slots
     }
@@ -87,22 +89,22 @@
         }
     }
 
-    /// Gives a slot back.
+    /// Frees a slot.
     pub(crate) fn release(&mut self, now: LocalTime, class: RequestClass) {
         self.running -= 1;
         if class == RequestClass::Long {
             self.running_long -= 1;
         } else {
-            self.saw_short(now);
+            self.record_short(now);
         }
     }
 
-    /// The slots that long answers may hold, `long` being how long one is
-    /// expected to take.
+    /// The number of slots that long responses may hold; `long` is the
+    /// expected time of one.
     pub(crate) fn long_limit(&self, now: LocalTime, long: TimeSpan) -> usize {
         let reserved = match self.slots {
             0 | 1 => 0,
-            slots => (slots / RESERVED_PART).max(1),
+            slots => (slots / SLOTS_PER_RESERVED).max(1),
         };
         if now >= self.lent_at(long) {
             return self.slots;
@@ -110,7 +112,7 @@
         self.slots.saturating_sub(reserved)
     }
 
-    /// When the reserve is lent out if no short request comes.
+    /// When the reserve is lent to long responses if no short request arrives.
     pub(crate) fn lent_at(&self, long: TimeSpan) -> LocalTime {
         self.short_at + long
     }
@@ -122,15 +124,15 @@
         class: RequestClass,
         long: TimeSpan,
     ) -> bool {
-        if !self.has_free() || self.hold(now).is_some() {
+        if !self.has_free() || self.suspension(now).is_some() {
             return false;
         }
         class != RequestClass::Long
             || self.running_long < self.long_limit(now, long)
     }
 
-    /// The wait until `ahead` microseconds of slot time have been used and
-    /// a slot is free.
+    /// The wait until `ahead` microseconds of slot time have been used and a
+    /// slot is free.
     pub(crate) fn wait(
         &self,
         now: LocalTime,
@@ -145,7 +147,7 @@
                 self.slots.saturating_sub(self.running_long)
             }
         };
-        // With every slot lent to long answers, one of those has to end.
+        // If every slot is lent to long responses, one of those has to end.
         let next_end = match (self.has_free(), serving) {
             (true, _) => TimeSpan::ZERO,
             (false, 0) => long,
@@ -153,8 +155,9 @@
         };
         let total = ahead.saturating_add(next_end.as_micros());
         let serving = u64::try_from(serving.max(1)).unwrap_or(u64::MAX);
-        let held = self.hold(now).map_or(TimeSpan::ZERO, |t| t.since(now));
+        let suspended =
+            self.suspension(now).map_or(TimeSpan::ZERO, |t| t.since(now));
         let wait = TimeSpan::from_micros(total / serving);
-        TimeSpan::from_micros(wait.as_micros() + held.as_micros())
+        TimeSpan::from_micros(wait.as_micros() + suspended.as_micros())
     }
 }
--- a/goldcrestramp-decisions/src/queue/tree.rs
+++ b/goldcrestramp-decisions/src/queue/tree.rs
@@ -1,25 +1,24 @@
 /*!
 Fair shares of slot time among classes, callers and keys.
 
-The load: one caller, or one key of a caller, asks for many times what the
-others ask for. First-in-first-out would serve it in proportion to what it
-asks, so the others would get next to nothing.
-
-The answer is start-time fair queuing in three levels: class, caller, key.
-A flow's next request starts at its *tag*, a virtual time that rises by the
-slot time used divided by the flow's weight; the lowest tag goes first. The
-expected slot time is charged at the start; what was used beyond it counts
-from the flow's next start on, so a flow pays for what it used. A flow that was idle joins at the present
-virtual time, which rises by the slot time used over the weights of all that
-wait: it has no claim for the past, and one that used idle slots owes nothing
-for them.
-
-Memory: a flow exists while something of it waits or runs, and for at most
-[`IDLE_LIMIT`] flows after that. So the tables are exact, not a sketch, and
-their size depends on what waits and not on the number of callers or keys.
-The error: a flow that is evicted while idle forgets what it used beyond its
-share, which is at most the cost of its requests that started last, one for
-each slot.
+One caller, or one key of a caller, may send many times as many requests as
+others. First in, first out would serve it in proportion, and the others would
+get almost nothing.
+
+This is start-time fair queuing in three levels: class, caller, key. A flow's
+next request starts at its *tag*, a virtual time that rises by the used slot
+time divided by the flow's weight; the lowest tag goes first. The expected slot
+time is charged at the start, and the rest at the flow's next start, so a flow
+pays for what it used. An idle flow joins at the current virtual time, which
+rises by the used slot time divided by the weights of all waiting flows. So it
+gets no credit for the past, and one that used idle slots has no debt for them.
+
+A flow exists while one of its requests waits or runs, and at most
+[`MAX_IDLE_FLOWS`] flows are kept after that. So the tables are exact and not a
+sketch, and their size depends on what waits and not on the number of callers
+or keys. The error is small: a flow that is evicted while idle loses the record
+of what it used beyond its share, which is at most the cost of the requests
+that it started last, one for each slot.
 */
 
 use std::collections::BTreeSet;
@@ -32,12 +31,12 @@
     request::RequestKey,
 };
 
-/// The idle flows that keep their tag: about 1 MiB at 250 bytes each, and
-/// a second of turnover at 4,096 requests a second.
-pub(crate) const IDLE_LIMIT: usize = 4_096;
+/// The maximum number of idle flows that keep their tag: about 1 MiB at 250
+/// bytes each, and a second of turnover at 4,096 requests a second.
+pub(crate) const MAX_IDLE_FLOWS: usize = 4_096;
 
 /// The shares of the classes while all of them wait. Orders count double,
-/// since a refused order is a person's loss. Lookups and long answers share
+/// since a refused order harms a person. Lookups and long responses share
 /// evenly, which is one slot each on a server of two.
 const ORDER_WEIGHT: u64 = 2;
 const LOOKUP_WEIGHT: u64 = 1;
@@ -61,14 +60,14 @@
     root: FlowKey,
     /// The flow of each class, in the order of `RequestClass::ALL`.
     classes: [FlowKey; 3],
-    /// Callers by waiting requests for each unit of weight.
+    /// Callers by waiting requests per unit of weight.
     lengths: BTreeSet<(u64, FlowKey)>,
     idle: BTreeSet<(u64, FlowKey)>,
-    turn: u64,
+    sequence: u64,
 }
 
 impl FlowTree {
-    /// A tree with the root and the classes alone.
+    /// Creates a tree of the root and the classes.
     pub(crate) fn new() -> Self {
         let mut flows = SlotMap::with_key();
         let root = flows.insert(Flow::new(None, FlowName::Root, 1));
@@ -83,13 +82,13 @@
             classes,
             lengths: BTreeSet::new(),
             idle: BTreeSet::new(),
-            turn: 0,
+            sequence: 0,
         }
     }
 
-    /// The flow of a key, made if it is new.
+    /// The flow of a key, created if needed.
     ///
-    /// The flow may be empty; `settle` has to follow if it stays so.
+    /// The flow may be empty; `release_idle` has to follow if it stays so.
     pub(crate) fn leaf(
         &mut self,
         class: RequestClass,
@@ -103,22 +102,22 @@
         self.child(parent, FlowName::Key(parent, key_hash), 1)
     }
 
-    /// Waiting requests in all.
+    /// The number of waiting requests.
     pub(crate) fn waiting(&self) -> usize {
         self.flows[self.root].waiting
     }
 
-    /// Waiting requests of a class.
+    /// The number of waiting requests of a class.
     pub(crate) fn waiting_in(&self, class: RequestClass) -> usize {
         self.flows[self.classes[class as usize]].waiting
     }
 
-    /// The flow itself.
+    /// The flow with this key.
     pub(crate) fn flow(&self, key: FlowKey) -> &Flow {
         &self.flows[key]
     }
 
-    /// The number of flows that take memory.
+    /// The number of flows, idle ones included.
     pub(crate) fn len(&self) -> usize {
         self.flows.len()
     }
@@ -133,7 +132,7 @@
         });
     }
 
-    /// Takes out a waiting request that will not start.
+    /// Removes a waiting request that will not start.
     pub(crate) fn remove(&mut self, entry: FlowEntry) {
         let queue = &mut self.flows[entry.leaf].queue;
         queue.remove(&(entry.deadline, entry.request));
@@ -141,10 +140,10 @@
             flow.waiting -= 1;
             flow.cost = flow.cost.saturating_sub(entry.cost);
         });
-        self.settle(entry.leaf);
+        self.release_idle(entry.leaf);
     }
 
-    /// The request whose turn it is, among the classes that may start.
+    /// The next request in fair order, among the classes that may start.
     pub(crate) fn first(
         &self,
         may_start: impl Fn(RequestClass) -> bool,
@@ -159,19 +158,19 @@
         Some(self.flows[leaf].queue.first()?.1)
     }
 
-    /// The least urgent request of the caller that has most waiting for
+    /// The least urgent request of the caller that has the most waiting for
     /// its weight, and that caller's length.
     pub(crate) fn longest(&mut self) -> Option<(u64, RequestKey)> {
         loop {
-            let (noted, caller) = *self.lengths.last()?;
+            let (recorded, caller) = *self.lengths.last()?;
             let flow = &mut self.flows[caller];
             let length = flow.length();
-            if length == noted {
+            if length == recorded {
                 let leaf = *flow.ready.last_key_value()?.1;
                 return Some((length, self.flows[leaf].queue.last()?.1));
             }
-            flow.noted_length = length;
-            self.lengths.remove(&(noted, caller));
+            flow.recorded_length = length;
+            self.lengths.remove(&(recorded, caller));
             self.lengths.insert((length, caller));
         }
     }
@@ -188,18 +187,18 @@
             flow.waiting -= 1;
             flow.cost = flow.cost.saturating_sub(entry.cost);
             flow.running += 1;
-            flow.settle_debt();
+            flow.apply_debt();
             flow.tag = flow.tag.saturating_add(flow.virtual_time(entry.cost));
             next = flow.parent;
             if flow.waiting > 0 {
                 self.set_ready(key, true);
             } else {
-                self.drop_length(key);
+                self.remove_length(key);
             }
         }
     }
 
-    /// Ends a running request and charges what it really used.
+    /// Ends a running request and charges what it actually used.
     pub(crate) fn finish(&mut self, leaf: FlowKey, expected: u64, used: u64) {
         let mut next = Some(leaf);
         while let Some(key) = next {
@@ -209,18 +208,18 @@
             let owed = flow.virtual_time(used).cast_signed();
             flow.debt = flow.debt.saturating_add(owed - paid);
             if flow.waiting == 0 {
-                flow.settle_debt();
+                flow.apply_debt();
             }
             next = flow.parent;
         }
-        self.settle(leaf);
+        self.release_idle(leaf);
     }
 
-    /// The slot time that goes to others or to itself before a request
-    /// that joins `leaf` now has its turn, in microseconds.
+    /// The slot time used by others or by itself before a request that joins
+    /// `leaf` now has its turn, in microseconds.
     ///
-    /// At each level a flow has its turn when the lowest tag has risen to
-    /// its own, and its backlog after that, all in virtual time, in which
+    /// At each level, a flow has its turn when the lowest tag has risen to its
+    /// own and its backlog has been served. Both are in virtual time, in which
     /// its siblings use their shares too, but no more than what waits.
     /// `service` is the expected slot time of one request.
     pub(crate) fn cost_ahead(&self, leaf: FlowKey, service: u64) -> u64 {
@@ -247,10 +246,11 @@
         ahead
     }
 
-    /// What goes before `ahead` of a class, from that and other classes.
+    /// The slot time used before `ahead` of a class, by this and other
+    /// classes.
     ///
-    /// Short and long answers do not count against each other: they are
-    /// kept apart by the slots that each may hold.
+    /// Short and long responses do not count against each other: the slots
+    /// that each may hold keep them apart.
     fn class_ahead(&self, class: RequestClass, ahead: u64) -> u64 {
         let other = match class {
             RequestClass::Lookup => RequestClass::Order,
@@ -262,24 +262,24 @@
         ahead + cost.min(part / class_weight(class))
     }
 
-    /// Forgets empty flows from `leaf` upwards, or sets them aside.
-    pub(crate) fn settle(&mut self, leaf: FlowKey) {
+    /// Removes or retains flows without requests, from `leaf` upwards.
+    pub(crate) fn release_idle(&mut self, leaf: FlowKey) {
         let mut next = Some(leaf);
         while let Some(key) = next {
             let Some(flow) = self.flows.get(key) else { return };
             let Some(parent) = flow.parent else { return };
-            if !flow.is_idle() || flow.idle_turn.is_some() {
+            if !flow.is_idle() || flow.idle_sequence.is_some() {
                 return;
             }
             next = Some(parent);
             if matches!(flow.name, FlowName::Class(_)) {
                 return;
             }
-            self.set_aside(key);
+            self.retain_idle(key);
         }
     }
 
-    /// Finds a child or makes it.
+    /// Returns a child, created if needed.
     fn child(
         &mut self,
         parent: FlowKey,
@@ -288,8 +288,8 @@
     ) -> FlowKey {
         if let Some(key) = self.index.get(&name).copied() {
             let flow = &mut self.flows[key];
-            if let Some(turn) = flow.idle_turn.take() {
-                self.idle.remove(&(turn, key));
+            if let Some(sequence) = flow.idle_sequence.take() {
+                self.idle.remove(&(sequence, key));
             }
             return key;
         }
@@ -299,7 +299,7 @@
         key
     }
 
-    /// Applies a change of what waits to a flow and all above it.
+    /// Applies a change of the waiting requests to a flow and all above it.
     fn change_waiting(&mut self, leaf: FlowKey, change: impl Fn(&mut Flow)) {
         let mut next = Some(leaf);
         while let Some(key) = next {
@@ -311,7 +311,7 @@
             if is_waiting {
                 self.raise_length(key);
             } else {
-                self.drop_length(key);
+                self.remove_length(key);
             }
             if was_waiting != is_waiting {
                 self.set_ready(key, is_waiting);
@@ -319,96 +319,96 @@
         }
     }
 
-    /// Notes a caller's length if it is above the one noted.
+    /// Records a caller's length if it is above the recorded one.
     ///
-    /// One that fell is noted when it is looked at, in `longest`: so most
-    /// requests come and go without a change of this order.
+    /// A lower length is recorded when it is read, in `longest`, so most
+    /// requests do not change the order of lengths.
     fn raise_length(&mut self, key: FlowKey) {
         let flow = &mut self.flows[key];
         let length = flow.length();
         let is_caller = matches!(flow.name, FlowName::Caller(..));
-        if is_caller && length > flow.noted_length {
-            self.lengths.remove(&(flow.noted_length, key));
+        if is_caller && length > flow.recorded_length {
+            self.lengths.remove(&(flow.recorded_length, key));
             self.lengths.insert((length, key));
-            flow.noted_length = length;
+            flow.recorded_length = length;
         }
     }
 
-    /// Takes a caller with nothing waiting out of the order of lengths.
-    fn drop_length(&mut self, key: FlowKey) {
+    /// Removes a caller without waiting requests from the order of lengths.
+    fn remove_length(&mut self, key: FlowKey) {
         let flow = &mut self.flows[key];
-        if flow.noted_length > 0 {
-            self.lengths.remove(&(flow.noted_length, key));
-            flow.noted_length = 0;
+        if flow.recorded_length > 0 {
+            self.lengths.remove(&(flow.recorded_length, key));
+            flow.recorded_length = 0;
         }
     }
 
-    /// Puts a flow among its parent's ready ones, or takes it out.
+    /// Adds a flow to its parent's ready flows, or removes it.
     fn set_ready(&mut self, key: FlowKey, ready: bool) {
         let Some(parent_key) = self.flows[key].parent else { return };
         let clock = self.flows[parent_key].clock;
-        self.turn += u64::from(ready);
+        self.sequence += u64::from(ready);
         let flow = &mut self.flows[key];
         if ready {
-            flow.turn = self.turn;
+            flow.sequence = self.sequence;
         }
         if ready && flow.running == 0 {
             flow.tag = flow.tag.max(clock);
         }
-        let (place, weight) = ((flow.tag, flow.turn), flow.weight);
+        let (position, weight) = ((flow.tag, flow.sequence), flow.weight);
         let parent = &mut self.flows[parent_key];
         if ready {
-            parent.ready.insert(place, key);
+            parent.ready.insert(position, key);
             parent.ready_weight += weight;
         } else {
-            parent.ready.remove(&place);
+            parent.ready.remove(&position);
             parent.ready_weight -= weight;
         }
     }
 
-    /// Moves the parent's virtual time on for a flow that starts.
+    /// Advances the parent's virtual time for a flow that starts.
     ///
-    /// It moves by the cost over the weight of all that wait, once that cost
-    /// has been worked off: at the next start. If it moved
-    /// to the tag of what starts alone, flows that come new, keys that are
-    /// asked for once, would all join at the same time and those that were
-    /// there before would never have their turn.
+    /// It advances by the cost divided by the weight of all that wait, once
+    /// that cost has been used: at the next start. If it advanced to the tag
+    /// of what starts alone, new flows, such as keys that are requested once,
+    /// would all join at the same time, and flows from before would never have
+    /// their turn.
     fn advance_clock(&mut self, key: FlowKey, cost: u64) {
         let flow = &self.flows[key];
         let (parent, tag) = (flow.parent, flow.tag);
         let Some(parent) = parent else { return };
         let parent = &mut self.flows[parent];
         let span = cost.saturating_mul(TAG_SCALE) / parent.ready_weight.max(1);
-        let clock = parent.clock.saturating_add(parent.clock_due);
+        let clock = parent.clock.saturating_add(parent.clock_advance);
         parent.clock = clock.max(tag);
-        parent.clock_due = span;
+        parent.clock_advance = span;
     }
 
-    /// Keeps an empty flow's tag for a while if it is above the clock.
-    fn set_aside(&mut self, key: FlowKey) {
+    /// Retains an empty flow for a while if its tag is above the clock.
+    fn retain_idle(&mut self, key: FlowKey) {
         let flow = &self.flows[key];
         let clock = flow.parent.map_or(0, |parent| self.flows[parent].clock);
         if flow.tag <= clock && flow.clock == 0 {
-            self.forget(key);
+            self.remove_flow(key);
             return;
         }
-        self.turn += 1;
-        self.flows[key].idle_turn = Some(self.turn);
-        self.idle.insert((self.turn, key));
+        self.sequence += 1;
+        self.flows[key].idle_sequence = Some(self.sequence);
+        self.idle.insert((self.sequence, key));
         self.evict();
     }
 
-    /// Forgets the flows that became idle first beyond the limit.
+    /// Removes the flows that became idle first, beyond the limit.
     ///
-    /// A key becomes idle before its caller, so it is evicted before.
+    /// A key becomes idle before its caller, so it is evicted before it.
     fn evict(&mut self) {
-        while self.idle.len() > IDLE_LIMIT {
+        while self.idle.len() > MAX_IDLE_FLOWS {
             let Some((_, key)) = self.idle.pop_first() else { return };
-            self.forget(key);
+            self.remove_flow(key);
         }
     }
 
-    fn forget(&mut self, key: FlowKey) {
+    fn remove_flow(&mut self, key: FlowKey) {
         if let Some(flow) = self.flows.remove(key) {
             self.index.remove(&flow.name);
         }
--- a/goldcrestramp-decisions/src/reader.rs
+++ b/goldcrestramp-decisions/src/reader.rs
@@ -1,28 +1,28 @@
 /*!
-How long a reader that takes nothing may hold a server's slot.
+How long a stalled reader may hold a slot of a server.
 
-The load: a phone on a bad network, or a caller that was closed without a
-word, stops reading a download. Back pressure reaches the server, whose slot
-is then held by an answer that does not move; two of those hold a server of
-two slots for good.
+A phone on a bad network, or a caller that disappeared without closing its
+connection, stops reading a download. Backpressure reaches the server, and its
+slot is held by a response that makes no progress. Two such responses block a
+server of two slots forever.
 
-An answer that has not moved for a while is broken off, which its reader
-sees as an answer that is not whole. While others wait for a slot the while
-is short; while none does, nobody is hurt, and a phone that comes back finds
-its download going on.
+A response without progress is aborted after a timeout, which its reader sees
+as a truncated response. The timeout is short while other requests wait for a
+slot. Otherwise it is long, since the stall harms nobody and a phone that
+reconnects can continue its download.
 */
 
 use goldcrestramp_types::{LocalTime, TimeSpan};
 
-/// The longest stall while others wait: a phone that changes between two
-/// networks is back within some seconds.
-const STALL_WANTED: TimeSpan = TimeSpan::from_millis(5_000);
+/// The longest stall while other requests wait: a phone that switches networks
+/// is back within a few seconds.
+const MAX_STALL_CONTENDED: TimeSpan = TimeSpan::from_millis(5_000);
 
-/// The longest stall while nobody waits: after a minute a TCP connection
-/// that lost its peer has mostly not noticed yet, and must not hold on.
-const STALL_UNWANTED: TimeSpan = TimeSpan::from_millis(60_000);
+/// The longest stall while none waits: even after a minute, TCP has mostly not
+/// detected a lost peer, so the slot must be freed without it.
+const MAX_STALL_UNCONTENDED: TimeSpan = TimeSpan::from_millis(60_000);
 
-/// Whether an answer is to be broken off, of which nothing was taken since
+/// Whether to abort a response of which the reader has taken nothing since
 /// `stalled_since`.
 ///
 /// # Example
@@ -42,6 +42,7 @@
     stalled_since: LocalTime,
     others_wait: bool,
 ) -> bool {
-    let limit = if others_wait { STALL_WANTED } else { STALL_UNWANTED };
+    let limit =
+        if others_wait { MAX_STALL_CONTENDED } else { MAX_STALL_UNCONTENDED };
     now.since(stalled_since) >= limit
 }
--- a/goldcrestramp-decisions/src/retry/mod.rs
+++ b/goldcrestramp-decisions/src/retry/mod.rs
@@ -1,25 +1,25 @@
 /*!
-Whether a failed attempt is made again.
-
-The load: a server or a keeper fails for seconds. Every caller's request is
-then tried again, each try fails and is tried again, and what comes back is
-met by several times its load. And an order that may have run is run twice.
-
-- What may have run is sent again only if it is idempotent.
-- A refusal of a later try proves nothing of an earlier one:
-  [`RefusalProof`] keeps what is open.
-- A retry takes from two budgets, its caller's and its service's, which
-  fill with first attempts: retries add a tenth to the load at most.
-- It waits for a random time within a window that doubles, and is not made
-  when it could not end before the deadline.
-- A redirect is no failure: it names the right keeper. It takes no budget,
-  and ends after [`REDIRECT_LIMIT`].
-
-Hedged requests were weighed and left out. A hedge pays where a second
-replica can answer sooner; here a key has one owner, so the second copy joins
-the same queue of the same server and takes a slot from others. The tail that
-hedges cut comes from a slow gateway or link, and there the attempt that is
-known to be unsent is retried already.
+Whether a failed attempt is retried.
+
+When a server or a keeper fails for seconds, every caller's request is retried,
+and each retry fails and is retried again. Once it is back, it gets several
+times its load. And an order that may have run would be run twice.
+
+- A request that may have run is retried only if it is idempotent.
+- A refusal of a later attempt proves nothing about an earlier one:
+  [`RefusalProof`] keeps track of that.
+- A retry takes from two budgets, its caller's and its service's. First
+  attempts fill them, so retries add at most a tenth to the load.
+- A retry waits for a random time within a window that doubles, and is not made
+  if it could not end before the deadline.
+- A redirect is no failure: it names the right keeper. It takes no budget, and
+  at most [`MAX_REDIRECTS`] are followed.
+
+There are no hedged requests. A hedge helps where a second replica can respond
+sooner. Here a key has one owner, so the second copy would join the same queue
+of the same server and take a slot from others. The tail latency that hedges
+reduce comes from a slow gateway or link, and an attempt that is known not to
+have been sent there is already retried.
 */
 
 mod budget;
@@ -33,69 +33,71 @@
 use crate::retry::budget::BudgetTable;
 pub use crate::retry::proof::{RefusalProof, RefusedBy};
 
-/// Redirects of one request: the table may be behind by one move, and the
-/// next by another; more means that two keepers name each other.
-pub const REDIRECT_LIMIT: u32 = 3;
+/// The maximum number of redirects of one request. The table may be behind by
+/// one move, and the next keeper's by another; with more, two keepers redirect
+/// to each other.
+pub const MAX_REDIRECTS: u32 = 3;
 
-/// Retries of one request: the third finds what two did not, rarely.
-const RETRY_LIMIT: u32 = 2;
+/// The maximum number of retries of one request: a third one rarely succeeds
+/// where two did not.
+const MAX_RETRIES: u32 = 2;
 
-/// The window of the first wait: about the time in which a keeper learns
-/// of a change. Without the random part all would come back at once.
-const FIRST_WINDOW: TimeSpan = TimeSpan::from_millis(10);
+/// The window of the first delay: about the time in which a keeper learns of a
+/// change. Without the random part, all requests would be retried at once.
+const INITIAL_WINDOW: TimeSpan = TimeSpan::from_millis(10);
 
-/// Callers whose budgets are kept, about 100 bytes each.
-const CALLER_LIMIT: usize = 4_096;
+/// The maximum number of caller budgets, about 100 bytes each.
+const MAX_CALLERS: usize = 4_096;
 
-/// Services whose budgets are kept.
-const SERVICE_LIMIT: usize = 1_024;
+/// The maximum number of service budgets.
+const MAX_SERVICES: usize = 1_024;
 
 /// Whether a failed attempt can have run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AttemptStart {
     /// It certainly did not start.
     NotStarted,
-    /// It may have.
+    /// It may have run.
     MayHaveRun,
 }
 
-/// An attempt that brought no answer.
+/// An attempt without a response.
 #[derive(Clone, Copy, Debug)]
 pub struct FailedAttempt<'a> {
-    /// Who asked.
+    /// The caller.
     pub caller: &'a CallerName,
-    /// The service that was asked.
+    /// The service that was called.
     pub service: &'a ServiceName,
-    /// What a second run would do.
+    /// Whether a second run would do harm.
     pub effect: RequestEffect,
-    /// Whether it can have run.
+    /// Whether the attempt can have run.
     pub start: AttemptStart,
-    /// Why it would be made again.
+    /// The reason for a retry.
     pub reason: RetryReason,
-    /// What the caller is told if it is not, and it did not run.
+    /// The reason that the caller gets if it is not retried and did not run.
     pub refusal: NotRunReason,
-    /// Redirects and retries of this request so far.
+    /// Redirects of this request up to now.
     pub redirects: u32,
-    /// Retries, redirects not counted.
+    /// Retries of this request up to now, without redirects.
     pub retries: u32,
     /// The request's deadline.
     pub deadline: LocalTime,
-    /// The time that an attempt usually takes.
-    pub usual: TimeSpan,
+    /// The typical time of an attempt.
+    pub typical: TimeSpan,
 }
 
-/// What follows a failed attempt.
+/// What to do after a failed attempt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RetryDecision {
-    /// Make it again, not before this moment, and count the reason.
-    Again(LocalTime, RetryReason),
-    /// It did not run and will not; tell the caller why.
+    /// Retry it, not before this time, and count the reason.
+    Retry(LocalTime, RetryReason),
+    /// It did not run and will not; respond with this reason.
     NotRun(NotRunReason),
-    /// It may have run; tell the caller so.
+    /// It may have run; respond accordingly.
     Unknown,
 }
 
-/// The policy and budgets of one gateway.
+/// The retry policy and budgets of one gateway.
 #[derive(Clone, Debug)]
 pub struct RetryPolicy {
     callers: BudgetTable<CallerName>,
@@ -109,22 +111,26 @@
 }
 
 impl RetryPolicy {
-    /// A policy with no attempts made yet.
+    /// Creates a policy without any attempts.
     #[must_use]
     pub fn new() -> Self {
         Self {
-            callers: BudgetTable::new(CALLER_LIMIT),
-            services: BudgetTable::new(SERVICE_LIMIT),
+            callers: BudgetTable::new(MAX_CALLERS),
+            services: BudgetTable::new(MAX_SERVICES),
         }
     }
 
-    /// Counts a first attempt, which adds to both budgets.
-    pub fn attempted(&mut self, caller: &CallerName, service: &ServiceName) {
-        self.callers.earn(caller);
-        self.services.earn(service);
+    /// Records a first attempt, which adds to both budgets.
+    pub fn record_attempt(
+        &mut self,
+        caller: &CallerName,
+        service: &ServiceName,
+    ) {
+        self.callers.add_credit(caller);
+        self.services.add_credit(service);
     }
 
-    /// Decides what follows a failed attempt.
+    /// Decides what to do after a failed attempt.
     pub fn decide(
         &mut self,
         now: LocalTime,
@@ -132,20 +138,20 @@
         random: u64,
     ) -> RetryDecision {
         let may_have_run = failed.start == AttemptStart::MayHaveRun;
-        // A second run of an order is the gravest harm, so one that may
-        // have run ends here, whatever budget and time are left.
+        // A second run of an order is the worst harm, so an order that may
+        // have run is not retried, whatever budget and time remain.
         if may_have_run && failed.effect == RequestEffect::NonIdempotent {
             return RetryDecision::Unknown;
         }
-        match self.again_at(now, failed, random) {
-            Ok(time) => RetryDecision::Again(time, failed.reason),
+        match self.retry_at(now, failed, random) {
+            Ok(time) => RetryDecision::Retry(time, failed.reason),
             Err(_) if may_have_run => RetryDecision::Unknown,
             Err(reason) => RetryDecision::NotRun(reason),
         }
     }
 
-    /// When to make it again, or why not.
-    fn again_at(
+    /// When to retry, or the reason not to.
+    fn retry_at(
         &mut self,
         now: LocalTime,
         failed: &FailedAttempt<'_>,
@@ -153,15 +159,15 @@
     ) -> Result<LocalTime, NotRunReason> {
         let redirected = failed.reason == RetryReason::Redirected;
         let time =
-            if redirected { now } else { now + wait(failed.retries, random) };
-        if time + failed.usual > failed.deadline {
+            if redirected { now } else { now + delay(failed.retries, random) };
+        if time + failed.typical > failed.deadline {
             return Err(NotRunReason::DeadlineTooShort);
         }
         if redirected {
-            let left = failed.redirects < REDIRECT_LIMIT;
-            return if left { Ok(time) } else { Err(failed.refusal) };
+            let has_remaining = failed.redirects < MAX_REDIRECTS;
+            return if has_remaining { Ok(time) } else { Err(failed.refusal) };
         }
-        if failed.retries >= RETRY_LIMIT {
+        if failed.retries >= MAX_RETRIES {
             return Err(failed.refusal);
         }
         self.spend(failed).map(|()| time)
@@ -183,9 +189,9 @@
     }
 }
 
-/// A random wait within a window that doubles with each retry.
-const fn wait(retries: u32, random: u64) -> TimeSpan {
+/// A random delay within a window that doubles with each retry.
+const fn delay(retries: u32, random: u64) -> TimeSpan {
     let doublings = if retries < 8 { retries } else { 8 };
-    let window = FIRST_WINDOW.as_micros() << doublings;
+    let window = INITIAL_WINDOW.as_micros() << doublings;
     TimeSpan::from_micros(random % (window + 1))
 }
--- a/goldcrestramp-decisions/src/retry/proof.rs
+++ b/goldcrestramp-decisions/src/retry/proof.rs
@@ -1,57 +1,57 @@
 //! Whether a refusal proves that a request did not run.
 //!
-//! The load: an answer is lost, the request is tried again, and the second
-//! try meets a full server. Its refusal is true of the second try alone. A
-//! caller that takes it for the whole request orders anew under another id,
-//! and two parcels come.
+//! A response is lost, the request is retried, and a full server refuses the
+//! second attempt. The refusal is true of that attempt only. A caller that
+//! applies it to the whole request sends the order again under another id, and
+//! two parcels are sent.
 
 use goldcrestramp_types::{NotRunReason, RequestEffect, UnknownReason};
 
-/// Who refused a request.
+/// Which component refused a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RefusedBy {
     /// The keeper of its server, which remembers the ids of orders.
     Keeper,
-    /// The gateway, which remembers nothing of other tries.
+    /// The gateway, which remembers nothing of other attempts.
     Gateway,
 }
 
-/// What the earlier tries of one request leave open.
+/// Whether earlier attempts of one request may have run.
 #[derive(Clone, Copy, Debug)]
 pub struct RefusalProof {
     effect: RequestEffect,
     /// The caller says that it may have sent the request before.
     is_resend: bool,
-    /// Why an earlier try of this gateway may have run.
-    open: Option<UnknownReason>,
+    /// Why an earlier attempt of this gateway may have run.
+    unknown_reason: Option<UnknownReason>,
 }
 
 impl RefusalProof {
-    /// The proof for a request that this gateway has not tried yet.
+    /// The proof for a request without an attempt of this gateway.
     #[must_use]
     pub const fn new(effect: RequestEffect, is_resend: bool) -> Self {
-        Self { effect, is_resend, open: None }
+        Self { effect, is_resend, unknown_reason: None }
     }
 
-    /// Notes that a try may have run.
+    /// Records that an attempt may have run.
     pub const fn may_have_run(&mut self, reason: UnknownReason) {
-        self.open = Some(reason);
+        self.unknown_reason = Some(reason);
     }
 
-    /// What the caller of a refused request is told.
+    /// The reason that the caller of a refused request gets.
     ///
     /// # Errors
     ///
-    /// Why it is not known whether the request ran: an earlier try of this
-    /// gateway may have, or one of the caller's own of which whoever refused
-    /// cannot know. A keeper remembers the ids of non-idempotent requests
-    /// alone.
+    /// Why it is unknown whether the request ran: an earlier attempt of this
+    /// gateway may have run, or one that the caller sent itself and that the
+    /// refusing component cannot know. A keeper remembers the ids of
+    /// non-idempotent requests only.
     pub fn judge(
         &self,
         refusal: NotRunReason,
         by: RefusedBy,
     ) -> Result<NotRunReason, UnknownReason> {
-        if let Some(reason) = self.open {
+        if let Some(reason) = self.unknown_reason {
             return Err(reason);
         }
         let remembered = by == RefusedBy::Keeper
--- a/goldcrestramp-decisions/tests/attempt.rs
+++ b/goldcrestramp-decisions/tests/attempt.rs
@@ -1,4 +1,4 @@
-//! The same order sent twice, in every way that it can happen.
+//! A resent order in all orders of events.
 
 use std::sync::Arc;
 
@@ -10,40 +10,40 @@
     CallerName, LocalTime, NotRunReason, RequestName, SliceIndex, TimeSpan,
 };
 
-const LONGEST: TimeSpan = TimeSpan::from_millis(30_000);
+const MAX_TIMEOUT: TimeSpan = TimeSpan::from_millis(30_000);
 
 fn at(millis: u64) -> LocalTime {
     LocalTime::from_micros(millis * 1_000)
 }
 
 fn id(request: &str) -> AttemptId {
-    let caller = CallerName::new("tienda-4").expect("a valid name");
-    let request = RequestName::new(request).expect("a valid name");
+    let caller = CallerName::new("tienda-4").expect("name is valid");
+    let request = RequestName::new(request).expect("name is valid");
     AttemptId { caller, request }
 }
 
 fn slice() -> SliceIndex {
-    SliceIndex::new(7).expect("a small number")
+    SliceIndex::new(7).expect("index is in range")
 }
 
-/// A memory of ten ids that keeps one slice since this time.
+/// A memory of ten ids that covers one slice since this time.
 fn memory_since(millis: u64) -> AttemptMemory {
     let settings = MemorySettings {
         id_limit: 10,
-        answer_bytes: 2 * MAX_ANSWER_BYTES,
-        longest: LONGEST,
+        max_stored_bytes: 2 * MAX_ANSWER_BYTES,
+        max_timeout: MAX_TIMEOUT,
     };
     let mut memory = AttemptMemory::open(settings);
-    memory.begin_slice(at(millis), slice());
+    memory.cover_slice(at(millis), slice());
     memory
 }
 
-/// One that keeps it since the clock's start.
+/// A memory that covers the slice since the clock's start.
 fn memory() -> AttemptMemory {
     memory_since(0)
 }
 
-/// Where the server listens that the first keeper sends to.
+/// The address of the server that the first keeper sends to.
 fn server() -> Arc<str> {
     Arc::from("10.0.0.7:80")
 }
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_resend_meets_the_first_one() {
+fn a_resend_gets_the_outcome_of_the_first_attempt() {
     let mut memory = memory();
     let mut verdicts = vec![begin(&mut memory, 0, "a", 10_000, false)];
     verdicts.push(begin(&mut memory, 5, "a", 10_000, true));
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn what_did_not_run_may_be_sent_again_and_what_may_have_may_not() {
+fn only_an_attempt_that_did_not_run_may_be_sent_again() {
     let mut memory = memory();
     begin(&mut memory, 0, "a", 10_000, false);
     let reason = NotRunReason::ServerRefused;
@@ -99,11 +99,11 @@
     assert_eq!(after, AttemptVerdict::Known(AttemptOutcome::Unknown));
 }
 
-/// A resend that comes late, even with a new deadline, learns how the first
-/// one ended; once the id is forgotten, the old deadline lets nothing start,
-/// and nobody says any more that it did not run.
+/// A late resend, even with a new deadline, learns the outcome of the first
+/// attempt. Once the id has expired, the old deadline lets nothing start, and
+/// the response must not be "not run".
 #[test]
-fn after_its_deadline_an_id_is_known_for_the_longest_deadline() {
+fn an_id_is_remembered_for_the_longest_deadline_after_its_own() {
     let mut memory = memory();
     begin(&mut memory, 0, "a", 100, false);
     memory.finish(&id("a"), done(3));
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn one_that_still_runs_past_its_deadline_is_not_forgotten() {
+fn an_attempt_running_past_its_deadline_is_remembered() {
     let mut memory = memory();
     begin(&mut memory, 0, "a", 100, false);
     let late = begin(&mut memory, 200, "a", 100, true);
@@ -139,11 +139,11 @@
     assert_eq!(first, AttemptVerdict::InProgress);
 }
 
-/// A keeper is lost while an order runs; its caller sends the order again,
-/// to the next keeper, which cannot know. Once every id of the time before
-/// it would be forgotten anyway, a resend is new, whatever its deadline.
+/// A keeper is lost while an order runs, and its caller resends the order to
+/// the next keeper, which cannot know of it. Once every id from before that
+/// keeper's time would have expired, a resend is new, whatever its deadline.
 #[test]
-fn a_young_memory_says_so() {
+fn a_resend_to_a_young_memory_is_too_young() {
     let mut memory = memory_since(1_000);
     let cases = [
         (1_000, 20_000, true, AttemptVerdict::TooYoung),
@@ -160,19 +160,18 @@
 }
 
 #[test]
-fn an_unknown_slice_is_young_too() {
+fn an_uncovered_slice_is_too_young() {
     let mut memory = memory();
-    memory.begin_anew();
+    memory.reset_slices();
     let verdict = begin(&mut memory, 90_000, "a", 120_000, true);
     assert_eq!(verdict, AttemptVerdict::TooYoung);
 }
 
-/// A planned move: the old keeper tells the new one, whose clock reads
-/// differently. A resend meets the first one's end there; one of which
-/// nothing was told is *too young*, since another keeper may have had the
-/// slice in between.
+/// Guards against a planned move that loses the memory. The new keeper's clock
+/// differs. A resend gets the first outcome there; without a record it is *too
+/// young*, since another keeper may have had the slice in between.
 #[test]
-fn a_move_takes_the_memory_along() {
+fn a_move_hands_over_the_memory() {
     let mut old = memory();
     for name in ["a", "b", "d"] {
         begin(&mut old, 40_000, name, 60_000, false);
@@ -180,14 +179,17 @@
     old.finish(&id("a"), done(3));
     old.finish(&id("b"), AttemptOutcome::Unknown);
     let keeper = Arc::from("vm-2");
-    let told = old.untold(at(41_000), |_| Some(&keeper), 10_000);
-    let (to, records) = told.expect("two have ended");
+    let pending = old.pending_records(at(41_000), |_| Some(&keeper), 10_000);
+    let (to, records) = pending.expect("two attempts have completed");
     assert_eq!(to, keeper);
-    old.told(&to, &records);
-    assert_eq!(old.untold(at(41_000), |_| Some(&keeper), 10_000), None);
+    old.mark_received(&to, &records);
+    assert_eq!(
+        old.pending_records(at(41_000), |_| Some(&keeper), 10_000),
+        None
+    );
     let mut new = memory_since(500_000);
     for record in records {
-        new.take(at(500_000), record);
+        new.import(at(500_000), record);
     }
     let verdicts = ["a", "b", "c", "d"]
         .map(|name| begin(&mut new, 500_100, name, 519_000, true));
@@ -198,65 +200,65 @@
         AttemptVerdict::TooYoung,
     ];
     assert_eq!(verdicts, expected);
-    let sent = new.sent(&id("b")).expect("it is remembered");
-    assert_eq!((&sent.server, sent.begun), (&server(), None));
+    let sent = new.sent(&id("b")).expect("attempt is remembered");
+    assert_eq!((&sent.server, sent.arrived_at), (&server(), None));
     let after = begin(&mut new, 549_000, "a", 519_000, true);
     let forgotten = begin(&mut new, 549_001, "a", 519_000, true);
     assert_eq!(after, AttemptVerdict::Known(done(3)));
     assert_eq!(forgotten, AttemptVerdict::TooYoung);
 }
 
-/// A record that comes late, after the order was sent again without a word
-/// of being a resend, does not take the place of what is known first hand.
+/// The order was sent again without being marked as a resend, then a record
+/// arrives late. It must not replace the entry of this keeper.
 #[test]
 fn a_late_record_replaces_nothing() {
     let mut old = memory();
     begin(&mut old, 0, "a", 10_000, false);
     old.finish(&id("a"), AttemptOutcome::Unknown);
     let keeper = Arc::from("vm-2");
-    let told = old.untold(at(1_000), |_| Some(&keeper), 10_000);
-    let (_, records) = told.expect("one has ended");
+    let pending = old.pending_records(at(1_000), |_| Some(&keeper), 10_000);
+    let (_, records) = pending.expect("one attempt has completed");
     let mut new = memory_since(1_000);
     begin(&mut new, 1_000, "a", 10_000, false);
     for record in records {
-        new.take(at(1_500), record);
+        new.import(at(1_500), record);
     }
     let running = begin(&mut new, 2_000, "a", 10_000, true);
     assert_eq!(running, AttemptVerdict::InProgress);
 }
 
-/// A slice moves to a second keeper, back, and on to a third: each new
-/// keeper is told, in parts of a bounded size.
+/// A slice moves to a second keeper, back, and on to a third: each new keeper
+/// must receive the records, in batches of a bounded size.
 #[test]
-fn each_next_keeper_is_told_in_parts() {
+fn each_new_keeper_receives_the_records_in_batches() {
     let mut memory = memory();
     for number in 0..5 {
         let name = format!("n{number}");
         begin(&mut memory, 0, &name, 10_000, false);
         memory.finish(&id(&name), done(3));
     }
-    let mut tell = |keeper: Option<&str>| {
+    let mut deliver = |keeper: Option<&str>| {
         let keeper = keeper.map(Arc::from);
-        let mut parts = Vec::new();
+        let mut batches = Vec::new();
         while let Some((to, records)) =
-            memory.untold(at(1), |_| keeper.as_ref(), 600)
+            memory.pending_records(at(1), |_| keeper.as_ref(), 600)
         {
-            memory.told(&to, &records);
-            parts.push(records.len());
+            memory.mark_received(&to, &records);
+            batches.push(records.len());
         }
-        parts
+        batches
     };
-    assert_eq!(tell(Some("vm-2")), [2, 2, 1]);
-    assert_eq!(tell(Some("vm-2")), []);
-    assert_eq!(tell(None), []);
-    assert_eq!(tell(Some("vm-2")), [2, 2, 1]);
-    assert_eq!(tell(Some("vm-3")), [2, 2, 1]);
+    assert_eq!(deliver(Some("vm-2")), [2, 2, 1]);
+    assert_eq!(deliver(Some("vm-2")), []);
+    assert_eq!(deliver(None), []);
+    assert_eq!(deliver(Some("vm-2")), [2, 2, 1]);
+    assert_eq!(deliver(Some("vm-3")), [2, 2, 1]);
 }
 
-/// Answers are kept within a bound in all; those beyond it, and what a
-/// forgotten one gave free, are counted right.
+/// The stored bodies must stay within a total bound, and the bytes of expired
+/// ones must be freed.
 #[test]
-fn answers_are_kept_within_a_bound() {
+fn stored_bodies_stay_within_a_bound() {
     let mut memory = memory();
     for (name, now) in [("a", 0), ("b", 0), ("c", 0), ("d", 40_000)] {
         begin(&mut memory, now, name, now + 100, false);
@@ -270,7 +272,7 @@
 }
 
 #[test]
-fn a_long_answer_is_known_without_its_body() {
+fn a_long_response_is_stored_without_its_body() {
     let mut memory = memory();
     begin(&mut memory, 0, "a", 10_000, false);
     memory.finish(&id("a"), done(MAX_ANSWER_BYTES + 1));
@@ -280,8 +282,8 @@
     assert_eq!(begin(&mut memory, 5, "a", 10_000, true), expected);
 }
 
-/// An order ran at a keeper that was lost. Its caller sends it again, with
-/// little time: "its deadline passed, not run" would be a lie.
+/// An order ran at a keeper that was lost, and its caller resends it with
+/// little time left. "Deadline passed, not run" would be false.
 #[test]
 fn a_late_resend_to_a_young_memory_is_not_called_not_run() {
     let mut memory = memory_since(1_000);
@@ -289,9 +291,9 @@
     assert_eq!(verdict, AttemptVerdict::TooYoung);
 }
 
-/// A caller says with each try how long it waits, so a resend has a later
-/// deadline than its first try: a far deadline does not prove that the
-/// first one came after the memory began.
+/// A caller sends its remaining time with each attempt, so a resend has a
+/// later deadline than the first attempt. A distant deadline does not prove
+/// that the first one came after the memory began.
 #[test]
 fn a_renewed_deadline_proves_nothing() {
     // The order ran at 0, at another keeper, with a deadline of 30,000.
--- a/goldcrestramp-decisions/tests/attempt_properties.rs
+++ b/goldcrestramp-decisions/tests/attempt_properties.rs
@@ -1,10 +1,10 @@
 //! No order starts twice, whatever happens to its keepers.
 //!
 //! A caller sends orders again and again; the slice moves to another keeper
-//! with its memory, or the keeper is lost and the next one knows nothing.
-//! An oracle knows which orders may have run. A resend may have a deadline
-//! of its own, as callers say how long they wait with each try; it comes
-//! within the time for which an id is promised to be remembered.
+//! with its memory, or the keeper is lost and the next one knows nothing. The
+//! model knows which orders may have run. A resend may have a deadline of its
+//! own, since callers send their remaining time with each attempt. It comes
+//! within the time for which an id has to be remembered.
 
 use std::sync::Arc;
 
@@ -21,12 +21,12 @@
     test_runner::{Config, RngAlgorithm, RngSeed},
 };
 
-const LONGEST: TimeSpan = TimeSpan::from_millis(1_000);
+const MAX_TIMEOUT: TimeSpan = TimeSpan::from_millis(1_000);
 const IDS: usize = 6;
 
 #[derive(Clone, Debug)]
 enum Step {
-    Send { id: usize, left: u64, renewed: bool },
+    Send { id: usize, remaining: u64, renewed: bool },
     Finish { id: usize, ran: bool },
     Move,
     Lose,
@@ -36,7 +36,7 @@
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
         6 => (0..IDS, 0..=1_000_u64, any::<bool>())
-            .prop_map(|(id, left, renewed)| Step::Send { id, left, renewed }),
+            .prop_map(|(id, remaining, renewed)| Step::Send { id, remaining, renewed }),
         3 => (0..IDS, any::<bool>())
             .prop_map(|(id, ran)| Step::Finish { id, ran }),
         1 => Just(Step::Move),
@@ -56,36 +56,39 @@
 }
 
 fn attempt(id: usize) -> AttemptId {
-    let caller = CallerName::new("tienda").expect("a valid name");
+    let caller = CallerName::new("tienda").expect("name is valid");
     let request = RequestName::new(&format!("order-{id}"));
-    AttemptId { caller, request: request.expect("a valid name") }
+    AttemptId { caller, request: request.expect("name is valid") }
 }
 
 fn slice() -> SliceIndex {
-    SliceIndex::new(3).expect("a small number")
+    SliceIndex::new(3).expect("index is in range")
 }
 
 fn memory() -> AttemptMemory {
-    let settings =
-        MemorySettings { id_limit: IDS, answer_bytes: 100, longest: LONGEST };
+    let settings = MemorySettings {
+        id_limit: IDS,
+        max_stored_bytes: 100,
+        max_timeout: MAX_TIMEOUT,
+    };
     AttemptMemory::open(settings)
 }
 
-struct World {
+struct Harness {
     memory: AttemptMemory,
     now: LocalTime,
     /// The deadline with which each order was first sent.
     deadlines: FastMap<usize, LocalTime>,
     running: FastSet<usize>,
-    /// What the oracle knows: these may have run.
+    /// The orders that may have run.
     may_have_run: FastSet<usize>,
 }
 
-impl World {
+impl Harness {
     fn new() -> Self {
         let now = LocalTime::from_micros(10_000_000);
         let mut memory = memory();
-        memory.begin_slice(now, slice());
+        memory.cover_slice(now, slice());
         Self {
             memory,
             now,
@@ -97,22 +100,29 @@
 
     fn apply(&mut self, step: &Step) {
         match *step {
-            Step::Send { id, left, renewed } => self.send(id, left, renewed),
+            Step::Send { id, remaining, renewed } => {
+                self.send(id, remaining, renewed)
+            }
             Step::Finish { id, ran } => self.finish(id, ran),
             Step::Move => {
                 let next = Arc::from("next");
-                let told =
-                    self.memory.untold(self.now, |_| Some(&next), 10_000);
+                let pending = self.memory.pending_records(
+                    self.now,
+                    |_| Some(&next),
+                    10_000,
+                );
                 self.memory = memory();
-                self.memory.begin_slice(self.now, slice());
-                for record in told.into_iter().flat_map(|(_, told)| told) {
-                    self.memory.take(self.now, record);
+                self.memory.cover_slice(self.now, slice());
+                for record in
+                    pending.into_iter().flat_map(|(_, pending)| pending)
+                {
+                    self.memory.import(self.now, record);
                 }
                 self.running.clear();
             }
             Step::Lose => {
                 self.memory = memory();
-                self.memory.begin_slice(self.now, slice());
+                self.memory.cover_slice(self.now, slice());
                 self.running.clear();
             }
             Step::Pass { millis } => {
@@ -121,13 +131,13 @@
         }
     }
 
-    /// A first try, or a resend with the same deadline or a new one.
-    fn send(&mut self, id: usize, left: u64, renewed: bool) {
+    /// A first attempt, or a resend with the same deadline or a new one.
+    fn send(&mut self, id: usize, remaining: u64, renewed: bool) {
         let is_resend = self.deadlines.contains_key(&id);
-        let deadline = self.now + TimeSpan::from_millis(left);
+        let deadline = self.now + TimeSpan::from_millis(remaining);
         let first = *self.deadlines.entry(id).or_insert(deadline);
-        if self.now > first + LONGEST {
-            // Later than any keeper has to remember it.
+        if self.now > first + MAX_TIMEOUT {
+            // No keeper has to remember it any more.
             return;
         }
         let deadline = if renewed { deadline } else { first };
@@ -178,9 +188,9 @@
 
     #[test]
     fn no_order_may_run_twice(steps in steps()) {
-        let mut world = World::new();
+        let mut harness = Harness::new();
         for step in &steps {
-            world.apply(step);
+            harness.apply(step);
         }
     }
 }
--- a/goldcrestramp-decisions/tests/limit.rs
+++ b/goldcrestramp-decisions/tests/limit.rs
@@ -1,4 +1,4 @@
-//! What a keeper sends to servers that are not well.
+//! The concurrency limit of servers that fail, refuse or are slow.
 
 use goldcrestramp_decisions::{
     LimitVerdict, OwnerAdvice, ServerLimit, ServerSignal,
@@ -13,14 +13,14 @@
     ServerSignal::Answered(RequestClass::Lookup, TimeSpan::from_millis(millis))
 }
 
-/// Sends one request at `now` that ends with `sign` after `millis`.
-fn run(limit: &mut ServerLimit, now: u64, millis: u64, sign: ServerSignal) {
+/// Sends one request at `now` that ends with `signal` after `millis`.
+fn run(limit: &mut ServerLimit, now: u64, millis: u64, signal: ServerSignal) {
     limit.started(at(now), RequestClass::Lookup);
     limit.replied(at(now + millis));
-    limit.finished(at(now + millis), sign, 0);
+    limit.finished(at(now + millis), signal, 0);
 }
 
-/// A server of four slots that has answered for a second.
+/// A server of four slots that has responded for a second.
 fn warm() -> ServerLimit {
     let mut limit = ServerLimit::open(at(0), 4);
     for turn in 0..200 {
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_cold_server_is_given_more_by_degrees() {
+fn the_limit_of_a_cold_server_grows_step_by_step() {
     let mut limit = ServerLimit::open(at(0), 4);
     let mut seen = Vec::new();
     for turn in 0..14 {
@@ -41,11 +41,11 @@
     assert_eq!(seen, slots.map(LimitVerdict::Allowed));
 }
 
-/// All VMs have lost power and start again among servers that have been at
-/// work all the while. Given one request at a time, such a server would be
-/// idle but for one slot while callers are refused.
+/// All VMs lost power and start again while the servers kept running. Limited
+/// to one request at a time, such a server would idle on its other slots while
+/// callers are refused.
 #[test]
-fn a_server_that_is_warm_is_given_its_slots_at_once() {
+fn a_warm_server_may_use_all_slots_at_once() {
     let limit = ServerLimit::warm(at(0), 4);
 
     assert_eq!(limit.verdict(at(0)), LimitVerdict::Allowed(4));
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_shedding_server_is_given_half_once_a_burst() {
+fn the_limit_of_an_overloaded_server_is_halved_once_per_burst() {
     let mut limit = warm();
     for _ in 0..4 {
         limit.started(at(2_000), RequestClass::Lookup);
@@ -75,12 +75,12 @@
     assert_eq!(limit.verdict(at(2_051)), LimitVerdict::Allowed(1));
 }
 
-/// A server turns a part of its requests away whatever its load; each key
-/// has this server alone. Held back after a few refusals in a row, it is
-/// idle while its callers are refused here: of a hundred requests a second
-/// nearly all are to reach it.
+/// A server refuses a part of its requests whatever its load, and each key has
+/// this server only. Suspended after a few consecutive refusals, it would idle
+/// while its callers are refused. Of 100 requests a second, nearly all must
+/// reach it.
 #[test]
-fn a_server_that_sheds_at_random_is_not_held_back() {
+fn a_server_that_refuses_at_random_is_not_suspended() {
     let mut limit = warm();
     let mut random = 12_345_u32;
     let mut sent = 0;
@@ -92,17 +92,17 @@
         }
         sent += 1;
         random = random.wrapping_mul(1_664_525).wrapping_add(1_013_904_223);
-        let sheds = random >> 16 < 0x8CCC;
-        let sign = if sheds { ServerSignal::Refused } else { answered(5) };
-        run(&mut limit, now, 5, sign);
+        let refuses = random >> 16 < 0x8CCC;
+        let signal = if refuses { ServerSignal::Refused } else { answered(5) };
+        run(&mut limit, now, 5, signal);
     }
 
     assert!(sent > 950, "{sent} of 1000 were sent");
 }
 
-/// A server that refuses everything is asked now and then only.
+/// A server that refuses everything is only probed.
 #[test]
-fn a_server_that_refuses_everything_is_held() {
+fn a_server_that_refuses_everything_is_suspended() {
     let mut limit = warm();
     let mut sent = 0;
     for turn in 0..1_000 {
@@ -116,16 +116,16 @@
     assert!(sent < 50, "{sent} of 1000 were sent");
 }
 
-/// Every request sent to a frozen server is held until it wakes. The keeper
-/// sends none until a probe is due; each failed probe doubles the time.
+/// Every request sent to a frozen server is stuck until it wakes. The keeper
+/// sends none until a probe is due, and each failed probe doubles the time.
 #[test]
-fn a_frozen_server_is_held_and_probed() {
+fn a_frozen_server_is_suspended_and_probed() {
     let mut limit = warm();
     for _ in 0..4 {
         limit.started(at(2_000), RequestClass::Lookup);
     }
-    let silent = limit.wake_at(at(2_000)).expect("requests run");
-    assert_eq!(silent, at(2_300), "300 ms is the least silence");
+    let silent = limit.wake_at(at(2_000)).expect("requests are running");
+    assert_eq!(silent, at(2_300), "300 ms is the minimum silence");
     limit.tick(silent, 0);
     assert_eq!(limit.verdict(silent), LimitVerdict::Suspended(at(2_400)));
     assert_eq!(limit.verdict(at(2_400)), LimitVerdict::Allowed(1));
@@ -136,11 +136,10 @@
     assert_eq!(limit.advice(at(3_300)), OwnerAdvice::MoveAway);
 }
 
-/// A server is lost, and its slices have gone to others: nothing waits for
-/// it any more. Its hold ends, and there is nothing to wake up for until
-/// a request comes.
+/// A server is lost and its slices have moved, so nothing waits for it. Once
+/// its suspension has ended, there must be no wake-up until a request arrives.
 #[test]
-fn an_ended_hold_wakes_nobody() {
+fn an_ended_suspension_causes_no_wake_up() {
     let mut limit = warm();
     for _ in 0..3 {
         run(&mut limit, 2_000, 50, ServerSignal::Unreachable);
@@ -152,10 +151,10 @@
     assert_eq!(limit.wake_at(until), None);
 }
 
-/// A phone stops reading a download that has begun: the server is not taken
-/// for frozen.
+/// A phone stops reading a download that has begun. The server must not be
+/// taken for frozen.
 #[test]
-fn an_answer_that_has_begun_is_no_silence() {
+fn a_response_that_has_begun_is_not_silence() {
     let mut limit = warm();
     limit.started(at(2_000), RequestClass::Long);
     assert_eq!(limit.wake_at(at(2_000)), Some(at(12_000)));
@@ -164,7 +163,7 @@
 }
 
 #[test]
-fn a_server_that_is_back_is_trusted_by_degrees() {
+fn the_limit_of_a_recovered_server_grows_step_by_step() {
     let mut limit = warm();
     for turn in 0..3 {
         run(&mut limit, 2_000 + turn, 1, ServerSignal::Unreachable);
@@ -188,7 +187,7 @@
 }
 
 #[test]
-fn a_new_run_of_a_server_is_cold() {
+fn a_new_instance_of_a_server_is_cold() {
     let mut limit = warm();
     limit.restarted(at(2_000));
     assert_eq!(limit.verdict(at(2_000)), LimitVerdict::Allowed(1));
--- a/goldcrestramp-decisions/tests/link.rs
+++ b/goldcrestramp-decisions/tests/link.rs
@@ -1,4 +1,4 @@
-//! Long answers and short ones on one short link.
+//! Long and short responses on one slow link.
 
 use goldcrestramp_decisions::{
     LINK_CHUNK, LinkFlow, LinkSettings, LinkShare, LinkVolume,
@@ -20,16 +20,16 @@
 }
 
 fn caller(name: &str) -> CallerName {
-    CallerName::new(name).expect("a valid name")
+    CallerName::new(name).expect("name is valid")
 }
 
 fn open(link: &mut LinkShare, name: &str) -> LinkFlow {
     let flow = link.open_flow(at(0), &caller(name), 0, at(1_000));
-    flow.expect("the link has room")
+    flow.expect("link has room")
 }
 
-/// Lets flows send as they may for a second, with a short answer of
-/// `short` bytes each millisecond; tells the bytes of each flow.
+/// Lets flows send as they may for a second, with a short response of `short`
+/// bytes each millisecond; returns the bytes of each flow.
 fn run_second(
     link: &mut LinkShare,
     flows: &[LinkFlow],
@@ -38,7 +38,7 @@
     let mut sent = FastMap::default();
     for millis in 0..1_000 {
         if short > 0 {
-            link.short_sent(at(millis), short);
+            link.record_short(at(millis), short);
         }
         for flow in flows {
             link.offer_chunk(*flow, LINK_CHUNK);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_long_answer_takes_the_whole_link_when_alone() {
+fn a_single_long_response_uses_the_full_link() {
     let mut link = link();
     let flow = open(&mut link, "a");
     let sent = run_second(&mut link, &[flow], 0)[&flow];
@@ -63,17 +63,17 @@
 }
 
 #[test]
-fn long_answers_yield_to_short_ones() {
+fn long_responses_yield_to_short_ones() {
     let cases = [(10, 75), (1_875, 50), (3_000, 20), (3_750, 0)];
     for (short, percent) in cases {
         let mut link = link();
         let flow = open(&mut link, "a");
         let sent = run_second(&mut link, &[flow], short);
         let sent = sent.get(&flow).copied().unwrap_or(0);
-        let most = RATE * percent / 100 + 2 * LINK_CHUNK;
-        assert!(sent <= most, "{short} short bytes a ms: {sent}");
-        let least = most.saturating_sub(RATE * 15 / 100 + 3 * LINK_CHUNK);
-        assert!(sent >= least, "{short} short bytes a ms: {sent}");
+        let maximum = RATE * percent / 100 + 2 * LINK_CHUNK;
+        assert!(sent <= maximum, "{short} short bytes a ms: {sent}");
+        let minimum = maximum.saturating_sub(RATE * 15 / 100 + 3 * LINK_CHUNK);
+        assert!(sent >= minimum, "{short} short bytes a ms: {sent}");
     }
 }
 
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn what_the_link_cannot_carry_is_refused_before_it_starts() {
+fn a_response_too_large_for_the_link_is_refused_before_it_starts() {
     let mut link = link();
     let late = link.open_flow(at(0), &caller("a"), 2 * RATE, at(1_000));
     assert_eq!(late, Err(NotRunReason::LinkFull));
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_flow_that_closed_leaves_its_part_to_the_rest() {
+fn a_closed_flow_leaves_its_part_to_the_others() {
     let mut link = link();
     let flows = ["a", "b"].map(|name| open(&mut link, name));
     link.offer_chunk(flows[0], LINK_CHUNK);
@@ -112,8 +112,8 @@
 }
 
 #[test]
-fn every_byte_is_counted_also_beyond_the_table() {
-    let service = ServiceName::new("export").expect("a valid name");
+fn every_byte_is_counted_even_if_the_table_is_full() {
+    let service = ServiceName::new("export").expect("name is valid");
     let mut volume = LinkVolume::default();
     for number in 0..5_000 {
         volume.add(&service, &caller(&format!("c{number}")), 10);
--- a/goldcrestramp-decisions/tests/load.rs
+++ b/goldcrestramp-decisions/tests/load.rs
@@ -1,4 +1,4 @@
-//! What is reported of a server's slots, and who may hold them.
+//! The reported load of a server, and stalled readers.
 
 use goldcrestramp_decisions::{
     REPORTED_SLICES, ServerLoad, is_reader_stalled,
@@ -6,7 +6,7 @@
 use goldcrestramp_types::{LocalTime, SliceIndex, TimeSpan};
 
 fn slice(number: u32) -> SliceIndex {
-    SliceIndex::new(number).expect("a small number")
+    SliceIndex::new(number).expect("index is in range")
 }
 
 #[test]
@@ -17,29 +17,29 @@
         load.record(slice(number), span);
         load.record(slice(3), TimeSpan::from_micros(2));
     }
-    let reading = load.take(LocalTime::from_micros(0));
-    assert_eq!(reading.busy, TimeSpan::from_micros(499_500 + 2_000));
-    assert_eq!(reading.slices.len(), REPORTED_SLICES);
+    let report = load.take_report(LocalTime::from_micros(0));
+    assert_eq!(report.busy, TimeSpan::from_micros(499_500 + 2_000));
+    assert_eq!(report.slices.len(), REPORTED_SLICES);
     let first = (slice(3), TimeSpan::from_micros(2_003));
-    assert_eq!(reading.slices[0], first);
+    assert_eq!(report.slices[0], first);
     let second = (slice(999), TimeSpan::from_micros(999));
-    assert_eq!(reading.slices[1], second);
+    assert_eq!(report.slices[1], second);
 }
 
-/// A frozen server ends no request, so by its slot time it would look idle.
-/// It is reported as full, until it has not been seen frozen for a while.
+/// A frozen server ends no request, so by its slot time it would look idle. It
+/// is reported as full until it has not been seen frozen for a while.
 #[test]
 fn a_slow_or_silent_server_is_reported_as_full() {
     let at = |millis: u64| LocalTime::from_micros(millis * 1_000);
     let mut load = ServerLoad::default();
     load.record(slice(3), TimeSpan::from_millis(1));
-    load.take(at(1_000));
+    load.take_report(at(1_000));
     load.set_full(at(1_100), 4);
     load.record(slice(3), TimeSpan::from_millis(1));
     load.record(slice(4), TimeSpan::from_millis(3));
-    let full = load.take(at(1_300));
-    let still = load.take(at(11_100));
-    let later = load.take(at(11_400));
+    let full = load.take_report(at(1_300));
+    let still = load.take_report(at(11_100));
+    let later = load.take_report(at(11_400));
     assert_eq!(full.busy, TimeSpan::from_millis(4 * 300));
     let parts = [(slice(4), 900), (slice(3), 300)];
     let parts = parts.map(|(s, millis)| (s, TimeSpan::from_millis(millis)));
@@ -59,7 +59,7 @@
     for (millis, others_wait, expected) in cases {
         let since = LocalTime::from_micros(1);
         let now = since + TimeSpan::from_millis(millis);
-        let lost = is_reader_stalled(now, since, others_wait);
-        assert_eq!(lost, expected, "{millis} ms, others {others_wait}");
+        let stalled = is_reader_stalled(now, since, others_wait);
+        assert_eq!(stalled, expected, "{millis} ms, others {others_wait}");
     }
 }
--- a/goldcrestramp-decisions/tests/queue.rs
+++ b/goldcrestramp-decisions/tests/queue.rs
@@ -24,7 +24,7 @@
     class: RequestClass,
     deadline: LocalTime,
 ) -> QueuedRequest {
-    let caller = CallerName::new(caller).expect("a valid name");
+    let caller = CallerName::new(caller).expect("name is valid");
     QueuedRequest { caller, weight: 1, key_hash, class, deadline }
 }
 
@@ -53,7 +53,7 @@
     request: QueuedRequest,
 ) -> QueueRefusal {
     match queue.offer(now, request, 0) {
-        OfferOutcome::Waiting(_) => panic!("was admitted"),
+        OfferOutcome::Waiting(_) => panic!("request was admitted"),
         OfferOutcome::Refused(refusal) => refusal,
     }
 }
@@ -66,7 +66,7 @@
     queue.finished(now, key, CompletionOutcome::Answered);
 }
 
-/// Runs requests of 5 ms one after the other, so that the queue knows.
+/// A queue that has measured requests of 5 ms, one after the other.
 fn measured(slots: usize, waiting_limit: usize) -> ServerQueue {
     let mut queue = queue(slots, waiting_limit);
     for turn in 0..20 {
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_request_that_cannot_be_met_is_refused_on_arrival() {
+fn a_request_that_cannot_end_in_time_is_refused_on_arrival() {
     let mut queue = measured(1, 1_000);
     let now = at(100);
     for _ in 0..20 {
@@ -100,7 +100,7 @@
     poll_all(&mut queue, now);
     let waiting = admit(&mut queue, now, lookup("a", at(150)));
     assert_eq!(poll_all(&mut queue, now), [], "one slot");
-    let wake = queue.wake_at().expect("something waits");
+    let wake = queue.wake_at().expect("a request waits");
     assert!(wake <= at(145), "5 ms are needed: {wake:?}");
     let events = poll_all(&mut queue, wake);
     assert!(matches!(events[..], [QueueEvent::GiveUp(key, refusal)]
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn the_jitter_spreads_the_return_over_twice_the_wait() {
+fn jitter_spreads_retries_over_twice_the_wait() {
     let settings = QueueSettings { slots: 1, waiting_limit: 10 };
     let mut queue = ServerQueue::open(at(0), settings);
     let spans: Vec<_> = [0, 5_000, 10_000]
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_full_queue_pushes_out_the_caller_with_the_most() {
+fn a_full_queue_evicts_from_the_caller_with_the_most_waiting() {
     let mut queue = queue(1, 4);
     let running = admit(&mut queue, at(0), lookup("hot", at(9_000)));
     poll_all(&mut queue, at(0));
@@ -144,17 +144,17 @@
 }
 
 #[test]
-fn a_hot_caller_gets_its_share_and_what_is_idle() {
+fn a_hot_caller_gets_its_share_and_idle_slots() {
     let mut queue = queue(1, 1_000);
     let mut owner = FastMap::default();
     let mut served: FastMap<&str, u32> = FastMap::default();
     for turn in 0..400_u64 {
         let now = at(turn * 5);
-        let rare_is_there = turn >= 200;
+        let rare_is_active = turn >= 200;
         for _ in 0..10 {
             offer_as(&mut queue, now, "hot", &mut owner);
         }
-        if rare_is_there {
+        if rare_is_active {
             offer_as(&mut queue, now, "rare", &mut owner);
         }
         for event in poll_all(&mut queue, now) {
@@ -208,14 +208,14 @@
 }
 
 #[test]
-fn long_answers_leave_a_slot_to_short_ones() {
-    for (slots, held) in [(1, 1), (2, 1), (4, 3), (8, 6)] {
+fn long_responses_leave_a_slot_to_short_ones() {
+    for (slots, used) in [(1, 1), (2, 1), (4, 3), (8, 6)] {
         let mut queue = queue(slots, 100);
         for _ in 0..10 {
             admit(&mut queue, at(0), long("a"));
         }
         let started = poll_all(&mut queue, at(0)).len();
-        assert_eq!(started, held, "of {slots} slots");
+        assert_eq!(started, used, "of {slots} slots");
     }
 }
 
@@ -225,13 +225,13 @@
     admit(&mut queue, at(0), long("a"));
     admit(&mut queue, at(0), long("a"));
     assert_eq!(poll_all(&mut queue, at(0)).len(), 1);
-    let wake = queue.wake_at().expect("the reserve will be lent");
+    let wake = queue.wake_at().expect("reserve will be lent");
     assert_eq!(wake, at(5_000), "the first estimate of a long answer");
     assert_eq!(poll_all(&mut queue, wake).len(), 1);
 }
 
 #[test]
-fn a_request_that_the_server_refused_frees_its_slot_and_teaches_nothing() {
+fn a_refused_request_frees_its_slot_and_changes_no_estimate() {
     let mut queue = measured(1, 100);
     let before = queue.service_time(at(100), RequestClass::Lookup);
     let key = admit(&mut queue, at(100), lookup("a", at(1_000)));
@@ -241,9 +241,9 @@
     assert_eq!((before, queue.running()), (after, 0));
 }
 
-/// The server was slow for a while and is fast again. If its estimate
-/// stayed, no deadline could be met, nothing would be sent, and nothing
-/// would be measured: callers would be refused for ever.
+/// The server was slow for a while and is fast again. If its estimate stayed,
+/// no deadline could be met, nothing would be sent or measured, and callers
+/// would be refused forever.
 #[test]
 fn a_server_that_was_slow_is_tried_again() {
     let mut queue = measured(1, 100);
@@ -258,7 +258,7 @@
 }
 
 #[test]
-fn cancelling_tells_whether_the_request_may_have_run() {
+fn cancelling_reports_whether_the_request_may_have_run() {
     let mut queue = queue(1, 100);
     let first = admit(&mut queue, at(0), lookup("a", at(500)));
     let second = admit(&mut queue, at(0), lookup("a", at(600)));
@@ -275,7 +275,7 @@
 }
 
 #[test]
-fn draining_hands_back_what_waits_and_keeps_what_runs() {
+fn draining_returns_what_waits_and_keeps_what_runs() {
     let mut queue = queue(1, 100);
     let running = admit(&mut queue, at(0), lookup("a", at(500)));
     poll_all(&mut queue, at(0));
@@ -286,10 +286,10 @@
     assert_eq!(queue.running(), 0);
 }
 
-/// A server is frozen and held for 100 ms. What cannot wait that long is
-/// told so at once, and when to come back; what can, waits for the probe.
+/// A server is frozen and suspended for 100 ms. What cannot wait that long is
+/// refused at once with a retry time; the rest waits for the probe.
 #[test]
-fn a_held_server_is_sent_nothing_before_its_probe() {
+fn a_suspended_server_is_sent_nothing_before_its_probe() {
     let mut queue = measured(2, 100);
     queue.set_limit(LimitVerdict::Suspended(at(300)));
     let refusal = refuse(&mut queue, at(200), lookup("a", at(290)));
