--- a/goldcrestramp-decisions/tests/queue_properties.rs
+++ b/goldcrestramp-decisions/tests/queue_properties.rs
@@ -1,4 +1,4 @@
-//! What holds of the queue after any sequence of events.
+//! Invariants of the queue after any sequence of events.
 
 use goldcrestramp_decisions::{
     CompletionOutcome, OfferOutcome, QueueEvent, QueueSettings, QueuedRequest,
@@ -17,14 +17,14 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Offer { caller: u8, key: u64, class: usize, left: u64 },
+    Offer { caller: u8, key: u64, class: usize, remaining: u64 },
     Finish { position: usize, outcome: CompletionOutcome },
     Cancel { position: usize },
     Pass { micros: u64 },
     Drain,
 }
 
-/// The same cases in every run, so that the verdict is the same.
+/// A fixed seed, so that every run has the same cases and result.
 fn fixed_seed() -> Config {
     Config {
         failure_persistence: None,
@@ -42,8 +42,8 @@
     ];
     let step = prop_oneof![
         8 => (0..6_u8, 0..4_u64, 0..3_usize, 0..200_000_u64).prop_map(
-            |(caller, key, class, left)| Step::Offer {
-                caller, key, class, left
+            |(caller, key, class, remaining)| Step::Offer {
+                caller, key, class, remaining
             }
         ),
         4 => (0..SLOTS, outcome).prop_map(
@@ -58,8 +58,8 @@
     proptest::collection::vec(step, 0..300)
 }
 
-/// The queue beside a plain account of what it was told and answered.
-struct Account {
+/// The queue, with a simple model of its requests.
+struct Model {
     queue: ServerQueue,
     now: LocalTime,
     waiting: Vec<RequestKey>,
@@ -67,7 +67,7 @@
     ended: FastSet<RequestKey>,
 }
 
-impl Account {
+impl Model {
     fn new() -> Self {
         let settings =
             QueueSettings { slots: SLOTS, waiting_limit: WAITING_LIMIT };
@@ -83,8 +83,8 @@
 
     fn apply(&mut self, step: &Step) {
         match *step {
-            Step::Offer { caller, key, class, left } => {
-                self.offer(caller, key, class, left);
+            Step::Offer { caller, key, class, remaining } => {
+                self.offer(caller, key, class, remaining);
             }
             Step::Finish { position, outcome } => {
                 self.finish(position, outcome);
@@ -112,16 +112,16 @@
         self.check();
     }
 
-    fn offer(&mut self, caller: u8, key: u64, class: usize, left: u64) {
+    fn offer(&mut self, caller: u8, key: u64, class: usize, remaining: u64) {
         let caller = CallerName::new(&format!("c{caller}"));
         let request = QueuedRequest {
-            caller: caller.expect("a valid name"),
+            caller: caller.expect("name is valid"),
             weight: 1,
             key_hash: key,
             class: RequestClass::ALL[class],
-            deadline: self.now + TimeSpan::from_micros(left),
+            deadline: self.now + TimeSpan::from_micros(remaining),
         };
-        let outcome = self.queue.offer(self.now, request, left);
+        let outcome = self.queue.offer(self.now, request, remaining);
         if let OfferOutcome::Waiting(key) = outcome {
             self.waiting.push(key);
         }
@@ -138,8 +138,8 @@
     fn poll(&mut self) {
         while let Some(event) = self.queue.poll(self.now, 0) {
             let (QueueEvent::Start(key) | QueueEvent::GiveUp(key, _)) = event;
-            let place = self.waiting.iter().position(|k| *k == key);
-            self.waiting.swap_remove(place.expect("it waited"));
+            let index = self.waiting.iter().position(|k| *k == key);
+            self.waiting.swap_remove(index.expect("request waited"));
             match event {
                 QueueEvent::Start(_) => self.running.push(key),
                 QueueEvent::GiveUp(..) => self.end(key),
@@ -168,18 +168,18 @@
 proptest! {
     #![proptest_config(fixed_seed())]
 
-    /// Each request ends once; no slot idles while something may start;
-    /// the bounds hold; what cannot be met does not stay.
+    /// Each request ends once; no slot idles while something may start; the
+    /// bounds hold; what cannot be met does not stay.
     #[test]
-    fn the_account_is_right_after_any_steps(steps in steps()) {
-        let mut account = Account::new();
+    fn invariants_hold_after_any_steps(steps in steps()) {
+        let mut model = Model::new();
         for step in &steps {
-            account.apply(step);
+            model.apply(step);
         }
     }
 
-    /// Any number of callers and keys takes bounded memory, and nobody is
-    /// passed over: each flow that waits is served before any is twice.
+    /// Nothing starves, whatever the number of callers: each waiting flow is
+    /// served before any is served twice.
     #[test]
     fn no_flow_is_served_twice_before_another(flows in 2_u64..40) {
         let now = LocalTime::from_micros(0);
@@ -189,7 +189,7 @@
         for turn in 0..flows * 3 {
             let caller = CallerName::new(&format!("c{}", turn % flows));
             let outcome = queue.offer(now, QueuedRequest {
-                caller: caller.expect("a valid name"),
+                caller: caller.expect("name is valid"),
                 weight: 1,
                 key_hash: turn,
                 class: RequestClass::Lookup,
@@ -206,7 +206,7 @@
             served.push(callers[&key]);
         }
         prop_assert_eq!(served.len() as u64, flows * 3);
-        let round = usize::try_from(flows).expect("a small number");
+        let round = usize::try_from(flows).expect("index is in range");
         for round in served.chunks(round) {
             let distinct: FastSet<u64> = round.iter().copied().collect();
             prop_assert_eq!(distinct.len() as u64, flows);
@@ -224,7 +224,7 @@
         let outcome = queue.offer(
             now,
             QueuedRequest {
-                caller: caller.expect("a valid name"),
+                caller: caller.expect("name is valid"),
                 weight: 1,
                 key_hash: turn,
                 class: RequestClass::Lookup,
--- a/goldcrestramp-decisions/tests/retry.rs
+++ b/goldcrestramp-decisions/tests/retry.rs
@@ -1,7 +1,7 @@
-//! What follows an attempt that brought no answer.
+//! What follows an attempt without a response.
 
 use goldcrestramp_decisions::{
-    AttemptStart, FailedAttempt, REDIRECT_LIMIT, RefusalProof, RefusedBy,
+    AttemptStart, FailedAttempt, MAX_REDIRECTS, RefusalProof, RefusedBy,
     RetryDecision, RetryPolicy, TransitEstimate, timeout_to_forward,
 };
 use goldcrestramp_types::{
@@ -16,8 +16,8 @@
 }
 
 fn names() -> (CallerName, ServiceName) {
-    let caller = CallerName::new("shop-17").expect("a valid name");
-    (caller, ServiceName::new("stock").expect("a valid name"))
+    let caller = CallerName::new("shop-17").expect("name is valid");
+    (caller, ServiceName::new("stock").expect("name is valid"))
 }
 
 fn failed(names: &(CallerName, ServiceName)) -> FailedAttempt<'_> {
@@ -31,7 +31,7 @@
         redirects: 0,
         retries: 0,
         deadline: at(1_000),
-        usual: TimeSpan::from_millis(5),
+        typical: TimeSpan::from_millis(5),
     }
 }
 
@@ -39,7 +39,7 @@
 fn outcome_and_effect_decide() {
     use AttemptStart::{MayHaveRun, NotStarted};
     use RequestEffect::{Idempotent, NonIdempotent};
-    let again = RetryDecision::Again(at(0), RetryReason::ServerRefused);
+    let again = RetryDecision::Retry(at(0), RetryReason::ServerRefused);
     let cases = [
         (Idempotent, NotStarted, again),
         (Idempotent, MayHaveRun, again),
@@ -65,18 +65,18 @@
 }
 
 #[test]
-fn the_wait_lies_in_a_window_that_doubles() {
+fn the_delay_is_within_a_window_that_doubles() {
     let names = names();
     let mut policy = RetryPolicy::new();
     for _ in 0..100 {
-        policy.attempted(&names.0, &names.1);
+        policy.record_attempt(&names.0, &names.1);
     }
     for (retries, window) in [(0, 10_000), (1, 20_000)] {
         let attempt = FailedAttempt { retries, ..failed(&names) };
         let decision = policy.decide(at(0), &attempt, window);
         let latest = LocalTime::from_micros(window);
         let reason = RetryReason::ServerRefused;
-        assert_eq!(decision, RetryDecision::Again(latest, reason));
+        assert_eq!(decision, RetryDecision::Retry(latest, reason));
     }
     let attempt = FailedAttempt { retries: 2, ..failed(&names) };
     let decision = policy.decide(at(0), &attempt, 0);
@@ -86,46 +86,46 @@
 /// A server fails for a while, and each of 10,000 requests fails with it.
 /// Without a budget each would be sent three times.
 #[test]
-fn a_failing_server_draws_a_tenth_more_at_most() {
+fn retries_add_at_most_a_tenth_to_the_load() {
     let names = names();
     let mut policy = RetryPolicy::new();
     let mut retries = 0;
     for _ in 0..10_000 {
-        policy.attempted(&names.0, &names.1);
+        policy.record_attempt(&names.0, &names.1);
         let decision = policy.decide(at(0), &failed(&names), 0);
-        retries += u32::from(matches!(decision, RetryDecision::Again(..)));
+        retries += u32::from(matches!(decision, RetryDecision::Retry(..)));
     }
     assert!((990..=1_001).contains(&retries), "{retries} retries");
 }
 
-/// Many callers with a retry each would still be a storm together.
+/// Many callers with one retry each would still cause a retry storm together.
 #[test]
-fn the_services_budget_bounds_many_callers() {
+fn the_service_budget_limits_many_callers() {
     let mut policy = RetryPolicy::new();
     let mut retries = 0;
     for number in 0..10_000 {
         let caller = CallerName::new(&format!("c{number}"));
-        let names = (caller.expect("a valid name"), names().1);
-        policy.attempted(&names.0, &names.1);
+        let names = (caller.expect("name is valid"), names().1);
+        policy.record_attempt(&names.0, &names.1);
         let decision = policy.decide(at(0), &failed(&names), 0);
-        retries += u32::from(matches!(decision, RetryDecision::Again(..)));
+        retries += u32::from(matches!(decision, RetryDecision::Retry(..)));
     }
     assert!((990..=1_001).contains(&retries), "{retries} retries");
 }
 
 #[test]
-fn redirects_take_no_budget_and_end() {
+fn redirects_take_no_budget_and_are_limited() {
     let names = names();
     let mut policy = RetryPolicy::new();
     let reason = RetryReason::Redirected;
-    for redirects in 0..REDIRECT_LIMIT {
+    for redirects in 0..MAX_REDIRECTS {
         let attempt = FailedAttempt { reason, redirects, ..failed(&names) };
         let decision = policy.decide(at(7), &attempt, 99);
-        assert_eq!(decision, RetryDecision::Again(at(7), reason));
+        assert_eq!(decision, RetryDecision::Retry(at(7), reason));
     }
     let attempt = FailedAttempt {
         reason,
-        redirects: REDIRECT_LIMIT,
+        redirects: MAX_REDIRECTS,
         refusal: NotRunReason::OwnerMoved,
         ..failed(&names)
     };
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_budget_that_is_used_up_is_told_truly() {
+fn an_exhausted_budget_is_reported_truthfully() {
     let names = names();
     let mut policy = RetryPolicy::new();
     policy.decide(at(0), &failed(&names), 0);
@@ -147,41 +147,41 @@
 }
 
 #[test]
-fn a_hop_takes_its_own_time_off_the_deadline() {
+fn forwarding_subtracts_the_transit_time() {
     let transit = TimeSpan::from_millis(12);
-    let left = |now| timeout_to_forward(at(now), at(100), transit);
-    assert_eq!(left(50), Some(TimeSpan::from_millis(38)));
-    assert_eq!(left(88), None);
-    assert_eq!(left(200), None);
+    let remaining = |now| timeout_to_forward(at(now), at(100), transit);
+    assert_eq!(remaining(50), Some(TimeSpan::from_millis(38)));
+    assert_eq!(remaining(88), None);
+    assert_eq!(remaining(200), None);
 }
 
-/// A way is believed after three trips. A wrong estimate would refuse just
-/// the requests that could correct it, so it is forgotten after a while.
+/// An estimate is used after three round trips. A wrong one would refuse the
+/// very requests that could correct it, so it expires after a while.
 #[test]
-fn a_way_is_learned_from_the_shortest_trips_and_forgotten() {
-    let trip = TimeSpan::from_millis;
+fn the_transit_estimate_follows_the_shortest_round_trips_and_expires() {
+    let millis = TimeSpan::from_millis;
     let mut transit = TransitEstimate::default();
-    transit.record(at(0), trip(400));
-    transit.record(at(1), trip(300));
+    transit.record(at(0), millis(400));
+    transit.record(at(1), millis(300));
     let early = transit.one_way(at(1));
-    transit.record(at(2), trip(24));
+    transit.record(at(2), millis(24));
     let known = transit.one_way(at(5_002));
     for _ in 0..64 {
-        transit.record(at(5_002), trip(200));
+        transit.record(at(5_002), millis(200));
     }
     let risen = transit.one_way(at(5_002));
     assert_eq!(early, TimeSpan::ZERO);
-    assert_eq!(known, trip(12));
-    assert!(risen > trip(50) && risen < trip(100), "{risen:?}");
+    assert_eq!(known, millis(12));
+    assert!(risen > millis(50) && risen < millis(100), "{risen:?}");
     assert_eq!(transit.one_way(at(10_003)), TimeSpan::ZERO);
-    transit.record(at(10_003), trip(24));
+    transit.record(at(10_003), millis(24));
     assert_eq!(transit.one_way(at(10_003)), TimeSpan::ZERO);
 }
 
-/// A request is refused after other tries of it. The refusal is passed on as
-/// "not run" only if whoever refused knows of all of them.
+/// A request is refused after other attempts. The refusal may be passed on as
+/// "not run" only if whoever refused it knows of all of them.
 #[test]
-fn a_refusal_denies_no_try_that_may_have_run() {
+fn a_refusal_does_not_hide_an_attempt_that_may_have_run() {
     use RefusedBy::{Gateway, Keeper};
     use RequestEffect::{Idempotent, NonIdempotent};
     use UnknownReason::{KeeperLost, ResendRefused};
@@ -199,7 +199,7 @@
         if let Some(reason) = earlier {
             proof.may_have_run(reason);
         }
-        let told = proof.judge(REFUSAL, by);
-        assert_eq!(told, expected, "{effect:?}, {is_resend}, {by:?}");
+        let verdict = proof.judge(REFUSAL, by);
+        assert_eq!(verdict, expected, "{effect:?}, {is_resend}, {by:?}");
     }
 }
--- a/goldcrestramp-node/src/gateway/retry.rs
+++ b/goldcrestramp-node/src/gateway/retry.rs
@@ -28,7 +28,7 @@
 impl RetryBook {
     /// Counts a request's first attempt.
     pub(crate) fn attempted(&self, request: &CallerRequest) {
-        self.lock().attempted(&request.caller, &request.service);
+        self.lock().record_attempt(&request.caller, &request.service);
     }
 
     /// Decides what follows an attempt that a server refused or broke off.
@@ -55,7 +55,7 @@
             redirects: 0,
             retries: failed.retries,
             deadline: request.deadline,
-            usual: USUAL_ATTEMPT,
+            typical: USUAL_ATTEMPT,
         };
         self.lock().decide(now, &attempt, rand::random())
     }
--- a/goldcrestramp-node/src/gateway/route.rs
+++ b/goldcrestramp-node/src/gateway/route.rs
@@ -201,7 +201,7 @@
         let effect = self.effect(request);
         let decision = self.retries.decide(now, request, effect, &failed);
         let time = match decision {
-            RetryDecision::Again(time, reason) => {
+            RetryDecision::Retry(time, reason) => {
                 self.context.metrics.count_retry(reason);
                 time.max(now + failed.wait)
             }
--- a/goldcrestramp-node/src/keeper/attempts.rs
+++ b/goldcrestramp-node/src/keeper/attempts.rs
@@ -97,7 +97,7 @@
         };
         let mut books = self.lock();
         let memory = memory(&mut books, kept);
-        memory.begin_slice(now, request.slice);
+        memory.cover_slice(now, request.slice);
         let arrival = AttemptArrival {
             id,
             slice: request.slice,
@@ -110,7 +110,7 @@
             // would take the outcome of the first.
             AttemptVerdict::Start => AttemptStep::Run(guard(Some(id.clone()))),
             AttemptVerdict::TooYoung => {
-                let since = memory.since(request.slice).unwrap_or(now);
+                let since = memory.covered_since(request.slice).unwrap_or(now);
                 AttemptStep::Look(since + NEWS_PATIENCE)
             }
             verdict => step(memory, id, verdict),
@@ -174,7 +174,8 @@
                 let target = routes.target(slice)?;
                 (target.keeper != *vm).then_some(&target.address)
             };
-            let untold = book.memory.untold(now, keeper_of, PARCEL_BYTES);
+            let untold =
+                book.memory.pending_records(now, keeper_of, PARCEL_BYTES);
             let (keeper, records) = untold?;
             let (service, server) = (book.service.clone(), server.clone());
             Some(MemoryParcel { service, server, keeper, records })
@@ -185,7 +186,7 @@
     pub(crate) fn told(&self, parcel: &MemoryParcel) {
         let mut books = self.lock();
         if let Some(book) = books.get_mut(&parcel.server) {
-            book.memory.told(&parcel.keeper, &parcel.records);
+            book.memory.mark_received(&parcel.keeper, &parcel.records);
         }
     }
 
@@ -196,7 +197,7 @@
         kept: &KeptServer,
         record: AttemptRecord,
     ) {
-        memory(&mut self.lock(), kept).take(now, record);
+        memory(&mut self.lock(), kept).import(now, record);
     }
 
     fn lock(&self) -> MutexGuard<'_, FastMap<ServerName, AttemptBook>> {
@@ -245,15 +246,15 @@
     let book = books.entry(server).or_insert_with(|| {
         let settings = MemorySettings {
             id_limit: ID_LIMIT,
-            answer_bytes: ANSWER_BYTES,
-            longest: ORDER_LONGEST,
+            max_stored_bytes: ANSWER_BYTES,
+            max_timeout: ORDER_LONGEST,
         };
         let service = kept.order.service.clone();
         AttemptBook { service, token, memory: AttemptMemory::open(settings) }
     });
     if book.token != token {
         book.token = token;
-        book.memory.begin_anew();
+        book.memory.reset_slices();
     }
     &mut book.memory
 }
--- a/goldcrestramp-node/src/keeper/handover.rs
+++ b/goldcrestramp-node/src/keeper/handover.rs
@@ -171,7 +171,7 @@
         caller: record.id.caller.to_string(),
         request: record.id.request.to_string(),
         slice: u32::from(record.slice.get()),
-        left_micros: record.left.as_micros(),
+        left_micros: record.remaining.as_micros(),
         server_address: record.server.to_string(),
         answer,
     }
@@ -193,7 +193,7 @@
     Some(AttemptRecord {
         id,
         slice: SliceIndex::new(order.slice)?,
-        left: TimeSpan::from_micros(order.left_micros),
+        remaining: TimeSpan::from_micros(order.left_micros),
         server: Arc::from(order.server_address),
         outcome,
     })
--- a/goldcrestramp-node/src/keeper/known.rs
+++ b/goldcrestramp-node/src/keeper/known.rs
@@ -90,10 +90,10 @@
         request: &'a ServerRequest,
     ) -> LostRequest<'a> {
         let now = self.context.now();
-        let age = sent.begun.map_or(TimeSpan::ZERO, |at| now.since(at));
+        let age = sent.arrived_at.map_or(TimeSpan::ZERO, |at| now.since(at));
         let left = request.deadline.since(now);
         let address = &sent.server;
-        let same_server = sent.begun.is_some();
+        let same_server = sent.arrived_at.is_some();
         LostRequest { address, request, age, left, same_server }
     }
 }
--- a/goldcrestramp-node/src/keeper/link.rs
+++ b/goldcrestramp-node/src/keeper/link.rs
@@ -162,7 +162,7 @@
         } else {
             let now = self.link.context.now();
             let bytes = data.len() as u64;
-            self.link.lock().share.short_sent(now, bytes);
+            self.link.lock().share.record_short(now, bytes);
             std::mem::take(data)
         };
         let bytes = piece.len() as u64;
--- a/goldcrestramp-node/src/load.rs
+++ b/goldcrestramp-node/src/load.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use goldcrestramp_decisions::{LoadReading, ServerLoad};
+use goldcrestramp_decisions::{LoadReport, ServerLoad};
 use goldcrestramp_types::{
     FastMap, LocalTime, ServerName, SliceIndex, TimeSpan,
 };
@@ -46,10 +46,10 @@
         &self,
         now: LocalTime,
         server: &ServerName,
-    ) -> LoadReading {
+    ) -> LoadReport {
         let mut loads = self.lock();
         let load = loads.get_mut(server);
-        load.map(|load| load.take(now)).unwrap_or_default()
+        load.map(|load| load.take_report(now)).unwrap_or_default()
     }
 
     fn lock(&self) -> MutexGuard<'_, FastMap<ServerName, ServerLoad>> {
