--- a/goldcrestramp-decisions/src/deadline.rs
+++ b/goldcrestramp-decisions/src/deadline.rs
@@ -21,7 +21,8 @@
 ///
 /// let deadline = LocalTime::from_micros(50_000);
 /// let now = LocalTime::from_micros(30_000);
-/// let remaining = timeout_to_forward(now, deadline, TimeSpan::from_millis(12));
+/// let remaining =
+///     timeout_to_forward(now, deadline, TimeSpan::from_millis(12));
 /// assert_eq!(remaining, Some(TimeSpan::from_millis(8)));
 /// ```
 #[must_use]
--- a/goldcrestramp-decisions/src/gateway.rs
+++ b/goldcrestramp-decisions/src/gateway.rs
@@ -27,7 +27,8 @@
 /// use goldcrestramp_types::{CallerName, NotRunReason};
 ///
 /// let (hot, rare) = (CallerName::new("hot"), CallerName::new("rare"));
-/// let (hot, rare) = (hot.expect("name is valid"), rare.expect("name is valid"));
+/// let (hot, rare) =
+///     (hot.expect("name is valid"), rare.expect("name is valid"));
 /// let mut limit = GatewayLimit::new(100);
 /// let admitted = (0..100).filter(|_| limit.enter(&hot).is_ok()).count();
 /// assert_eq!(admitted, 81);
--- a/goldcrestramp-decisions/src/queue/estimate.rs
+++ b/goldcrestramp-decisions/src/queue/estimate.rs
@@ -2,8 +2,8 @@
 
 use goldcrestramp_types::{LocalTime, RequestClass, TimeSpan};
 
-/// The mean moves by 1/8 of each difference, the deviation by 1/4. These are
-/// the gains of RFC 6298, which follow a tenfold change in about 20 samples.
+/// The mean moves by 1/8 of each difference, the deviation by 1/4: the
+/// gains of RFC 6298, which follow a tenfold change in about 20 samples.
 const MEAN_GAIN: u64 = 8;
 const DEVIATION_GAIN: u64 = 4;
 
@@ -90,9 +90,8 @@
 
     /// Halves `value` for each second without a sample.
     ///
-    /// For a class whose requests take longer than that, the period is a
-    /// multiple of its own slot time; otherwise every pause between two ends
-    /// would shrink it.
+    /// For a class with long requests, the period is 4 times its own slot
+    /// time; otherwise every pause between two ends would shrink it.
     fn decayed(&self, now: LocalTime, value: u64) -> u64 {
         let age = now.since(self.sampled_at).as_micros();
         let period = HALVING_PERIOD.as_micros().max(4 * self.mean);
--- a/goldcrestramp-decisions/src/queue/flow.rs
+++ b/goldcrestramp-decisions/src/queue/flow.rs
@@ -12,7 +12,7 @@
     pub(crate) struct FlowKey;
 }
 
-/// Virtual time of one microsecond of slot time at weight 1. The low bits keep
+/// Virtual time of one microsecond of slot time at weight 1; the low bits keep
 /// the division by a weight from rounding to zero.
 pub(crate) const TAG_SCALE: u64 = 1_024;
 
--- a/goldcrestramp-decisions/src/queue/mod.rs
+++ b/goldcrestramp-decisions/src/queue/mod.rs
@@ -89,7 +89,7 @@
 ///     deadline: LocalTime::from_micros(100_000),
 /// };
 /// let OfferOutcome::Waiting(key) = queue.offer(now, request, 7) else {
-///     panic!("an empty queue admits");
+///     panic!("an empty queue admits requests");
 /// };
 /// assert_eq!(queue.poll(now, 8), Some(QueueEvent::Start(key)));
 /// ```
--- a/goldcrestramp-decisions/tests/attempt_properties.rs
+++ b/goldcrestramp-decisions/tests/attempt_properties.rs
@@ -36,7 +36,9 @@
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
         6 => (0..IDS, 0..=1_000_u64, any::<bool>())
-            .prop_map(|(id, remaining, renewed)| Step::Send { id, remaining, renewed }),
+            .prop_map(|(id, remaining, renewed)| Step::Send {
+                id, remaining, renewed
+            }),
         3 => (0..IDS, any::<bool>())
             .prop_map(|(id, ran)| Step::Finish { id, ran }),
         1 => Just(Step::Move),
--- a/goldcrestramp-decisions/tests/limit.rs
+++ b/goldcrestramp-decisions/tests/limit.rs
@@ -145,7 +145,7 @@
         run(&mut limit, 2_000, 50, ServerSignal::Unreachable);
     }
     let LimitVerdict::Suspended(until) = limit.verdict(at(2_050)) else {
-        panic!("three failures hold it");
+        panic!("three failures suspend the server");
     };
     assert_eq!(limit.wake_at(at(2_050)), Some(until));
     assert_eq!(limit.wake_at(until), None);
--- a/goldcrestramp-decisions/tests/queue.rs
+++ b/goldcrestramp-decisions/tests/queue.rs
@@ -226,7 +226,7 @@
     admit(&mut queue, at(0), long("a"));
     assert_eq!(poll_all(&mut queue, at(0)).len(), 1);
     let wake = queue.wake_at().expect("reserve will be lent");
-    assert_eq!(wake, at(5_000), "the first estimate of a long answer");
+    assert_eq!(wake, at(5_000), "the initial estimate of a long response");
     assert_eq!(poll_all(&mut queue, wake).len(), 1);
 }
 
--- a/goldcrestramp-decisions/tests/retry.rs
+++ b/goldcrestramp-decisions/tests/retry.rs
@@ -159,22 +159,22 @@
 /// very requests that could correct it, so it expires after a while.
 #[test]
 fn the_transit_estimate_follows_the_shortest_round_trips_and_expires() {
-    let millis = TimeSpan::from_millis;
+    let span = TimeSpan::from_millis;
     let mut transit = TransitEstimate::default();
-    transit.record(at(0), millis(400));
-    transit.record(at(1), millis(300));
+    transit.record(at(0), span(400));
+    transit.record(at(1), span(300));
     let early = transit.one_way(at(1));
-    transit.record(at(2), millis(24));
+    transit.record(at(2), span(24));
     let known = transit.one_way(at(5_002));
     for _ in 0..64 {
-        transit.record(at(5_002), millis(200));
+        transit.record(at(5_002), span(200));
     }
     let risen = transit.one_way(at(5_002));
     assert_eq!(early, TimeSpan::ZERO);
-    assert_eq!(known, millis(12));
-    assert!(risen > millis(50) && risen < millis(100), "{risen:?}");
+    assert_eq!(known, span(12));
+    assert!(risen > span(50) && risen < span(100), "{risen:?}");
     assert_eq!(transit.one_way(at(10_003)), TimeSpan::ZERO);
-    transit.record(at(10_003), millis(24));
+    transit.record(at(10_003), span(24));
     assert_eq!(transit.one_way(at(10_003)), TimeSpan::ZERO);
 }
 
