--- a/goldcrestramp-decisions/src/queue/mod.rs
+++ b/goldcrestramp-decisions/src/queue/mod.rs
@@ -260,7 +260,7 @@
     pub fn wake_at(&self) -> Option<LocalTime> {
         let next_give_up = self.give_up.first().map(|(time, _)| *time);
         if let (Some(until), Some(time)) =
-            (self.slots.suspended_until(), next_give_up)
+            (self.slots.resume_at(), next_give_up)
         {
             return Some(time.min(until));
         }
--- a/goldcrestramp-decisions/src/queue/slots.rs
+++ b/goldcrestramp-decisions/src/queue/slots.rs
@@ -24,7 +24,7 @@
 pub(crate) struct SlotTable {
     slots: usize,
     /// Nothing starts before this time.
-    suspended_until: Option<LocalTime>,
+    resume_at: Option<LocalTime>,
     running: usize,
     running_long: usize,
     /// When a short request last arrived, waited or ended.
@@ -36,7 +36,7 @@
     pub(crate) const fn new(now: LocalTime, slots: usize) -> Self {
         Self {
             slots,
-            suspended_until: None,
+            resume_at: None,
             running: 0,
             running_long: 0,
             short_at: now,
@@ -48,22 +48,20 @@
         match verdict {
             LimitVerdict::Allowed(slots) => {
                 self.slots = slots;
-                self.suspended_until = None;
-            }
-            LimitVerdict::Suspended(until) => {
-                self.suspended_until = Some(until)
+                self.resume_at = None;
             }
+            LimitVerdict::Suspended(until) => self.resume_at = Some(until),
         }
     }
 
     /// The end of the suspension, if it has not passed.
     pub(crate) fn suspension(&self, now: LocalTime) -> Option<LocalTime> {
-        self.suspended_until.filter(|until| now < *until)
+        self.resume_at.filter(|until| now < *until)
     }
 
     /// The end of the suspension, passed or not.
-    pub(crate) const fn suspended_until(&self) -> Option<LocalTime> {
-        self.suspended_until
+    pub(crate) const fn resume_at(&self) -> Option<LocalTime> {
+        self.resume_at
     }
 
     /// Records that there are short requests.
--- a/goldcrestramp-decisions/tests/attempt_properties.rs
+++ b/goldcrestramp-decisions/tests/attempt_properties.rs
@@ -26,7 +26,7 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Send { id: usize, remaining: u64, renewed: bool },
+    Send { id: usize, left: u64, renewed: bool },
     Finish { id: usize, ran: bool },
     Move,
     Lose,
@@ -36,9 +36,7 @@
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
         6 => (0..IDS, 0..=1_000_u64, any::<bool>())
-            .prop_map(|(id, remaining, renewed)| Step::Send {
-                id, remaining, renewed
-            }),
+            .prop_map(|(id, left, renewed)| Step::Send { id, left, renewed }),
         3 => (0..IDS, any::<bool>())
             .prop_map(|(id, ran)| Step::Finish { id, ran }),
         1 => Just(Step::Move),
@@ -102,9 +100,7 @@
 
     fn apply(&mut self, step: &Step) {
         match *step {
-            Step::Send { id, remaining, renewed } => {
-                self.send(id, remaining, renewed)
-            }
+            Step::Send { id, left, renewed } => self.send(id, left, renewed),
             Step::Finish { id, ran } => self.finish(id, ran),
             Step::Move => {
                 let next = Arc::from("next");
@@ -134,9 +130,9 @@
     }
 
     /// A first attempt, or a resend with the same deadline or a new one.
-    fn send(&mut self, id: usize, remaining: u64, renewed: bool) {
+    fn send(&mut self, id: usize, left: u64, renewed: bool) {
         let is_resend = self.deadlines.contains_key(&id);
-        let deadline = self.now + TimeSpan::from_millis(remaining);
+        let deadline = self.now + TimeSpan::from_millis(left);
         let first = *self.deadlines.entry(id).or_insert(deadline);
         if self.now > first + MAX_TIMEOUT {
             // No keeper has to remember it any more.
