--- a/goldcrestramp-entry/src/lib.rs
+++ b/goldcrestramp-entry/src/lib.rs
@@ -1,19 +1,20 @@
 /*!
 The entry VM of the users' platform.
 
-One process on each VM takes callers' requests, finds the server that may
-run each of them and sends it there. What must last lies in the platform's
-store; who owns which keys is decided by one VM at a time under conditions
-there. No request waits for the store.
+One process on each VM accepts callers' requests and forwards each to a
+server that may run it. Durable state is kept in the platform's store. One VM
+at a time, the planner, assigns keys to servers; its conditional writes to
+the store ensure that there is only one. No request waits for the store.
 
-- [`control`]: follows the store, plans assignments, gives orders.
-- [`traffic`]: takes, queues, sends and answers requests.
-- [`peers`]: what VMs tell one another.
-- [`framing`]: where the requests on a caller's connection end.
-- [`logs`], [`metrics`]: what operators see.
-- [`mirror`], [`history`], [`configuration`], [`view`]: what is known of the
-  store, and of the fleet.
-- [`run()`]: starts all of it, and ends it without cutting a request.
+- [`control`]: follows the store, plans assignments, sends orders to servers.
+- [`traffic`]: accepts, queues and forwards requests, and returns responses.
+- [`peers`]: calls between VMs.
+- [`framing`]: finds the end of each request on a caller's connection.
+- [`logs`], [`metrics`]: structured logs and metrics for operators.
+- [`mirror`], [`history`], [`configuration`], [`view`]: the known state of the
+  store and of the fleet.
+- [`run()`]: starts all parts and shuts them down without interrupting a
+  request.
 */
 
 pub mod configuration;
--- a/goldcrestramp-entry/src/logs/mod.rs
+++ b/goldcrestramp-entry/src/logs/mod.rs
@@ -1,4 +1,4 @@
-//! Structured lines to standard output that nobody waits for.
+//! Structured logging to standard output that never blocks the caller.
 
 mod budget;
 mod writer;
@@ -10,11 +10,12 @@
     writer::LineWriter,
 };
 
-/// Starts logging at a level such as `info`; it ends with the handle.
+/// Starts logging at a level such as `info`, until the handle is dropped.
 ///
 /// # Errors
 ///
-/// A [`FlexiLoggerError`] when the level is none, or logging has begun.
+/// A [`FlexiLoggerError`] if the level is invalid or logging was already
+/// started.
 pub fn start_logs(level: &str) -> Result<LoggerHandle, FlexiLoggerError> {
     let specification = format!("warn,goldcrestramp_entry={level}");
     Logger::try_with_str(specification)?
--- a/goldcrestramp-entry/src/logs/writer.rs
+++ b/goldcrestramp-entry/src/logs/writer.rs
@@ -1,4 +1,4 @@
-//! Writes lines on a thread of their own.
+//! Writes log lines on a dedicated thread.
 
 use std::{
     io::{self, Write},
@@ -21,22 +21,23 @@
 
 use crate::logs::budget::{LineBudget, LineVerdict};
 
-/// Lines that wait to be written. A reader that stops reading fills this,
-/// and from then on lines are dropped and counted: nobody waits.
+/// The maximum number of lines that wait to be written. If the reader of the
+/// output stalls, the queue fills up; further lines are dropped and counted,
+/// so that logging never blocks.
 const MAX_QUEUED_LINES: usize = 1_024;
 
-/// How long the end of the process waits for lines to be written.
+/// The time that a flush waits for queued lines, when the process exits.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// How many lines were handed over and written.
+/// The numbers of lines that were queued, written and dropped.
 #[derive(Debug, Default)]
 struct LineCounts {
-    handed: AtomicU64,
+    queued: AtomicU64,
     written: AtomicU64,
     dropped: AtomicU64,
 }
 
-/// Makes one JSON object of each record and hands it to a thread.
+/// Encodes each record as a JSON object and queues it for a writer thread.
 #[derive(Debug)]
 pub struct LineWriter {
     lines: SyncSender<String>,
@@ -45,41 +46,42 @@
 }
 
 impl LineWriter {
-    /// Starts the thread that writes to `out`.
+    /// Starts a thread that writes queued lines to `out`.
     #[must_use]
     pub fn spawn(out: impl Write + Send + 'static) -> Self {
-        let (lines, waiting) = sync_channel(MAX_QUEUED_LINES);
+        let (lines, queue) = sync_channel(MAX_QUEUED_LINES);
         let counts = Arc::<LineCounts>::default();
-        let known = Arc::clone(&counts);
-        thread::spawn(move || write_lines(out, &waiting, &known));
+        let thread_counts = Arc::clone(&counts);
+        thread::spawn(move || write_lines(out, &queue, &thread_counts));
         Self { lines, budget: Mutex::default(), counts }
     }
 
-    /// Lines that were dropped as too many waited.
+    /// The number of lines that were dropped because the queue was full and
+    /// that are not yet reported in the output.
     #[must_use]
     pub fn dropped(&self) -> u64 {
         self.counts.dropped.load(Ordering::Relaxed)
     }
 
-    fn hand_over(&self, line: String) {
-        self.counts.handed.fetch_add(1, Ordering::Relaxed);
+    fn enqueue(&self, line: String) {
+        self.counts.queued.fetch_add(1, Ordering::Relaxed);
         let sent = self.lines.try_send(line);
         if let Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) =
             sent
         {
-            self.counts.handed.fetch_sub(1, Ordering::Relaxed);
+            self.counts.queued.fetch_sub(1, Ordering::Relaxed);
             self.counts.dropped.fetch_add(1, Ordering::Relaxed);
         }
     }
 }
 
-/// Writes lines until the writer is dropped, or nobody reads any more.
+/// Writes queued lines until the writer is dropped or the output is closed.
 fn write_lines(
     mut out: impl Write,
-    waiting: &Receiver<String>,
+    queue: &Receiver<String>,
     counts: &LineCounts,
 ) {
-    while let Ok(line) = waiting.recv() {
+    while let Ok(line) = queue.recv() {
         let dropped = counts.dropped.swap(0, Ordering::Relaxed);
         let note = if dropped > 0 {
             format!("{{\"part\":\"logs\",\"dropped\":{dropped}}}\n")
@@ -104,22 +106,22 @@
         let (part, text) = split_part(&text);
         let verdict = {
             let budget = self.budget.lock();
-            // Counts are valid whatever happened to their holder.
+            // The counts stay valid if a thread panicked with the lock held.
             let mut budget = budget.unwrap_or_else(PoisonError::into_inner);
-            budget.take(MonotonicClock.now(), part)
+            budget.admit(MonotonicClock.now(), part)
         };
-        if let LineVerdict::Write { left_out } = verdict {
-            self.hand_over(line(record, part, text, left_out));
+        if let LineVerdict::Write { omitted } = verdict {
+            self.enqueue(encode_line(record, part, text, omitted));
         }
         Ok(())
     }
 
     fn flush(&self) -> io::Result<()> {
-        let end = Instant::now() + FLUSH_TIMEOUT;
+        let deadline = Instant::now() + FLUSH_TIMEOUT;
         let counts = &self.counts;
         while counts.written.load(Ordering::Relaxed)
-            < counts.handed.load(Ordering::Relaxed)
-            && Instant::now() < end
+            < counts.queued.load(Ordering::Relaxed)
+            && Instant::now() < deadline
         {
             thread::sleep(Duration::from_millis(2));
         }
@@ -127,13 +129,18 @@
     }
 }
 
-/// The part that a line's prefix names, and the rest of the line.
+/// Splits a line into the part that its `[part]` prefix names and the rest.
 fn split_part(text: &str) -> (&str, &str) {
-    let named = text.strip_prefix('[').and_then(|t| t.split_once("] "));
-    named.unwrap_or(("library", text))
+    let parts = text.strip_prefix('[').and_then(|t| t.split_once("] "));
+    parts.unwrap_or(("library", text))
 }
 
-fn line(record: &Record<'_>, part: &str, text: &str, left_out: u32) -> String {
+fn encode_line(
+    record: &Record<'_>,
+    part: &str,
+    text: &str,
+    omitted: u32,
+) -> String {
     let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     let at = since.map_or(0.0, |since| since.as_secs_f64());
     let level = record.level().as_str();
@@ -142,15 +149,15 @@
     fields.0.insert("level".into(), json!(level));
     fields.0.insert("part".into(), json!(part));
     fields.0.insert("text".into(), json!(text));
-    if left_out > 0 {
-        fields.0.insert("left_out".into(), json!(left_out));
+    if omitted > 0 {
+        fields.0.insert("left_out".into(), json!(omitted));
     }
-    // The visitor below never fails.
+    // `FieldVisitor` never returns an error.
     let _visited = record.key_values().visit(&mut fields);
     serde_json::Value::Object(fields.0).to_string()
 }
 
-/// Collects a record's fields.
+/// Collects the key-value pairs of a record.
 struct FieldVisitor(Map<String, serde_json::Value>);
 
 impl<'kvs> VisitSource<'kvs> for FieldVisitor {
@@ -161,7 +168,7 @@
     ) -> Result<(), Error> {
         let value = match (value.to_i64(), value.to_bool()) {
             (Some(number), _) => json!(number),
-            (None, Some(truth)) => json!(truth),
+            (None, Some(flag)) => json!(flag),
             (None, None) => json!(value.to_string()),
         };
         self.0.insert(key.to_string(), value);
--- a/goldcrestramp-entry/src/main.rs
+++ b/goldcrestramp-entry/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon on an entry VM of the users' platform.
+//! The daemon of an entry VM of the users' platform.
 
 use std::{path::PathBuf, process::ExitCode};
 
@@ -51,25 +51,25 @@
     match matches.subcommand() {
         Some(("check", matches)) => {
             let settings =
-                goldcrestramp_entry::read_settings(&path(matches)?)?;
+                goldcrestramp_entry::read_settings(&settings_path(matches)?)?;
             println!("VM {} in {}: valid", settings.vm, settings.domain);
             Ok(())
         }
         Some(("serve", matches)) => {
             let level = matches.get_one::<String>("log");
             let level = level.map_or("info", String::as_str);
-            let _logs = start_logs(level).wrap_err("the logs")?;
-            goldcrestramp_entry::run(&path(matches)?)?;
+            let _logs = start_logs(level).wrap_err("cannot start logging")?;
+            goldcrestramp_entry::run(&settings_path(matches)?)?;
             Ok(())
         }
-        _ => Err(eyre::eyre!("no such command")),
+        _ => Err(eyre::eyre!("unknown subcommand")),
     }
 }
 
-fn path(matches: &clap::ArgMatches) -> eyre::Result<PathBuf> {
+fn settings_path(matches: &clap::ArgMatches) -> eyre::Result<PathBuf> {
     if let Some(path) = matches.get_one::<PathBuf>("settings") {
         return Ok(path.clone());
     }
     let path = std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from);
-    path.ok_or_else(|| eyre::eyre!("no settings file is named"))
+    path.ok_or_else(|| eyre::eyre!("no settings file is given"))
 }
--- a/goldcrestramp-entry/src/metrics.rs
+++ b/goldcrestramp-entry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms, served as text.
+//! Counters, gauges and histograms, served in the `OpenMetrics` text format.
 
 use std::{fmt, sync::Arc};
 
@@ -20,61 +20,62 @@
 
 use crate::listen::serve_http;
 
-/// Where the metrics are served on each VM.
+/// The TCP port at which each VM serves its metrics.
 pub const METRICS_PORT: u16 = 9_464;
 
-/// The path at which they are served.
+/// The HTTP path at which the metrics are served.
 pub const METRICS_PATH: &str = "/metrics";
 
-/// The label of a counter that is kept by reason or outcome.
+/// The label of a counter that is split by reason or outcome.
 #[derive(Clone, Debug, Eq, Hash, PartialEq, EncodeLabelSet)]
 pub struct ReasonLabel {
-    /// The stable code.
+    /// The stable code of the reason or outcome.
     pub reason: &'static str,
 }
 
-/// The labels of a time: the service, and the part of the way.
+/// The labels of a duration: the service and the stage of the request.
 #[derive(Clone, Debug, Eq, Hash, PartialEq, EncodeLabelSet)]
 pub struct StageLabel {
-    /// The service.
+    /// The name of the service.
     pub service: String,
-    /// `waiting` before the first send, `server` until the answer, or
-    /// `whole`.
+    /// `waiting` before the first attempt, `server` until the response of an
+    /// attempt, or `whole` for the complete request.
     pub stage: &'static str,
 }
 
-/// Makes histograms from 1 ms to 8 s.
+/// Constructs histograms with buckets from 1 ms to 8 s.
 #[derive(Clone, Copy, Debug)]
-struct SpanBuckets;
+struct TimeBuckets;
 
-impl MetricConstructor<Histogram> for SpanBuckets {
+impl MetricConstructor<Histogram> for TimeBuckets {
     fn new_metric(&self) -> Histogram {
         Histogram::new(exponential_buckets(0.001, 2.0, 14))
     }
 }
 
-/// What one VM counts.
+/// The metrics of one VM.
 pub struct EntryMetrics {
     registry: Registry,
     ends: Family<ReasonLabel, Counter>,
     attempts: Family<ReasonLabel, Counter>,
-    times: Family<StageLabel, Histogram, SpanBuckets>,
+    times: Family<StageLabel, Histogram, TimeBuckets>,
     news: Family<ReasonLabel, Counter>,
-    /// How long ago the store was as this VM knows it, in milliseconds.
+    /// The age of this VM's knowledge of the store, in milliseconds.
     pub news_age: Gauge,
     /// The version of the configuration in force.
     pub configuration: Gauge,
-    /// The revision up to which the store is known.
+    /// The store revision up to which changes are known.
     pub revision: Gauge,
-    /// The VMs that are known.
+    /// The number of known VMs.
     pub vms: Gauge,
-    /// The backend servers that are known.
+    /// The number of known backend servers.
     pub servers: Gauge,
-    /// 1 while this VM plans assignments.
+    /// 1 while this VM plans assignments, else 0.
     pub planning: Gauge,
-    /// Runs of keys that servers gave back.
+    /// The number of key ranges that servers released.
     pub moves: Counter,
-    /// Pipelined requests that were served ahead of their turn.
+    /// The number of pipelined requests that were forwarded before the
+    /// requests ahead of them were answered.
     pub pipelined: Counter,
 }
 
@@ -90,7 +91,7 @@
             registry: Registry::with_prefix("goldcrestramp"),
             ends: Family::default(),
             attempts: Family::default(),
-            times: Family::new_with_constructor(SpanBuckets),
+            times: Family::new_with_constructor(TimeBuckets),
             news: Family::default(),
             news_age: Gauge::default(),
             configuration: Gauge::default(),
@@ -167,33 +168,38 @@
         );
     }
 
-    /// Counts the end of a request.
-    pub fn ended(&self, reason: &'static str) {
+    /// Counts a request that ended with this reason.
+    pub fn record_end(&self, reason: &'static str) {
         self.ends.get_or_create(&ReasonLabel { reason }).inc();
     }
 
-    /// Counts what came of a send.
-    pub fn sent(&self, reason: &'static str) {
+    /// Counts an attempt at a server that ended with this outcome.
+    pub fn record_attempt(&self, reason: &'static str) {
         self.attempts.get_or_create(&ReasonLabel { reason }).inc();
     }
 
-    /// Counts a call for news.
+    /// Counts a request for updates that ended with this source or outcome.
     pub fn news(&self, reason: &'static str) {
         self.news.get_or_create(&ReasonLabel { reason }).inc();
     }
 
-    /// Notes the time of a part of a request's way.
-    pub fn took(&self, service: &str, stage: &'static str, span: TimeSpan) {
+    /// Records the duration of one stage of a request.
+    pub fn record_time(
+        &self,
+        service: &str,
+        stage: &'static str,
+        duration: TimeSpan,
+    ) {
         let label = StageLabel { service: service.to_owned(), stage };
-        let seconds = span.to_std().as_secs_f64();
+        let seconds = duration.to_std().as_secs_f64();
         self.times.get_or_create(&label).observe(seconds);
     }
 
-    /// All of it as text.
+    /// Encodes all metrics in the `OpenMetrics` text format.
     #[must_use]
     pub fn text(&self) -> String {
         let mut text = String::new();
-        // Writing to a text never fails.
+        // Writing to a `String` never fails.
         let _written = encode(&mut text, &self.registry);
         text
     }
@@ -203,14 +209,14 @@
 pub async fn serve_metrics(listener: TcpListener, metrics: Arc<EntryMetrics>) {
     serve_http(listener, "metrics", move |request| {
         let known = request.uri().path() == METRICS_PATH;
-        let answer = answer(known.then(|| metrics.text()));
-        async move { answer }
+        let response = respond(known.then(|| metrics.text()));
+        async move { response }
     })
     .await;
 }
 
-fn answer(text: Option<String>) -> Response<Full<Bytes>> {
-    /// The media type of the text format.
+fn respond(text: Option<String>) -> Response<Full<Bytes>> {
+    /// The media type of the `OpenMetrics` text format.
     const FORMAT: &str =
         "application/openmetrics-text; version=1.0.0; charset=utf-8";
     let Some(text) = text else {
--- a/goldcrestramp-entry/src/run.rs
+++ b/goldcrestramp-entry/src/run.rs
@@ -1,4 +1,5 @@
-//! Starts the parts of a VM, and ends them without cutting a request.
+//! Starts the parts of a VM and shuts them down without interrupting a
+//! request.
 
 use std::{fmt, io, path::Path, sync::Arc, thread, time::Duration};
 
@@ -22,65 +23,67 @@
     view::FleetView,
 };
 
-/// Connections that wait to be taken, on each listener.
+/// The number of connections that may wait to be accepted, per listener.
 const BACKLOG: u32 = 1_024;
 
-/// After SIGTERM new connections come until the balancer has asked twice,
-/// once a second; they are served like the others.
-const LEAVE_TIME: Duration = Duration::from_millis(2_700);
+/// The time after SIGTERM in which new connections are still accepted: the
+/// balancer sends them until two of its readiness checks, which it makes
+/// once a second, have failed.
+const DRAIN_TIME: Duration = Duration::from_millis(2_700);
 
-/// The process ends this long before it would be killed.
+/// The process exits this long before the end of its grace period, when it
+/// would be killed.
 const GRACE_MARGIN: Duration = Duration::from_millis(300);
 
-/// How far a process is on its way to its end.
+/// The phase of a process's shutdown.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StopPhase {
-    /// It serves.
+    /// It accepts connections and serves requests.
     Serving,
-    /// It serves, and asks callers to connect elsewhere.
+    /// It still accepts and serves, but asks callers to connect elsewhere.
     Draining,
-    /// It takes no new connection and ends each after its answer.
+    /// It accepts no new connection and closes each after its response.
     Closing,
 }
 
-/// Why a VM could not be started.
+/// The reason why a VM could not be started.
 #[derive(Debug)]
 pub enum RunError {
-    /// The settings file can't be read.
+    /// The settings file cannot be read.
     Unreadable(io::Error),
-    /// The settings can't be used.
+    /// The settings are invalid.
     Settings(SettingsError),
-    /// A listener or the runtime could not be made.
+    /// A listener, a signal handler, a thread or the runtime failed to start.
     Start(io::Error),
 }
 
 impl fmt::Display for RunError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Unreadable(error) => write!(f, "the settings file: {error}"),
-            Self::Settings(error) => write!(f, "the settings: {error}"),
-            Self::Start(error) => write!(f, "the start: {error}"),
+            Self::Unreadable(error) => write!(f, "settings file: {error}"),
+            Self::Settings(error) => write!(f, "invalid settings: {error}"),
+            Self::Start(error) => write!(f, "cannot start: {error}"),
         }
     }
 }
 
 impl std::error::Error for RunError {}
 
-/// Reads the settings file at `path`.
+/// Reads and parses the settings file at `path`.
 ///
 /// # Errors
 ///
-/// A [`RunError`] when it can't be read or used.
+/// A [`RunError`] if the file cannot be read or its settings are invalid.
 pub fn read_settings(path: &Path) -> Result<NodeSettings, RunError> {
     let bytes = std::fs::read(path).map_err(RunError::Unreadable)?;
     NodeSettings::parse(&bytes).map_err(RunError::Settings)
 }
 
-/// Runs a VM with the settings at `path` until SIGTERM.
+/// Runs a VM with the settings at `path` until SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
-/// A [`RunError`] when it can't be started.
+/// A [`RunError`] if the VM cannot be started.
 pub fn run(path: &Path) -> Result<(), RunError> {
     let runtime = runtime().map_err(RunError::Start)?;
     let signals = runtime.block_on(async { ProcessSignals::open() });
@@ -92,68 +95,70 @@
         settings.domain,
         env!("CARGO_PKG_VERSION")
     );
-    let (views, seen) = watch::channel(Arc::<FleetView>::default());
+    let (views, view) = watch::channel(Arc::<FleetView>::default());
     let (phases, phase) = watch::channel(StopPhase::Serving);
     let shared = SharedState::default();
     let control = start_control(
         &settings,
         shared.clone(),
         views,
-        seen.clone(),
+        view.clone(),
         phase.clone(),
     )?;
     let local = LocalSet::new();
     local.block_on(&runtime, async {
         let listener =
             bind(settings.traffic_address).map_err(RunError::Start)?;
-        let gate = spawn_traffic(
+        let traffic = spawn_traffic(
             Arc::clone(&settings),
             listener,
-            seen,
+            view,
             phase,
             shared,
         );
         signals.wait_for_stop(path).await;
-        leave(&settings, &control, &phases, &gate).await;
+        shut_down(&settings, &control, &phases, &traffic).await;
         Ok(())
     })
 }
 
-/// Ends the parts in order; nothing that was read is left unanswered.
-async fn leave(
+/// Shuts the parts down in order. Requests that were read are still
+/// answered, within the grace period.
+async fn shut_down(
     settings: &NodeSettings,
     control: &ControlHandle,
     phases: &watch::Sender<StopPhase>,
-    gate: &TrafficHandle,
+    traffic: &TrafficHandle,
 ) {
-    let begin = Instant::now();
+    let start = Instant::now();
     let grace = settings.grace.to_std();
-    let end = begin + grace.saturating_sub(GRACE_MARGIN);
-    let close_at = begin + LEAVE_TIME.min(grace / 2);
-    log::info!("[stop] SIGTERM: this VM leaves.");
+    let deadline = start + grace.saturating_sub(GRACE_MARGIN);
+    let close_at = start + DRAIN_TIME.min(grace / 2);
+    log::info!("[stop] Received SIGTERM or SIGINT; this VM drains.");
     phases.send_replace(StopPhase::Draining);
-    // A store that is silent keeps this from ending. Waited for first, it
-    // puts off the close, and requests are taken that have no time left.
+    // The store may not respond. Without this timeout the close would be
+    // delayed, and requests would be accepted that cannot complete within
+    // the grace period.
     if timeout_at(close_at, control.stop()).await.is_err() {
-        log::warn!("[stop] The lease was not ended in time.");
+        log::warn!("[stop] Timed out while the lease was being ended.");
     }
     sleep_until(close_at).await;
     phases.send_replace(StopPhase::Closing);
     tokio::select! {
-        () = gate.wait_empty() => {}
-        () = sleep_until(end) => {
-            log::warn!("[stop] Connections are left at the end of the grace.");
+        () = traffic.wait_empty() => {}
+        () = sleep_until(deadline) => {
+            log::warn!("[stop] The grace period ends with open connections.");
         }
     }
-    log::info!("[stop] This VM has left.");
+    log::info!("[stop] This VM has shut down.");
     log::logger().flush();
 }
 
-/// The signals that a process goes by.
+/// The signals that the process handles.
 ///
-/// Without a handler SIGHUP ends a process. If one comes while the process
-/// starts, callers find nobody until it is started again; so handlers are
-/// there before anything else.
+/// Without a handler SIGHUP terminates the process. If one arrives during the
+/// start, the VM serves nobody until it is restarted, so the handlers are
+/// installed before anything else.
 struct ProcessSignals {
     stop: Signal,
     interrupt: Signal,
@@ -169,7 +174,7 @@
         })
     }
 
-    /// Waits for SIGTERM; SIGHUP has the settings read again.
+    /// Waits for SIGTERM or SIGINT. On SIGHUP it validates the settings file.
     async fn wait_for_stop(mut self, path: &Path) {
         loop {
             tokio::select! {
@@ -181,48 +186,50 @@
     }
 }
 
-/// Checks settings that have changed. Addresses and names hold for the
-/// life of a process; the figures are taken at the next start.
+/// Validates changed settings. None of them is applied to the running
+/// process: addresses and names are fixed until it exits, and numbers are
+/// read at the next start.
 fn reload_settings(path: &Path) {
     match read_settings(path) {
         Ok(settings) => {
             log::info!("[reload] Settings of VM {} are valid.", settings.vm);
         }
         Err(error) => {
-            log::warn!("[reload] {error}; the former settings hold.");
+            log::warn!("[reload] {error}; the previous settings stay in use.");
         }
     }
 }
 
-/// Starts the control thread with its listeners.
+/// Starts the control thread and its listeners, and waits until they are
+/// open.
 fn start_control(
     settings: &Arc<NodeSettings>,
     shared: SharedState,
     views: watch::Sender<Arc<FleetView>>,
-    seen: watch::Receiver<Arc<FleetView>>,
+    view: watch::Receiver<Arc<FleetView>>,
     phase: watch::Receiver<StopPhase>,
 ) -> Result<ControlHandle, RunError> {
     let settings = Arc::clone(settings);
     let (started, start) = oneshot::channel();
-    let body = move || {
+    let thread_main = move || {
         let runtime = match runtime() {
             Ok(runtime) => runtime,
             Err(error) => {
-                // The receiver waits below until this was sent.
+                // The receiver below waits for this value.
                 let _gone = started.send(Err(error));
                 return;
             }
         };
         runtime.block_on(async move {
-            let handle = open_control(&settings, shared, views, seen, phase);
-            // The receiver waits below until this was sent.
+            let handle = open_control(&settings, shared, views, view, phase);
+            // The receiver below waits for this value.
             let _gone = started.send(handle);
             std::future::pending::<()>().await;
         });
     };
     thread::Builder::new()
         .name("control".into())
-        .spawn(body)
+        .spawn(thread_main)
         .map_err(RunError::Start)?;
     let started = start.blocking_recv();
     let started = started.map_err(|error| {
@@ -235,15 +242,16 @@
     settings: &NodeSettings,
     shared: SharedState,
     views: watch::Sender<Arc<FleetView>>,
-    seen: watch::Receiver<Arc<FleetView>>,
+    view: watch::Receiver<Arc<FleetView>>,
     phase: watch::Receiver<StopPhase>,
 ) -> io::Result<ControlHandle> {
     let ready = bind(settings.ready_address)?;
     let peer_address = format!("{}:{}", settings.ip, settings.inner_ports.0);
     let peer_address = peer_address.parse().map_err(io::Error::other)?;
     let peers = bind(peer_address)?;
-    tokio::spawn(serve_ready(ready, seen, phase));
-    // Several VMs may run on one machine: the first one is scraped there.
+    tokio::spawn(serve_ready(ready, view, phase));
+    // Several VMs may run on one machine: only the first one that binds the
+    // port serves metrics there.
     let metrics_address = format!("{}:{METRICS_PORT}", settings.ip);
     let metrics_address = metrics_address.parse().map_err(io::Error::other)?;
     match bind(metrics_address) {
@@ -251,7 +259,7 @@
             tokio::spawn(serve_metrics(listener, Arc::clone(&shared.metrics)));
         }
         Err(error) => {
-            log::warn!("[metrics] No metrics are served: {error}.");
+            log::warn!("[metrics] Cannot serve metrics: {error}.");
         }
     }
     let me = VmInstance {
@@ -264,7 +272,7 @@
     Ok(spawn_control(settings, me, peers, shared, views))
 }
 
-/// A runtime of one thread: a VM has a part of one core.
+/// Builds a single-threaded runtime: a VM has a fraction of one core.
 fn runtime() -> io::Result<Runtime> {
     Builder::new_current_thread().enable_all().build()
 }
--- a/goldcrestramp-entry/src/shared.rs
+++ b/goldcrestramp-entry/src/shared.rs
@@ -1,4 +1,5 @@
-//! What the control thread and the traffic thread share, besides the view.
+//! The state that the control thread and the traffic thread share, in
+//! addition to the fleet view.
 
 use std::sync::Arc;
 
@@ -7,15 +8,15 @@
     metrics::EntryMetrics,
 };
 
-/// What both threads hold; cheap to clone.
+/// The state shared by both threads; a clone refers to the same state.
 #[derive(Clone, Debug, Default)]
 pub struct SharedState {
-    /// What was asked for, told to the planning VM.
+    /// The recorded load, reported to the planning VM.
     pub loads: LoadRecorder,
-    /// Permits for servers that name a limit.
+    /// Permits for servers that state a rate limit.
     pub permits: PermitMailbox,
-    /// What is counted.
+    /// The metrics of this VM.
     pub metrics: Arc<EntryMetrics>,
-    /// The moment up to which the store's changes are known.
+    /// The time as of which the store's changes are known.
     pub clock: FreshnessClock,
 }
--- a/goldcrestramp-entry/src/traffic/serve.rs
+++ b/goldcrestramp-entry/src/traffic/serve.rs
@@ -62,21 +62,21 @@
         Ok(request) => request,
         Err(reason) => {
             log_unrouted(state, attempt.as_ref(), reason);
-            state.metrics.ended(reason.code());
+            state.metrics.record_end(reason.code());
             return local_response(reason, false, DEFAULT_RETRY_AFTER);
         }
     };
     let mut progress = RequestProgress::default();
     let end = match respond(state, &mut request, &mut progress).await {
         Ok(response) => {
-            state.metrics.ended("answered");
+            state.metrics.record_end("answered");
             let elapsed = MonotonicClock.now().since(request.arrived);
-            state.metrics.took(&request.service, "whole", elapsed);
+            state.metrics.record_time(&request.service, "whole", elapsed);
             return response;
         }
         Err(end) => end,
     };
-    state.metrics.ended(end.reason.code());
+    state.metrics.record_end(end.reason.code());
     if let Some(failure) = progress.failure.take() {
         return failure;
     }
@@ -251,7 +251,7 @@
     });
     if progress.attempts == 0 {
         let waited = now.since(request.arrived);
-        state.metrics.took(&request.service, "waiting", waited);
+        state.metrics.record_time(&request.service, "waiting", waited);
     }
     progress.attempts += 1;
     // The next owner would be one more server and one more attempt.
@@ -291,9 +291,9 @@
     outcome: &AttemptOutcome,
 ) {
     let metrics = &state.metrics;
-    metrics.sent(outcome.code());
+    metrics.record_attempt(outcome.code());
     let elapsed = MonotonicClock.now().since(sent_at);
-    metrics.took(&request.service, "server", elapsed);
+    metrics.record_time(&request.service, "server", elapsed);
     if matches!(outcome, AttemptOutcome::Answered(_)) {
         return;
     }
--- a/goldcrestramp-entry/tests/logs.rs
+++ b/goldcrestramp-entry/tests/logs.rs
@@ -1,4 +1,4 @@
-//! Logs are structured, bounded, and wait for nobody.
+//! Logs are bounded and never block the thread that writes them.
 
 use std::{
     io::{self, Write},
@@ -11,17 +11,20 @@
 use goldcrestramp_types::LocalTime;
 use log::{Level, Record};
 
-/// A reader that takes nothing until it is let go.
-struct StuckReader {
-    go: mpsc::Receiver<()>,
-    read: Arc<Mutex<Vec<u8>>>,
+/// An output that accepts nothing until it is resumed.
+struct StalledOutput {
+    resume: mpsc::Receiver<()>,
+    written: Arc<Mutex<Vec<u8>>>,
 }
 
-impl Write for StuckReader {
+impl Write for StalledOutput {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
-        // Once the sender is gone the reader reads on.
-        let _gone = self.go.recv_timeout(Duration::from_mins(1));
-        self.read.lock().expect("no panic").extend_from_slice(buf);
+        // Once the sender is dropped, `recv_timeout` returns at once.
+        let _gone = self.resume.recv_timeout(Duration::from_mins(1));
+        self.written
+            .lock()
+            .expect("lock is not poisoned")
+            .extend_from_slice(buf);
         Ok(buf.len())
     }
 
@@ -38,47 +41,52 @@
             &mut DeferredNow::new(),
             &builder.args(format_args!("[part-{part}] {text}")).build(),
         )
-        .expect("written");
+        .expect("write succeeds");
 }
 
-/// Whoever reads standard output stops reading. The requests and the
-/// control state go on: lines are dropped, and how many is said later.
+/// Guards against requests and control tasks that block on a log line when
+/// the reader of standard output stalls. Lines are dropped instead, and
+/// their number is reported later.
 #[test]
-fn a_reader_that_stops_stops_nothing() {
-    let (go, stuck) = mpsc::channel();
-    let read = Arc::<Mutex<Vec<u8>>>::default();
-    let reader = StuckReader { go: stuck, read: Arc::clone(&read) };
-    let writer = LineWriter::spawn(reader);
+fn a_stalled_reader_blocks_no_writer() {
+    let (resume, resumed) = mpsc::channel();
+    let written = Arc::<Mutex<Vec<u8>>>::default();
+    let output =
+        StalledOutput { resume: resumed, written: Arc::clone(&written) };
+    let writer = LineWriter::spawn(output);
 
     for part in 0..3_000 {
         write(&writer, part, "A decision.");
     }
 
     assert!(writer.dropped() > 0);
-    drop(go);
-    let said = || {
-        let read = read.lock().expect("no panic").clone();
-        String::from_utf8(read).expect("text").contains("\"dropped\":")
+    drop(resume);
+    let reports_drops = || {
+        let written = written.lock().expect("lock is not poisoned").clone();
+        String::from_utf8(written)
+            .expect("lines are UTF-8")
+            .contains("\"dropped\":")
     };
-    while !said() {
+    while !reports_drops() {
         std::thread::sleep(Duration::from_millis(10));
     }
 }
 
-/// An overload refuses thousands of requests in a second. A part's lines
-/// are bounded; the next second says how many were left out.
+/// Guards against log volume under overload, when thousands of requests a
+/// second are refused: the lines of a part are bounded, and the next second
+/// reports how many were omitted.
 #[test]
-fn a_part_s_lines_are_bounded_and_the_rest_is_counted() {
+fn lines_of_a_part_are_bounded_and_omitted_ones_are_counted() {
     let mut budget = LineBudget::default();
     let at = |millis: u64| LocalTime::from_micros(5_000_000 + millis * 1_000);
 
-    let written = (0..1_000)
-        .filter(|i| budget.take(at(i / 2), "gateway") != LineVerdict::LeaveOut)
+    let line_count = (0..1_000)
+        .filter(|i| budget.admit(at(i / 2), "gateway") != LineVerdict::Omit)
         .count();
 
-    assert_eq!(written, 100);
-    let other = budget.take(at(400), "control");
-    assert_eq!(other, LineVerdict::Write { left_out: 0 });
-    let next = budget.take(at(1_200), "gateway");
-    assert_eq!(next, LineVerdict::Write { left_out: 900 });
+    assert_eq!(line_count, 100);
+    let other = budget.admit(at(400), "control");
+    assert_eq!(other, LineVerdict::Write { omitted: 0 });
+    let next = budget.admit(at(1_200), "gateway");
+    assert_eq!(next, LineVerdict::Write { omitted: 900 });
 }
