--- a/goldcrestramp-entry/tests/daemon/world.rs
+++ b/goldcrestramp-entry/tests/daemon/cluster.rs
@@ -1,4 +1,4 @@
-//! A store, servers and daemons, with callers' requests.
+//! A cluster of a store, servers and daemons, and the requests of callers.
 
 use std::{
     net::SocketAddr,
@@ -11,18 +11,19 @@
 
 use crate::{
     node::NodeProcess,
-    server::{ServerManner, ServerStandin},
+    server::{ServerBehavior, ServerStandin},
     store::StoreStandin,
 };
 
-/// The longest that a test waits for something that has to come.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// The time after which an awaited condition counts as a failure.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A service that any server serves, and one that is divided by key.
+/// A service whose requests any of its servers may run, and one that is
+/// sharded by key.
 pub const POOLED: &str = "orders";
-pub const DIVIDED: &str = "stock";
+pub const SHARDED: &str = "stock";
 
-pub struct World {
+pub struct Cluster {
     pub store: StoreStandin,
     pub servers: Vec<ServerStandin>,
     pub nodes: Vec<NodeProcess>,
@@ -30,8 +31,9 @@
     attempts: AtomicU64,
 }
 
-/// The configuration, with a version and one more route if there is one.
-pub fn configuration(version: u64, more: Option<&str>) -> Value {
+/// A configuration of this version; `extra` is the path prefix of an optional
+/// additional route.
+pub fn configuration(version: u64, extra: Option<&str>) -> Value {
     let route = |prefix: &str, kind: &str, service: &str| {
         json!({
             "host": "shop.example", "path_prefix": prefix, "kind": kind,
@@ -42,9 +44,9 @@
     let mut routes = json!({
         "order": route("/order/", "unsafe", POOLED),
         "list": route("/list/", "safe", POOLED),
-        "stock": route("/stock/", "safe", DIVIDED),
+        "stock": route("/stock/", "safe", SHARDED),
     });
-    if let Some(prefix) = more {
+    if let Some(prefix) = extra {
         routes["more"] = route(prefix, "safe", POOLED);
     }
     json!({
@@ -52,7 +54,7 @@
         "routes": routes,
         "services": {
             POOLED: {"health_path": "/health"},
-            DIVIDED: {"health_path": "/health", "sharded": true},
+            SHARDED: {"health_path": "/health", "sharded": true},
         },
         "limits": {
             "max_header_bytes": 16_384, "max_body_bytes": 1_048_576,
@@ -61,13 +63,15 @@
     })
 }
 
-/// The configuration with so many routes more: `/route-0/`, `/route-1/`.
+/// A configuration with `extra` additional routes: `/route-0/`, `/route-1/`
+/// and so on.
 #[allow(dead_code, reason = "not every test binary has large ones")]
-pub fn large_configuration(version: u64, more: usize) -> Value {
+pub fn large_configuration(version: u64, extra: usize) -> Value {
     let mut large = configuration(version, Some("/more/"));
-    let routes = large["routes"].as_object_mut().expect("routes");
+    let routes =
+        large["routes"].as_object_mut().expect("routes are an object");
     let route = routes["more"].clone();
-    for number in 0..more {
+    for number in 0..extra {
         let mut route = route.clone();
         route["path_prefix"] = json!(format!("/route-{number}/"));
         routes.insert(format!("route-{number}"), route);
@@ -75,12 +79,12 @@
     large
 }
 
-/// The entry of a server.
+/// The store entry of a server in a state such as `ready`.
 pub fn entry(server: &ServerStandin, service: &str, state: &str) -> Value {
     entry_at(server.address, service, state)
 }
 
-/// The entry of a server that is reached at an address.
+/// The store entry of a server that is reached at this address.
 pub fn entry_at(address: SocketAddr, service: &str, state: &str) -> Value {
     json!({
         "address": address.to_string(), "born": 1_700_000_000_000_u64,
@@ -92,15 +96,16 @@
     })
 }
 
-impl World {
-    /// Opens a world with servers of one service and so many daemons.
-    pub async fn open(service: &str, servers: usize, nodes: usize) -> Self {
-        Self::open_on(StoreStandin::spawn().await, service, servers, nodes)
+impl Cluster {
+    /// Starts a cluster with servers of one service, and waits until its
+    /// daemons are ready.
+    pub async fn start(service: &str, servers: usize, nodes: usize) -> Self {
+        Self::start_on(StoreStandin::spawn().await, service, servers, nodes)
             .await
     }
 
-    /// Opens a world on a store.
-    pub async fn open_on(
+    /// Starts a cluster with an existing store.
+    pub async fn start_on(
         store: StoreStandin,
         service: &str,
         servers: usize,
@@ -110,8 +115,8 @@
         let mut started = Vec::new();
         for number in 0..servers {
             let id = format!("server-{number}");
-            let divided = service == DIVIDED;
-            let server = ServerStandin::spawn(&id, divided).await;
+            let sharded = service == SHARDED;
+            let server = ServerStandin::spawn(&id, sharded).await;
             let key = format!("servers/{id}");
             store.put(&key, &entry(&server, service, "ready"));
             started.push(server);
@@ -120,17 +125,17 @@
         let nodes = (0..nodes).map(|number| {
             NodeProcess::spawn(&format!("vm-{number}"), address)
         });
-        let world = Self {
+        let cluster = Self {
             store,
             servers: started,
             nodes: nodes.collect(),
-            http: Client::builder().no_proxy().build().expect("a client"),
+            http: Client::builder().no_proxy().build().expect("client builds"),
             attempts: AtomicU64::new(0),
         };
-        for node in &world.nodes {
-            world.wait_ready(node.ready).await;
+        for node in &cluster.nodes {
+            cluster.wait_ready(node.ready).await;
         }
-        world
+        cluster
     }
 
     /// Adds a daemon and waits until it is ready.
@@ -141,29 +146,30 @@
     }
 
     async fn wait_ready(&self, ready: SocketAddr) {
-        eventually(async || self.says_ready(ready).await).await;
+        eventually(async || self.probe_ready(ready).await).await;
     }
 
-    async fn says_ready(&self, ready: SocketAddr) -> bool {
+    async fn probe_ready(&self, ready: SocketAddr) -> bool {
         let url = format!("http://{ready}/v1/ready");
-        let answer = self.http.get(&url).send().await;
-        answer.is_ok_and(|answer| answer.status() == 200)
+        let response = self.http.get(&url).send().await;
+        response.is_ok_and(|response| response.status() == 200)
     }
 
-    /// Whether a daemon says that it is ready.
+    /// Whether a daemon reports that it is ready.
     #[allow(dead_code, reason = "not every test binary asks")]
     pub async fn is_ready(&self, node: usize) -> bool {
-        self.says_ready(self.nodes[node].ready).await
+        self.probe_ready(self.nodes[node].ready).await
     }
 
-    /// Requests that daemons gave up while servers held their answers back.
+    /// The number of requests whose connection a daemon closed while a server
+    /// withheld the response.
     #[allow(dead_code, reason = "not every test binary asks")]
     pub fn abandoned(&self) -> u32 {
         self.servers.iter().map(ServerStandin::abandoned).sum()
     }
 
-    /// A fresh id of an attempt.
-    pub fn attempt(&self) -> String {
+    /// Returns an unused attempt id.
+    pub fn next_attempt(&self) -> String {
         let number = self.attempts.fetch_add(1, Ordering::Relaxed);
         format!("attempt-{number}")
     }
@@ -184,50 +190,50 @@
     }
 
     pub async fn get(&self, node: usize, path: &str) -> Response {
-        let attempt = self.attempt();
+        let attempt = self.next_attempt();
         let request = self.request(node, Method::GET, path, &attempt);
-        request.send().await.expect("an answer")
+        request.send().await.expect("response arrives")
     }
 
-    /// Asks for a key of the divided service.
-    pub async fn ask_key(&self, node: usize, key: u64) -> Response {
-        let attempt = self.attempt();
+    /// Sends a request for a key of the sharded service.
+    pub async fn get_key(&self, node: usize, key: u64) -> Response {
+        let attempt = self.next_attempt();
         let request = self
             .request(node, Method::GET, "/stock/rice", &attempt)
             .header("X-Shard-Key", key.to_string());
-        request.send().await.expect("an answer")
+        request.send().await.expect("response arrives")
     }
 
-    /// Waits until a key is served.
+    /// Waits until requests for a key succeed.
     pub async fn wait_served(&self, node: usize, key: u64) {
-        eventually(async || self.ask_key(node, key).await.status() == 200)
+        eventually(async || self.get_key(node, key).await.status() == 200)
             .await;
     }
 
-    /// Has all servers behave in one manner.
+    /// Sets the behavior of all servers.
     #[allow(dead_code, reason = "not every test binary does")]
-    pub fn set_manner(&self, manner: ServerManner) {
+    pub fn set_behavior(&self, behavior: ServerBehavior) {
         for server in &self.servers {
-            server.set_manner(manner);
+            server.set_behavior(behavior);
         }
     }
 
-    /// How many servers hold a key.
-    pub fn holders(&self, key: u64) -> usize {
-        self.servers.iter().filter(|server| server.holds(key)).count()
+    /// The number of servers that own a key.
+    pub fn owners(&self, key: u64) -> usize {
+        self.servers.iter().filter(|server| server.owns(key)).count()
     }
 
-    /// How often all servers together ran an attempt.
-    pub fn runs_of(&self, attempt: &str) -> u32 {
-        self.servers.iter().map(|server| server.runs_of(attempt)).sum()
+    /// The number of executions of an attempt at all servers.
+    pub fn executions_of(&self, attempt: &str) -> u32 {
+        self.servers.iter().map(|server| server.executions_of(attempt)).sum()
     }
 }
 
-/// Waits until something holds.
-pub async fn eventually(mut holds: impl AsyncFnMut() -> bool) {
-    let end = tokio::time::Instant::now() + PATIENCE;
-    while !holds().await {
-        assert!(tokio::time::Instant::now() < end, "it never came");
+/// Polls a condition until it holds.
+pub async fn eventually(mut condition: impl AsyncFnMut() -> bool) {
+    let end = tokio::time::Instant::now() + WAIT_TIMEOUT;
+    while !condition().await {
+        assert!(tokio::time::Instant::now() < end, "timed out");
         tokio::time::sleep(Duration::from_millis(30)).await;
     }
 }
--- a/goldcrestramp-entry/tests/daemon/configuration.rs
+++ b/goldcrestramp-entry/tests/daemon/configuration.rs
@@ -1,153 +1,163 @@
-//! How changes of the configuration reach the daemons.
+//! Configuration changes reach the daemons, also over slow links.
 
 use std::{net::SocketAddr, time::Duration};
 
 use serde_json::json;
 
 use crate::{
+    cluster::{Cluster, POOLED, eventually, large_configuration},
     node::NodeProcess,
-    relay::{Relay, RelayManner},
+    relay::{Relay, RelayBehavior},
     store::StoreStandin,
-    world::{POOLED, World, eventually, large_configuration},
 };
 
-/// Bytes a second that a narrow link carries.
-const NARROW: u32 = 100_000;
+/// The throughput of a throttled link, in bytes per second.
+const LINK_BYTES_PER_S: u32 = 100_000;
 
-/// By then a daemon has noticed that the store is silent to it.
-const STORE_SILENCE: Duration = Duration::from_secs(3);
+/// The time within which a daemon detects that the store does not respond.
+const DETECTION_TIME: Duration = Duration::from_secs(3);
 
-/// A daemon that others go before in following the store.
+/// Starts a daemon on a small VM, so that the larger one follows the store
+/// first.
 fn small_node(store: SocketAddr) -> NodeProcess {
     let limits = json!({"cpu_share": 0.1, "link_mbps": 1.0});
     NodeProcess::spawn_sized("small", store, &limits)
 }
 
-/// A daemon, and a small one that reaches it and the store over links of
-/// its own.
-struct NarrowWorld {
-    world: World,
-    to_peer: Relay,
-    to_store: Relay,
+/// A daemon, and a small one that reaches it and the store through relays.
+struct ThrottledCluster {
+    cluster: Cluster,
+    peer_relay: Relay,
+    store_relay: Relay,
 }
 
-impl NarrowWorld {
-    async fn open() -> Self {
-        let mut world = World::open(POOLED, 1, 1).await;
-        let to_peer = Relay::spawn(world.nodes[0].peers).await;
-        world.store.detour("vm-0", to_peer.address);
-        let to_store = Relay::spawn(world.store.address).await;
-        world.add_node(small_node(to_store.address)).await;
-        Self { world, to_peer, to_store }
+impl ThrottledCluster {
+    async fn start() -> Self {
+        let mut cluster = Cluster::start(POOLED, 1, 1).await;
+        let peer_relay = Relay::spawn(cluster.nodes[0].peers).await;
+        cluster.store.override_address("vm-0", peer_relay.address);
+        let store_relay = Relay::spawn(cluster.store.address).await;
+        cluster.add_node(small_node(store_relay.address)).await;
+        Self { cluster, peer_relay, store_relay }
     }
 
-    fn set_narrow(&self) {
-        self.to_peer.set(RelayManner::Narrow(NARROW));
-        self.to_store.set(RelayManner::Narrow(NARROW));
+    fn throttle(&self) {
+        self.peer_relay
+            .set_behavior(RelayBehavior::Throttled(LINK_BYTES_PER_S));
+        self.store_relay
+            .set_behavior(RelayBehavior::Throttled(LINK_BYTES_PER_S));
     }
 
-    /// Bytes that the small daemon was answered.
-    fn answered(&self) -> usize {
-        self.to_peer.answered() + self.to_store.answered()
+    /// The number of response bytes sent to the small daemon.
+    fn response_bytes(&self) -> usize {
+        self.peer_relay.response_bytes() + self.store_relay.response_bytes()
     }
 
     async fn wait_route(&self, path: &str) {
-        let served = async || self.world.get(1, path).await.status() == 200;
+        let served = async || self.cluster.get(1, path).await.status() == 200;
         eventually(served).await;
     }
 }
 
-/// Guards against copies that are given up half way and asked for again.
+/// Guards against transfers that time out half way and restart forever.
 #[tokio::test]
-async fn a_large_configuration_comes_into_force_over_a_narrow_link() {
-    let narrow = NarrowWorld::open().await;
-    narrow.set_narrow();
+async fn a_large_configuration_takes_effect_over_a_throttled_link() {
+    let throttled = ThrottledCluster::start().await;
+    throttled.throttle();
 
     let large = large_configuration(2, 3_000);
-    narrow.world.store.put("op/config", &large);
+    throttled.cluster.store.put("op/config", &large);
 
-    narrow.wait_route("/route-2999/").await;
+    throttled.wait_route("/route-2999/").await;
 }
 
-/// Guards against copies of the same change that compete for a narrow link.
+/// Guards against parallel transfers of the same change that compete for a
+/// throttled link.
 #[tokio::test]
-async fn a_vm_without_the_store_asks_for_a_change_once() {
-    let narrow = NarrowWorld::open().await;
-    narrow.to_store.set(RelayManner::Silent);
-    tokio::time::sleep(STORE_SILENCE).await;
-    narrow.to_peer.set(RelayManner::Narrow(NARROW));
-    let before = narrow.answered();
+async fn a_vm_without_the_store_requests_a_change_once() {
+    let throttled = ThrottledCluster::start().await;
+    throttled.store_relay.set_behavior(RelayBehavior::Silent);
+    tokio::time::sleep(DETECTION_TIME).await;
+    throttled
+        .peer_relay
+        .set_behavior(RelayBehavior::Throttled(LINK_BYTES_PER_S));
+    let before = throttled.response_bytes();
 
     let large = large_configuration(2, 3_000);
-    narrow.world.store.put("op/config", &large);
-    narrow.wait_route("/route-2999/").await;
+    throttled.cluster.store.put("op/config", &large);
+    throttled.wait_route("/route-2999/").await;
 
-    let cost = narrow.answered() - before;
+    let cost = throttled.response_bytes() - before;
     assert!(cost < large.to_string().len(), "{cost} bytes");
 }
 
-/// Guards against waiting for a source whose answer takes most of a minute.
+/// Guards against waiting for a source whose response takes most of a minute.
 #[tokio::test]
-async fn a_slow_source_does_not_hold_a_change_back() {
-    let narrow = NarrowWorld::open().await;
-    narrow.to_peer.set(RelayManner::Narrow(NARROW / 20));
+async fn a_slow_source_does_not_delay_a_change() {
+    let throttled = ThrottledCluster::start().await;
+    throttled
+        .peer_relay
+        .set_behavior(RelayBehavior::Throttled(LINK_BYTES_PER_S / 20));
 
     let large = large_configuration(2, 3_000);
-    narrow.world.store.put("op/config", &large);
+    throttled.cluster.store.put("op/config", &large);
 
-    narrow.wait_route("/route-2999/").await;
+    throttled.wait_route("/route-2999/").await;
 }
 
-/// Guards against following a VM to which the store's changes come slowly.
+/// Guards against following a VM that itself reads the store over a slow link.
 #[tokio::test]
-async fn a_source_that_reads_the_store_slowly_is_left() {
+async fn a_source_with_a_slow_link_to_the_store_is_abandoned() {
     let mut store = StoreStandin::spawn().await;
     let address = store.address;
-    let to_store = Relay::spawn(address).await;
-    store.address = to_store.address;
-    let mut world = World::open_on(store, POOLED, 1, 1).await;
-    world.add_node(small_node(address)).await;
-    to_store.set(RelayManner::Narrow(NARROW / 10));
+    let store_relay = Relay::spawn(address).await;
+    store.address = store_relay.address;
+    let mut cluster = Cluster::start_on(store, POOLED, 1, 1).await;
+    cluster.add_node(small_node(address)).await;
+    store_relay.set_behavior(RelayBehavior::Throttled(LINK_BYTES_PER_S / 10));
 
     let large = large_configuration(2, 3_000);
-    world.store.put("op/config", &large);
+    cluster.store.put("op/config", &large);
 
-    let served = async || world.get(1, "/route-2999/").await.status() == 200;
+    let served = async || cluster.get(1, "/route-2999/").await.status() == 200;
     eventually(served).await;
 }
 
-/// Guards against sending a whole configuration for a change of one route.
+/// Guards against sending the full configuration for a change of one route.
 #[tokio::test]
-async fn a_change_of_one_route_costs_no_copy_of_the_configuration() {
-    let narrow = NarrowWorld::open().await;
+async fn a_change_of_one_route_is_sent_as_a_delta() {
+    let throttled = ThrottledCluster::start().await;
     let large = large_configuration(2, 3_000);
-    narrow.world.store.put("op/config", &large);
-    narrow.wait_route("/route-2999/").await;
-    let before = narrow.answered();
+    throttled.cluster.store.put("op/config", &large);
+    throttled.wait_route("/route-2999/").await;
+    let before = throttled.response_bytes();
 
     let mut changed = large_configuration(3, 3_000);
     changed["routes"]["more"]["path_prefix"] = json!("/changed/");
-    narrow.world.store.put("op/config", &changed);
-    narrow.wait_route("/changed/").await;
+    throttled.cluster.store.put("op/config", &changed);
+    throttled.wait_route("/changed/").await;
 
-    let cost = narrow.answered() - before;
+    let cost = throttled.response_bytes() - before;
     assert!(cost < changed.to_string().len() / 4, "{cost} bytes");
 }
 
-/// Guards against a final "no such route" by an old configuration.
+/// Guards against a final 404 that is based on an outdated configuration. A
+/// VM without updates responds 503 with `Retry-After` to unknown paths, and
+/// still serves known ones.
 #[tokio::test]
-async fn a_vm_without_news_refuses_what_it_has_no_route_for() {
+async fn a_vm_without_updates_refuses_unknown_routes() {
     let mut store = StoreStandin::spawn().await;
     let relay = Relay::spawn(store.address).await;
     store.address = relay.address;
-    let world = World::open_on(store, POOLED, 1, 1).await;
-    assert_eq!(world.get(0, "/nothing/here").await.status(), 404);
+    let cluster = Cluster::start_on(store, POOLED, 1, 1).await;
+    assert_eq!(cluster.get(0, "/nothing/here").await.status(), 404);
 
-    relay.set(RelayManner::Silent);
+    relay.set_behavior(RelayBehavior::Silent);
 
-    let refused = async || world.get(0, "/nothing/here").await.status() == 503;
+    let refused =
+        async || cluster.get(0, "/nothing/here").await.status() == 503;
     eventually(refused).await;
-    let answer = world.get(0, "/nothing/here").await;
-    assert!(answer.headers().contains_key("retry-after"));
-    assert_eq!(world.get(0, "/list/all").await.status(), 200);
+    let response = cluster.get(0, "/nothing/here").await;
+    assert!(response.headers().contains_key("retry-after"));
+    assert_eq!(cluster.get(0, "/list/all").await.status(), 200);
 }
--- a/goldcrestramp-entry/tests/daemon/leases.rs
+++ b/goldcrestramp-entry/tests/daemon/leases.rs
@@ -1,4 +1,4 @@
-//! How long what a VM wrote outlives it.
+//! The TTLs of leases, which bound how long a VM's records outlive it.
 
 use std::time::Duration;
 
@@ -6,58 +6,60 @@
 use serde_json::json;
 
 use crate::{
+    cluster::{Cluster, SHARDED, eventually},
     node::NodeProcess,
     store::StoreStandin,
-    world::{DIVIDED, World, eventually},
 };
 
-const SHORT: Duration = Duration::from_millis(2_500);
-const LONG: Duration = Duration::from_secs(6);
+const SHORT_TTL: Duration = Duration::from_millis(2_500);
+const LONG_TTL: Duration = Duration::from_secs(6);
 
-/// A daemon on a large VM, and one on a small VM.
-async fn sized_world() -> World {
-    let mut world = World::open(DIVIDED, 1, 1).await;
+/// A cluster with a daemon on a large VM and one on a small VM.
+async fn mixed_size_cluster() -> Cluster {
+    let mut cluster = Cluster::start(SHARDED, 1, 1).await;
     let limits = json!({"cpu_share": 0.1, "link_mbps": 1.0});
     let small =
-        NodeProcess::spawn_sized("small", world.store.address, &limits);
-    world.add_node(small).await;
-    world
+        NodeProcess::spawn_sized("small", cluster.store.address, &limits);
+    cluster.add_node(small).await;
+    cluster
 }
 
-/// Guards against renewals that grow with the fleet.
+/// Guards against a renewal load that grows with the number of VMs: small
+/// ones renew long leases.
 #[tokio::test]
 async fn a_small_vm_has_a_long_lease() {
-    let world = sized_world().await;
+    let cluster = mixed_size_cluster().await;
 
-    let span = |key: &str| world.store.lease_span(key);
-    eventually(async || span("router/vm/small") == Some(LONG)).await;
-    eventually(async || span("router/planner") == Some(SHORT)).await;
-    assert_eq!(span("router/vm/vm-0"), Some(SHORT));
+    let ttl = |key: &str| cluster.store.lease_ttl(key);
+    eventually(async || ttl("router/vm/small") == Some(LONG_TTL)).await;
+    eventually(async || ttl("router/planner") == Some(SHORT_TTL)).await;
+    assert_eq!(ttl("router/vm/vm-0"), Some(SHORT_TTL));
 }
 
-/// Guards against a planner whose record long outlives it.
+/// Guards against a planner's record that outlives a small VM for long.
 #[tokio::test]
 async fn a_small_vm_that_plans_has_a_short_lease() {
-    let world = sized_world().await;
-    world.wait_served(1, 0).await;
-    let span = |key: &str| world.store.lease_span(key);
-    eventually(async || span("router/vm/small") == Some(LONG)).await;
+    let cluster = mixed_size_cluster().await;
+    cluster.wait_served(1, 0).await;
+    let ttl = |key: &str| cluster.store.lease_ttl(key);
+    eventually(async || ttl("router/vm/small") == Some(LONG_TTL)).await;
 
-    world.nodes[0].signal(Signal::KILL);
+    cluster.nodes[0].signal(Signal::KILL);
 
     let planner = async || {
-        let record = world.store.get("router/planner");
+        let record = cluster.store.get("router/planner");
         record.is_some_and(|record| {
             String::from_utf8_lossy(&record).contains("\"small\"")
         })
     };
     eventually(planner).await;
-    assert_eq!(span("router/planner"), Some(SHORT));
-    assert_eq!(span("router/vm/small"), Some(SHORT));
-    world.wait_served(1, 0).await;
+    assert_eq!(ttl("router/planner"), Some(SHORT_TTL));
+    assert_eq!(ttl("router/vm/small"), Some(SHORT_TTL));
+    cluster.wait_served(1, 0).await;
 }
 
-/// Guards against a claim with a lease that long outlives its VM.
+/// Guards against a planner claim under a lease that outlives its small VM
+/// for long.
 #[tokio::test]
 async fn a_claim_waits_for_a_short_lease() {
     let store = StoreStandin::spawn().await;
@@ -67,12 +69,14 @@
     });
     store.put("router/vm/idle", &idle);
 
-    let mut world = World::open_on(store, DIVIDED, 1, 0).await;
+    let mut cluster = Cluster::start_on(store, SHARDED, 1, 0).await;
     let limits = json!({"cpu_share": 0.1, "link_mbps": 1.0});
-    let address = world.store.address;
-    world.add_node(NodeProcess::spawn_sized("small", address, &limits)).await;
+    let address = cluster.store.address;
+    cluster
+        .add_node(NodeProcess::spawn_sized("small", address, &limits))
+        .await;
 
-    let span = |key: &str| world.store.lease_span(key);
-    eventually(async || span("router/planner").is_some()).await;
-    assert_eq!(span("router/planner"), Some(SHORT));
+    let ttl = |key: &str| cluster.store.lease_ttl(key);
+    eventually(async || ttl("router/planner").is_some()).await;
+    assert_eq!(ttl("router/planner"), Some(SHORT_TTL));
 }
--- a/goldcrestramp-entry/tests/daemon/main.rs
+++ b/goldcrestramp-entry/tests/daemon/main.rs
@@ -1,6 +1,8 @@
-//! The daemon as a process, against small stand-ins of the platform.
+//! Tests the daemon as a process against stand-ins of the store and of
+//! backend servers.
 
 mod callers;
+mod cluster;
 mod configuration;
 mod leases;
 mod limits;
@@ -14,4 +16,3 @@
 mod server;
 mod stop;
 mod store;
-mod world;
--- a/goldcrestramp-entry/tests/daemon/orders.rs
+++ b/goldcrestramp-entry/tests/daemon/orders.rs
@@ -1,61 +1,61 @@
-//! Orders run once at most, and "not run" is true.
+//! Orders run at most once, and a response that states "not run" is true.
 
 use reqwest::Method;
 
 use crate::{
-    server::ServerManner,
-    world::{POOLED, World},
+    cluster::{Cluster, POOLED},
+    server::ServerBehavior,
 };
 
-/// A server runs an order and closes the connection before it answers. The
-/// caller is told nothing that promises "not run", and no server is sent
-/// the order again, though another one is idle.
+/// Guards against an order that runs twice when a server runs it and closes
+/// the connection before the response. The caller gets no response that
+/// promises "not run", and there is no retry although another server is idle.
 #[tokio::test]
-async fn an_order_whose_answer_is_lost_is_sent_once() {
-    let world = World::open(POOLED, 2, 1).await;
-    for server in &world.servers {
-        server.set_manner(ServerManner::LosesAnswers);
+async fn an_order_whose_response_is_lost_is_sent_once() {
+    let cluster = Cluster::start(POOLED, 2, 1).await;
+    for server in &cluster.servers {
+        server.set_behavior(ServerBehavior::DropsResponses);
     }
-    let attempt = world.attempt();
+    let attempt = cluster.next_attempt();
 
-    let request = world.request(0, Method::POST, "/order/1", &attempt);
-    let answer = request.body("one sack of rice").send().await;
+    let request = cluster.request(0, Method::POST, "/order/1", &attempt);
+    let response = request.body("one sack of rice").send().await;
 
-    assert_eq!(answer.expect("an answer").status(), 502);
-    assert_eq!(world.runs_of(&attempt), 1);
+    assert_eq!(response.expect("response arrives").status(), 502);
+    assert_eq!(cluster.executions_of(&attempt), 1);
 }
 
-/// One server states that it did not run the order; the other one does.
-/// The caller gets its answer, and the order has run once.
+/// Guards against a failed order although it may be retried: one server
+/// states that it did not run it, and the other one has capacity.
 #[tokio::test]
-async fn a_shed_order_is_sent_to_another_server() {
-    let world = World::open(POOLED, 2, 1).await;
-    world.servers[0].set_manner(ServerManner::Sheds);
+async fn a_shed_order_is_retried_at_another_server() {
+    let cluster = Cluster::start(POOLED, 2, 1).await;
+    cluster.servers[0].set_behavior(ServerBehavior::Sheds);
     for _ in 0..6 {
-        let attempt = world.attempt();
+        let attempt = cluster.next_attempt();
 
-        let request = world.request(0, Method::POST, "/order/1", &attempt);
-        let answer = request.send().await.expect("an answer");
+        let request = cluster.request(0, Method::POST, "/order/1", &attempt);
+        let response = request.send().await.expect("response arrives");
 
-        assert_eq!(answer.status(), 200);
-        assert_eq!(world.runs_of(&attempt), 1);
+        assert_eq!(response.status(), 200);
+        assert_eq!(cluster.executions_of(&attempt), 1);
     }
 }
 
-/// Every server sheds. The caller is told at once that nothing has run and
-/// when to come back; that is true.
+/// Guards against a refusal without `Retry-After`, or one of an order that
+/// has run, when every server sheds it.
 #[tokio::test]
-async fn an_order_that_nobody_runs_is_refused_with_a_time_to_return() {
-    let world = World::open(POOLED, 2, 1).await;
-    for server in &world.servers {
-        server.set_manner(ServerManner::Sheds);
+async fn an_order_that_every_server_sheds_is_refused_with_retry_after() {
+    let cluster = Cluster::start(POOLED, 2, 1).await;
+    for server in &cluster.servers {
+        server.set_behavior(ServerBehavior::Sheds);
     }
-    let attempt = world.attempt();
+    let attempt = cluster.next_attempt();
 
-    let request = world.request(0, Method::POST, "/order/1", &attempt);
-    let answer = request.send().await.expect("an answer");
+    let request = cluster.request(0, Method::POST, "/order/1", &attempt);
+    let response = request.send().await.expect("response arrives");
 
-    assert_eq!(answer.status(), 503);
-    assert!(answer.headers().contains_key("retry-after"));
-    assert_eq!(world.runs_of(&attempt), 0);
+    assert_eq!(response.status(), 503);
+    assert!(response.headers().contains_key("retry-after"));
+    assert_eq!(cluster.executions_of(&attempt), 0);
 }
--- a/goldcrestramp-entry/tests/daemon/ownership.rs
+++ b/goldcrestramp-entry/tests/daemon/ownership.rs
@@ -1,4 +1,4 @@
-//! Each key has one owner, through losses and moves.
+//! Each key has at most one owner, also when servers fail and keys move.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -7,326 +7,340 @@
 use serde_json::json;
 
 use crate::{
-    relay::{Relay, RelayManner},
-    server::ServerManner,
-    store::StoreStandin,
-    world::{
-        DIVIDED, POOLED, World, configuration, entry, entry_at, eventually,
+    cluster::{
+        Cluster, POOLED, SHARDED, configuration, entry, entry_at, eventually,
     },
+    relay::{Relay, RelayBehavior},
+    server::ServerBehavior,
+    store::StoreStandin,
 };
 
-/// Keys all over the space, far fewer than would make a test slow.
-fn some_keys() -> impl Iterator<Item = u64> {
+/// A sample of keys from the whole key space, few enough for a fast test.
+fn sample_keys() -> impl Iterator<Item = u64> {
     (0..65_536).step_by(4_099)
 }
 
-/// Waits until the second server holds a key; at no time do two.
-async fn wait_moved(world: &World, key: u64) {
+/// Waits until the second server owns a key, and checks that at no time two
+/// servers own it.
+async fn wait_moved(cluster: &Cluster, key: u64) {
     eventually(async || {
-        assert!(world.holders(key) <= 1);
-        world.servers[1].holds(key)
+        assert!(cluster.owners(key) <= 1);
+        cluster.servers[1].owns(key)
     })
     .await;
 }
 
 #[tokio::test]
 async fn every_key_is_served_by_its_only_owner() {
-    let world = World::open(DIVIDED, 3, 2).await;
-    world.wait_served(0, 0).await;
-    for key in some_keys() {
-        world.wait_served(0, key).await;
-        world.wait_served(1, key).await;
+    let cluster = Cluster::start(SHARDED, 3, 2).await;
+    cluster.wait_served(0, 0).await;
+    for key in sample_keys() {
+        cluster.wait_served(0, key).await;
+        cluster.wait_served(1, key).await;
 
-        assert_eq!(world.holders(key), 1);
+        assert_eq!(cluster.owners(key), 1);
     }
 }
 
-/// A server says that it drains. Its keys go to the other one; at no time
-/// do both hold one of them.
+/// Guards against keys that stay with a draining server, or that two servers
+/// own during the move.
 #[tokio::test]
 async fn the_keys_of_a_draining_server_move_to_another() {
-    let world = World::open(DIVIDED, 2, 1).await;
-    world.wait_served(0, 0).await;
-    let draining = entry(&world.servers[0], DIVIDED, "draining");
+    let cluster = Cluster::start(SHARDED, 2, 1).await;
+    cluster.wait_served(0, 0).await;
+    let draining = entry(&cluster.servers[0], SHARDED, "draining");
 
-    world.store.put("servers/server-0", &draining);
+    cluster.store.put("servers/server-0", &draining);
 
-    for key in some_keys() {
-        wait_moved(&world, key).await;
-        world.wait_served(0, key).await;
+    for key in sample_keys() {
+        wait_moved(&cluster, key).await;
+        cluster.wait_served(0, key).await;
     }
 }
 
-/// A server is gone without a word: nobody answers at its address, and its
-/// entry ends. Its keys have no owner until its hold is over; then they
-/// are served by the other one.
+/// Guards against keys that stay without an owner when a server is lost: its
+/// address does not respond and its entry is removed. They have no owner
+/// until its grant expires; then the other server gets them.
 #[tokio::test]
 async fn the_keys_of_a_lost_server_are_served_again() {
-    let world = World::open(DIVIDED, 2, 1).await;
-    world.wait_served(0, 0).await;
+    let cluster = Cluster::start(SHARDED, 2, 1).await;
+    cluster.wait_served(0, 0).await;
 
-    world.servers[0].stop();
-    world.store.remove("servers/server-0");
+    cluster.servers[0].stop_accepting();
+    cluster.store.remove("servers/server-0");
 
-    for key in some_keys() {
-        wait_moved(&world, key).await;
+    for key in sample_keys() {
+        wait_moved(&cluster, key).await;
     }
 }
 
-/// Guards against taking a holder for ended by its predecessor's entry.
+/// Guards against an owner that counts as ended because of an older entry of
+/// its predecessor at the same address.
 #[tokio::test]
 async fn an_older_entry_at_its_address_does_not_end_a_server() {
-    let world = World::open(DIVIDED, 2, 1).await;
-    world.wait_served(0, 0).await;
-    let mut former = entry(&world.servers[0], DIVIDED, "draining");
-    former["born"] = json!(1_600_000_000_000_u64);
+    let cluster = Cluster::start(SHARDED, 2, 1).await;
+    cluster.wait_served(0, 0).await;
+    let mut previous = entry(&cluster.servers[0], SHARDED, "draining");
+    previous["born"] = json!(1_600_000_000_000_u64);
 
-    world.store.put("servers/former", &former);
-    world.store.remove("servers/server-0");
+    cluster.store.put("servers/former", &previous);
+    cluster.store.remove("servers/server-0");
 
-    for key in some_keys() {
-        wait_moved(&world, key).await;
+    for key in sample_keys() {
+        wait_moved(&cluster, key).await;
     }
 }
 
-/// Guards against taking a holder for ended by an earlier run of its own.
+/// Guards against an owner that counts as ended because of an entry of an
+/// earlier instance of the same server.
 #[tokio::test]
-async fn an_older_run_elsewhere_does_not_end_a_server() {
-    let world = World::open(DIVIDED, 2, 1).await;
-    world.wait_served(0, 0).await;
+async fn an_older_instance_elsewhere_does_not_end_a_server() {
+    let cluster = Cluster::start(SHARDED, 2, 1).await;
+    cluster.wait_served(0, 0).await;
     let elsewhere = SocketAddr::from(([127, 0, 0, 1], 1));
-    let mut former = entry_at(elsewhere, DIVIDED, "draining");
-    former["born"] = json!(1_600_000_000_000_u64);
+    let mut previous = entry_at(elsewhere, SHARDED, "draining");
+    previous["born"] = json!(1_600_000_000_000_u64);
 
-    world.store.put("servers/server-0", &former);
+    cluster.store.put("servers/server-0", &previous);
 
-    for key in some_keys() {
-        wait_moved(&world, key).await;
+    for key in sample_keys() {
+        wait_moved(&cluster, key).await;
     }
 }
 
-/// Guards against keys that stay with a server whose address is another's.
+/// Guards against keys that stay with a server whose address now belongs to
+/// another one.
 #[tokio::test]
 async fn a_successor_at_its_address_ends_a_server() {
-    let world = World::open(DIVIDED, 2, 1).await;
-    world.wait_served(0, 0).await;
+    let cluster = Cluster::start(SHARDED, 2, 1).await;
+    cluster.wait_served(0, 0).await;
 
-    let successor = world.servers[0].replace("successor").await;
+    let successor = cluster.servers[0].replace("successor").await;
     let mut later = entry(&successor, POOLED, "ready");
     later["born"] = json!(1_800_000_000_000_u64);
-    world.store.put("servers/successor", &later);
+    cluster.store.put("servers/successor", &later);
 
-    for key in some_keys() {
-        wait_moved(&world, key).await;
+    for key in sample_keys() {
+        wait_moved(&cluster, key).await;
     }
 }
 
-/// Guards against repeats that reach whichever server has the address now.
+/// Guards against retries that reach whichever server has the address now.
 #[tokio::test]
-async fn an_owner_that_denies_its_key_is_asked_once() {
-    let world = World::open(DIVIDED, 2, 1).await;
-    let key = key_of_first(&world).await;
-    world.wait_served(0, key).await;
-    // The grant has long arrived.
+async fn an_owner_that_denies_its_key_gets_one_attempt() {
+    let cluster = Cluster::start(SHARDED, 2, 1).await;
+    let key = key_of_first_server(&cluster).await;
+    cluster.wait_served(0, key).await;
+    // The grant has arrived by then.
     tokio::time::sleep(Duration::from_millis(1_500)).await;
 
-    let successor = world.servers[0].replace("successor").await;
-    let answer = world.ask_key(0, key).await;
+    let successor = cluster.servers[0].replace("successor").await;
+    let response = cluster.get_key(0, key).await;
 
-    assert_eq!(answer.status(), 503);
+    assert_eq!(response.status(), 503);
     assert_eq!(successor.misdirected(), 1);
 }
 
-/// Guards against a new planner that decides by what it knew before.
+/// Guards against a new planner that plans with outdated knowledge of the
+/// store. Until it is up to date it only renews grants.
 #[tokio::test]
 async fn a_planner_that_is_behind_only_renews() {
-    /// Longer than a renewal and than a round of planning.
-    const BEHIND: Duration = Duration::from_secs(2);
-    let world = World::open(DIVIDED, 2, 2).await;
-    world.wait_served(0, 0).await;
-    world.wait_served(1, 0).await;
-    let planner = world.store.get("router/planner").expect("a planner");
+    /// Longer than a renewal interval and a planning round.
+    const STALE_TIME: Duration = Duration::from_secs(2);
+    let cluster = Cluster::start(SHARDED, 2, 2).await;
+    cluster.wait_served(0, 0).await;
+    cluster.wait_served(1, 0).await;
+    let planner =
+        cluster.store.get("router/planner").expect("planner record exists");
     let first = String::from_utf8_lossy(&planner).contains("vm-0");
     let (killed, other) = if first { (0, 1) } else { (1, 0) };
-    let table = world.store.get("router/table/stock").expect("a table");
+    let table =
+        cluster.store.get("router/table/stock").expect("table record exists");
 
-    world.store.hide_from_next_planner();
-    world.nodes[killed].signal(Signal::KILL);
-    let draining = entry(&world.servers[0], DIVIDED, "draining");
-    world.store.put("servers/server-0", &draining);
+    cluster.store.hide_from_next_planner();
+    cluster.nodes[killed].signal(Signal::KILL);
+    let draining = entry(&cluster.servers[0], SHARDED, "draining");
+    cluster.store.put("servers/server-0", &draining);
     eventually(async || {
-        let known = world.store.get("router/planner");
+        let known = cluster.store.get("router/planner");
         known.is_some_and(|known| known != planner)
     })
     .await;
-    let orders = world.servers[0].orders();
-    tokio::time::sleep(BEHIND).await;
-
-    eventually(async || world.servers[0].orders() > orders).await;
-    assert_eq!(world.store.get("router/table/stock"), Some(table));
-    world.store.show_all();
-    for key in some_keys() {
-        wait_moved(&world, key).await;
-        world.wait_served(other, key).await;
+    let orders = cluster.servers[0].orders();
+    tokio::time::sleep(STALE_TIME).await;
+
+    eventually(async || cluster.servers[0].orders() > orders).await;
+    assert_eq!(cluster.store.get("router/table/stock"), Some(table));
+    cluster.store.show_all();
+    for key in sample_keys() {
+        wait_moved(&cluster, key).await;
+        cluster.wait_served(other, key).await;
     }
 }
 
-/// The VM that plans is killed. The other one renews what is assigned, so
-/// every key is served, and plans for a server that leaves then.
+/// Guards against a fleet without a planner when the planning VM is killed.
+/// The other VM renews the grants, so that every key stays served, and moves
+/// the keys of a server that drains then.
 #[tokio::test]
 async fn a_killed_planner_is_replaced() {
-    let world = World::open(DIVIDED, 2, 2).await;
-    world.wait_served(0, 0).await;
-    world.wait_served(1, 0).await;
-    let planner = world.store.get("router/planner").expect("a planner");
+    let cluster = Cluster::start(SHARDED, 2, 2).await;
+    cluster.wait_served(0, 0).await;
+    cluster.wait_served(1, 0).await;
+    let planner =
+        cluster.store.get("router/planner").expect("planner record exists");
     let first = String::from_utf8_lossy(&planner).contains("vm-0");
     let (killed, other) = if first { (0, 1) } else { (1, 0) };
 
-    world.nodes[killed].signal(Signal::KILL);
-    let draining = entry(&world.servers[0], DIVIDED, "draining");
-    world.store.put("servers/server-0", &draining);
+    cluster.nodes[killed].signal(Signal::KILL);
+    let draining = entry(&cluster.servers[0], SHARDED, "draining");
+    cluster.store.put("servers/server-0", &draining);
 
-    for key in some_keys() {
-        wait_moved(&world, key).await;
-        world.wait_served(other, key).await;
+    for key in sample_keys() {
+        wait_moved(&cluster, key).await;
+        cluster.wait_served(other, key).await;
     }
 }
 
-/// A VM claims to plan, the store takes the claim and the answer is lost,
-/// and so is the reading that would tell. The record names a VM that does
-/// not know of it and keeps its lease alive: nobody plans, and no key of a
-/// lost server is ever served again. The VM claims its own record anew.
+/// Guards against a fleet without a planner when the store accepts a claim
+/// but its response is lost, and so is the read that would show it. The record
+/// names a VM that does not know of it and renews its lease, so nobody plans.
+/// The VM must claim its own record again.
 #[tokio::test]
-async fn a_claim_whose_answer_was_lost_is_taken_up() {
+async fn a_claim_whose_response_was_lost_is_made_again() {
     let store = StoreStandin::spawn().await;
     store.lose_claim();
 
-    let world = World::open_on(store, DIVIDED, 2, 1).await;
+    let cluster = Cluster::start_on(store, SHARDED, 2, 1).await;
 
-    for key in some_keys() {
-        world.wait_served(0, key).await;
+    for key in sample_keys() {
+        cluster.wait_served(0, key).await;
     }
 }
 
-/// The store is away when the planning VM is stopped on a plan. Nobody can
-/// take its place, so if it stopped renewing holds at once, every key would
-/// lose its owner a hold later, in the middle of a rolling restart.
+/// Guards against keys that lose their owners in a rolling restart while the
+/// store is unreachable: no other VM can become the planner, so the stopped
+/// one must go on renewing, or all grants expire one grant duration later.
 #[tokio::test]
-async fn a_planner_that_leaves_renews_while_the_store_is_away() {
-    /// After this a VM knows that the store is silent.
-    const SILENCE: Duration = Duration::from_millis(1_600);
-    /// Orders that were under way at the stop have ended by then.
-    const UNDER_WAY: Duration = Duration::from_millis(800);
+async fn a_draining_planner_renews_while_the_store_is_unreachable() {
+    /// The time within which a VM detects that the store does not respond.
+    const DETECTION_TIME: Duration = Duration::from_millis(1_600);
+    /// The time after which orders that were in flight at the stop have
+    /// ended.
+    const IN_FLIGHT_TIME: Duration = Duration::from_millis(800);
     let mut store = StoreStandin::spawn().await;
     let relay = Relay::spawn(store.address).await;
     store.address = relay.address;
-    let world = World::open_on(store, DIVIDED, 1, 1).await;
-    world.wait_served(0, 0).await;
-    relay.set(RelayManner::Silent);
-    tokio::time::sleep(SILENCE).await;
+    let cluster = Cluster::start_on(store, SHARDED, 1, 1).await;
+    cluster.wait_served(0, 0).await;
+    relay.set_behavior(RelayBehavior::Silent);
+    tokio::time::sleep(DETECTION_TIME).await;
 
-    world.nodes[0].signal(Signal::TERM);
+    cluster.nodes[0].signal(Signal::TERM);
 
-    tokio::time::sleep(UNDER_WAY).await;
-    let before = world.servers[0].orders();
-    eventually(async || world.servers[0].orders() > before).await;
+    tokio::time::sleep(IN_FLIGHT_TIME).await;
+    let before = cluster.servers[0].orders();
+    eventually(async || cluster.servers[0].orders() > before).await;
 }
 
-/// A world of two servers with routes that wait for a long time, a safe and
-/// an unsafe one.
-async fn patient_world() -> World {
-    let world = World::open(DIVIDED, 2, 1).await;
-    world.wait_served(0, 0).await;
-    let mut patient = configuration(2, None);
-    let mut route = patient["routes"]["stock"].clone();
+/// A cluster of two servers with two routes that have a long timeout: a safe
+/// and an unsafe one.
+async fn long_timeout_cluster() -> Cluster {
+    let cluster = Cluster::start(SHARDED, 2, 1).await;
+    cluster.wait_served(0, 0).await;
+    let mut changed = configuration(2, None);
+    let mut route = changed["routes"]["stock"].clone();
     route["timeout"] = json!("25000ms");
     route["path_prefix"] = json!("/look/");
-    patient["routes"]["look"] = route.clone();
+    changed["routes"]["look"] = route.clone();
     route["path_prefix"] = json!("/take/");
     route["kind"] = json!("unsafe");
-    patient["routes"]["take"] = route;
-    world.store.put("op/config", &patient);
-    let known = async || world.get(0, "/take/rice").await.status() != 404;
+    changed["routes"]["take"] = route;
+    cluster.store.put("op/config", &changed);
+    let known = async || cluster.get(0, "/take/rice").await.status() != 404;
     eventually(known).await;
-    world
+    cluster
 }
 
-/// A key that the first server owns.
-async fn key_of_first(world: &World) -> u64 {
+/// Returns a key that the first server owns.
+async fn key_of_first_server(cluster: &Cluster) -> u64 {
     let mut key = None;
     eventually(async || {
-        key = some_keys().find(|key| world.servers[0].holds(*key));
+        key = sample_keys().find(|key| cluster.servers[0].owns(*key));
         key.is_some()
     })
     .await;
-    key.expect("it was found")
+    key.expect("key was found")
 }
 
-/// Has a request hang at the first server, then moves its key to the second.
-async fn ask_while_key_moves(
-    world: &World,
+/// Sends a request that hangs at the first server, then moves its key to the
+/// second one.
+async fn request_while_key_moves(
+    cluster: &Cluster,
     path: &str,
     attempt: &str,
     deadline_ms: u32,
 ) -> Response {
-    let key = key_of_first(world).await;
-    world.servers[0].set_manner(ServerManner::Hangs);
+    let key = key_of_first_server(cluster).await;
+    cluster.servers[0].set_behavior(ServerBehavior::Hangs);
     let mut deadline = HeaderMap::new();
     deadline.insert("x-deadline-ms", deadline_ms.into());
-    let request = world
+    let request = cluster
         .request(0, Method::GET, path, attempt)
         .headers(deadline)
         .header("X-Shard-Key", key.to_string());
-    let asked = tokio::spawn(request.send());
-    eventually(async || world.servers[0].hung() > 0).await;
+    let pending = tokio::spawn(request.send());
+    eventually(async || cluster.servers[0].hung() > 0).await;
 
-    let draining = entry(&world.servers[0], DIVIDED, "draining");
-    world.store.put("servers/server-0", &draining);
+    let draining = entry(&cluster.servers[0], SHARDED, "draining");
+    cluster.store.put("servers/server-0", &draining);
 
-    wait_moved(world, key).await;
-    let answer = asked.await.expect("it ends");
-    answer.expect("an answer")
+    wait_moved(cluster, key).await;
+    let response = pending.await.expect("request task does not panic");
+    response.expect("response arrives")
 }
 
-/// Guards against lookups that wait for a former owner until their deadline.
+/// Guards against lookups that wait for a previous owner until their deadline.
 #[tokio::test]
-async fn a_lookup_without_an_answer_goes_to_the_next_owner() {
-    let world = patient_world().await;
-    let attempt = world.attempt();
+async fn a_lookup_without_a_response_is_retried_at_the_next_owner() {
+    let cluster = long_timeout_cluster().await;
+    let attempt = cluster.next_attempt();
 
-    let asked = ask_while_key_moves(&world, "/look/rice", &attempt, 25_000);
-    let answer = asked.await;
+    let pending =
+        request_while_key_moves(&cluster, "/look/rice", &attempt, 25_000);
+    let response = pending.await;
 
-    assert_eq!(answer.status(), 200);
-    assert_eq!(answer.text().await.expect("a body"), "server-1");
+    assert_eq!(response.status(), 200);
+    assert_eq!(response.text().await.expect("body is received"), "server-1");
 }
 
-/// Guards against an order that runs at two owners of its key.
+/// Guards against an order that runs at two successive owners of its key.
 #[tokio::test]
-async fn an_order_without_an_answer_goes_to_no_other_owner() {
-    let world = patient_world().await;
-    let attempt = world.attempt();
+async fn an_order_without_a_response_is_not_retried_at_the_next_owner() {
+    let cluster = long_timeout_cluster().await;
+    let attempt = cluster.next_attempt();
 
-    let asked = ask_while_key_moves(&world, "/take/rice", &attempt, 5_000);
-    let answer = asked.await;
+    let pending =
+        request_while_key_moves(&cluster, "/take/rice", &attempt, 5_000);
+    let response = pending.await;
 
-    assert_eq!(answer.status(), 504);
-    assert_eq!(world.runs_of(&attempt), 0);
+    assert_eq!(response.status(), 504);
+    assert_eq!(cluster.executions_of(&attempt), 0);
 }
 
-/// Guards against callers that return before their key can have an owner.
+/// Guards against callers that retry before their key can have an owner.
 #[tokio::test]
-async fn a_caller_without_an_owner_is_told_to_return_after_a_second() {
-    let world = World::open(DIVIDED, 1, 1).await;
-    world.wait_served(0, 0).await;
-    let draining = entry(&world.servers[0], DIVIDED, "draining");
-    world.store.put("servers/server-0", &draining);
-    eventually(async || world.holders(0) == 0).await;
-
-    let answer = world.ask_key(0, 0).await;
-
-    assert_eq!(answer.status(), 503);
-    let after = answer.headers()["retry-after"].to_str().expect("a text");
-    let seconds: f64 = after.parse().expect("seconds");
+async fn a_refusal_without_an_owner_has_retry_after_of_a_second() {
+    let cluster = Cluster::start(SHARDED, 1, 1).await;
+    cluster.wait_served(0, 0).await;
+    let draining = entry(&cluster.servers[0], SHARDED, "draining");
+    cluster.store.put("servers/server-0", &draining);
+    eventually(async || cluster.owners(0) == 0).await;
+
+    let response = cluster.get_key(0, 0).await;
+
+    assert_eq!(response.status(), 503);
+    let after =
+        response.headers()["retry-after"].to_str().expect("header is ASCII");
+    let seconds: f64 = after.parse().expect("header is a number");
     assert!((1.0..=2.0).contains(&seconds), "{seconds}");
 }
--- a/goldcrestramp-entry/tests/daemon/server.rs
+++ b/goldcrestramp-entry/tests/daemon/server.rs
@@ -1,4 +1,4 @@
-//! A stand-in of a backend server that misbehaves on demand.
+//! A stand-in of a backend server that fails on demand.
 
 use std::{
     collections::HashMap,
@@ -16,246 +16,263 @@
     time::timeout,
 };
 
-/// What a server does with requests.
+/// How a server handles requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum ServerManner {
-    /// It runs and answers them, after this time.
-    Works(Duration),
-    /// It runs them, and answers once it works again.
-    Holds,
-    /// It runs them and closes the connection in place of an answer.
-    LosesAnswers,
-    /// It runs them and breaks off in the middle of each answer.
-    BreaksOff,
-    /// It is full, and resets the connection in place of an answer.
+pub enum ServerBehavior {
+    /// It runs them and responds after this time.
+    Responds(Duration),
+    /// It runs them and withholds the responses until its behavior changes.
+    Withholds,
+    /// It runs them and closes the connection without a response.
+    DropsResponses,
+    /// It runs them and closes the connection in the middle of each response.
+    Truncates,
+    /// It is overloaded: it resets the connection without running them.
     Resets,
-    /// It states that it did not run them.
+    /// It sheds load: it responds that it did not run them.
     Sheds,
-    /// It answers with the id of another request.
-    MixesUp,
-    /// It is full, and answers nothing on the connection any more.
+    /// It runs them and responds with the id of another request.
+    WrongId,
+    /// It is overloaded: it neither runs them nor ever responds on their
+    /// connection.
     Hangs,
 }
 
 #[derive(Debug)]
 struct ServerState {
-    manner: ServerManner,
-    /// How often each attempt was run.
-    runs: HashMap<String, u32>,
-    /// Runs of keys with the end of their hold.
-    holds: Vec<(u64, u64, Instant)>,
-    /// Runs of keys with the tokens seen on them.
-    seen: Vec<(u64, u64, u64)>,
-    divided: bool,
-    /// Requests whose caller left while their answer was held back.
+    behavior: ServerBehavior,
+    /// The number of executions by attempt id.
+    executions: HashMap<String, u32>,
+    /// Owned key ranges (first, last) with the expiry of their grant.
+    grants: Vec<(u64, u64, Instant)>,
+    /// Key ranges (first, last) with the tokens of the orders for them.
+    seen_tokens: Vec<(u64, u64, u64)>,
+    sharded: bool,
+    /// Requests whose caller disconnected while the response was withheld.
     abandoned: u32,
-    /// Requests that it did not run as it was full.
+    /// Requests that it did not run but ended with a reset.
     resets: u32,
-    /// Requests that it neither ran nor answered.
+    /// Requests that it neither ran nor responded to.
     hung: u32,
-    /// Requests that were meant for another server or key.
+    /// Requests for another server, or for a key that it does not own.
     misdirected: u32,
-    /// The limit that it names in its answers.
+    /// The rate limit that it states in its responses.
     limit: Option<String>,
-    /// When requests came while it named one.
-    limited: Vec<Instant>,
+    /// The arrival times of requests while it states a limit.
+    limited_at: Vec<Instant>,
 }
 
-/// A backend server; it ends with the test, or when it is stopped.
+/// A backend server that runs until the test ends or it is stopped.
 #[derive(Debug)]
 pub struct ServerStandin {
     pub address: SocketAddr,
     state: Arc<Mutex<ServerState>>,
     task: JoinHandle<()>,
-    links: Arc<Mutex<JoinSet<()>>>,
+    connections: Arc<Mutex<JoinSet<()>>>,
 }
 
 impl ServerStandin {
-    pub async fn spawn(id: &str, divided: bool) -> Self {
+    pub async fn spawn(id: &str, sharded: bool) -> Self {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        Self::spawn_at(any, id, divided).await
+        Self::spawn_at(any, id, sharded).await
     }
 
-    async fn spawn_at(place: SocketAddr, id: &str, divided: bool) -> Self {
-        let listener = TcpListener::bind(place).await.expect("a port");
-        let address = listener.local_addr().expect("an address");
+    async fn spawn_at(
+        bind_address: SocketAddr,
+        id: &str,
+        sharded: bool,
+    ) -> Self {
+        let listener =
+            TcpListener::bind(bind_address).await.expect("port binds");
+        let address = listener.local_addr().expect("listener has an address");
         let state = Arc::new(Mutex::new(ServerState {
-            manner: ServerManner::Works(Duration::ZERO),
-            runs: HashMap::new(),
-            holds: Vec::new(),
-            seen: Vec::new(),
-            divided,
+            behavior: ServerBehavior::Responds(Duration::ZERO),
+            executions: HashMap::new(),
+            grants: Vec::new(),
+            seen_tokens: Vec::new(),
+            sharded,
             abandoned: 0,
             resets: 0,
             hung: 0,
             misdirected: 0,
             limit: None,
-            limited: Vec::new(),
+            limited_at: Vec::new(),
         }));
-        let (known, name) = (Arc::clone(&state), id.to_owned());
-        let links = Arc::new(Mutex::new(JoinSet::new()));
-        let opened = Arc::clone(&links);
+        let (task_state, task_id) = (Arc::clone(&state), id.to_owned());
+        let connections = Arc::new(Mutex::new(JoinSet::new()));
+        let task_connections = Arc::clone(&connections);
         let task = tokio::spawn(async move {
             loop {
-                let (stream, _) = listener.accept().await.expect("a caller");
-                let (state, id) = (Arc::clone(&known), name.clone());
-                opened.lock().expect("no handler panics").spawn(async move {
-                    // Callers may leave at any time.
-                    let _left = serve(stream, &state, &id).await;
-                });
+                let (stream, _) =
+                    listener.accept().await.expect("accept succeeds");
+                let (state, id) = (Arc::clone(&task_state), task_id.clone());
+                task_connections.lock().expect("lock is not poisoned").spawn(
+                    async move {
+                        // Callers may disconnect at any time.
+                        let _left = serve(stream, &state, &id).await;
+                    },
+                );
             }
         });
-        Self { address, state, task, links }
+        Self { address, state, task, connections }
     }
 
-    pub fn set_manner(&self, manner: ServerManner) {
-        self.lock().manner = manner;
+    pub fn set_behavior(&self, behavior: ServerBehavior) {
+        self.lock().behavior = behavior;
     }
 
-    /// Names a limit in its answers from now on, or no longer.
+    /// Sets the rate limit that it states in its responses, if any.
     #[allow(dead_code, reason = "not every test binary does")]
-    pub fn name_limit(&self, limit: Option<&str>) {
+    pub fn set_limit(&self, limit: Option<&str>) {
         let mut state = self.lock();
         state.limit = limit.map(str::to_owned);
-        state.limited.clear();
+        state.limited_at.clear();
     }
 
-    /// The most requests that came in so long a time, later than `settled`
-    /// after a limit was named.
+    /// The maximum number of requests within any `window` that begins at or
+    /// after `settled`, of those that arrived while it stated a limit.
     #[allow(dead_code, reason = "not every test binary asks")]
-    pub fn most_limited(&self, settled: Instant, span: Duration) -> usize {
+    pub fn max_requests_within(
+        &self,
+        settled: Instant,
+        window: Duration,
+    ) -> usize {
         let state = self.lock();
-        let mut came = state.limited.clone();
-        came.retain(|moment| *moment >= settled);
-        let within = |begin: &Instant| {
+        let mut arrivals = state.limited_at.clone();
+        arrivals.retain(|moment| *moment >= settled);
+        let within = |start: &Instant| {
             let inside = |moment: &&Instant| {
-                **moment >= *begin && moment.duration_since(*begin) < span
+                **moment >= *start && moment.duration_since(*start) < window
             };
-            came.iter().filter(inside).count()
+            arrivals.iter().filter(inside).count()
         };
-        came.iter().map(within).max().unwrap_or(0)
+        arrivals.iter().map(within).max().unwrap_or(0)
     }
 
-    /// How often an attempt was run.
-    pub fn runs_of(&self, attempt: &str) -> u32 {
-        self.lock().runs.get(attempt).copied().unwrap_or(0)
+    /// The number of executions of an attempt.
+    pub fn executions_of(&self, attempt: &str) -> u32 {
+        self.lock().executions.get(attempt).copied().unwrap_or(0)
     }
 
-    pub fn runs(&self) -> u32 {
-        self.lock().runs.values().sum()
+    pub fn executions(&self) -> u32 {
+        self.lock().executions.values().sum()
     }
 
-    /// Requests whose caller left while their answer was held back.
+    /// Requests whose caller disconnected while the response was withheld.
     #[allow(dead_code, reason = "not every test binary asks")]
     pub fn abandoned(&self) -> u32 {
         self.lock().abandoned
     }
 
-    /// Requests that it did not run as it was full.
+    /// Requests that it did not run but ended with a reset.
     #[allow(dead_code, reason = "not every test binary asks")]
     pub fn resets(&self) -> u32 {
         self.lock().resets
     }
 
-    /// Requests that it neither ran nor answered.
+    /// Requests that it neither ran nor responded to.
     #[allow(dead_code, reason = "not every test binary asks")]
     pub fn hung(&self) -> u32 {
         self.lock().hung
     }
 
-    /// Grants and releases that it has taken.
+    /// The number of grants and releases that it has accepted.
     pub fn orders(&self) -> usize {
-        self.lock().seen.len()
+        self.lock().seen_tokens.len()
     }
 
-    /// Takes no more connections.
-    pub fn stop(&self) {
+    /// Stops accepting connections.
+    pub fn stop_accepting(&self) {
         self.task.abort();
     }
 
-    /// Ends: nothing is taken any more, and nothing is held.
+    /// Stops accepting connections and gives up the ownership of all keys.
     #[allow(dead_code, reason = "not every test binary ends one")]
-    pub fn end(&self) {
-        self.stop();
-        self.lock().holds.clear();
+    pub fn shut_down(&self) {
+        self.stop_accepting();
+        self.lock().grants.clear();
     }
 
-    /// Ends without a word; a server of a service that is not divided gets
-    /// its address.
+    /// Ends without a notice to anybody, and starts a server of a service that
+    /// is not sharded at the same address.
     #[allow(dead_code, reason = "not every test binary replaces one")]
     pub async fn replace(&self, id: &str) -> Self {
-        self.end();
-        self.links.lock().expect("no handler panics").abort_all();
+        self.shut_down();
+        self.connections.lock().expect("lock is not poisoned").abort_all();
         while !self.task.is_finished() {
             tokio::task::yield_now().await;
         }
         Self::spawn_at(self.address, id, false).await
     }
 
-    /// Requests that were meant for another server or key.
+    /// Requests for another server, or for a key that it does not own.
     #[allow(dead_code, reason = "not every test binary asks")]
     pub fn misdirected(&self) -> u32 {
         self.lock().misdirected
     }
 
-    /// Whether it holds a key now.
-    pub fn holds(&self, key: u64) -> bool {
-        self.lock().holds(key)
+    /// Whether it owns a key now.
+    pub fn owns(&self, key: u64) -> bool {
+        self.lock().owns(key)
     }
 
     fn lock(&self) -> MutexGuard<'_, ServerState> {
-        self.state.lock().expect("no handler panics")
+        self.state.lock().expect("lock is not poisoned")
     }
 }
 
 impl ServerState {
-    fn holds(&self, key: u64) -> bool {
+    fn owns(&self, key: u64) -> bool {
         let now = Instant::now();
-        let mut holds = self.holds.iter();
-        holds.any(|(first, last, until)| {
+        let mut grants = self.grants.iter();
+        grants.any(|(first, last, until)| {
             (*first..=*last).contains(&key) && *until > now
         })
     }
 
-    /// Whether a higher token was seen on one of the keys.
+    /// Whether an order with a higher token was accepted for one of the keys.
     fn is_outdated(&self, order: &Value) -> bool {
         let (first, last) = bounds(order);
-        let token = order["fence"].as_u64().expect("a token");
-        let mut seen = self.seen.iter();
-        seen.any(|(from, to, known)| {
+        let token = order["fence"].as_u64().expect("order has a token");
+        let mut seen_tokens = self.seen_tokens.iter();
+        seen_tokens.any(|(from, to, known)| {
             *from <= last && first <= *to && *known > token
         })
     }
 
     fn grant(&mut self, order: &Value) {
         let (first, last) = bounds(order);
-        let span = order["hold_time"].as_str().expect("a span");
-        let span = span.trim_end_matches("ms").parse().expect("a number");
-        let until = Instant::now() + Duration::from_millis(span);
+        let duration =
+            order["hold_time"].as_str().expect("duration is a string");
+        let duration = duration
+            .trim_end_matches("ms")
+            .parse()
+            .expect("duration is in milliseconds");
+        let until = Instant::now() + Duration::from_millis(duration);
         self.release(order);
-        self.holds.push((first, last, until));
+        self.grants.push((first, last, until));
     }
 
     fn release(&mut self, order: &Value) {
         let (first, last) = bounds(order);
-        let held = std::mem::take(&mut self.holds);
-        for (from, to, until) in held {
+        let previous_grants = std::mem::take(&mut self.grants);
+        for (from, to, until) in previous_grants {
             if from < first {
-                self.holds.push((from, to.min(first - 1), until));
+                self.grants.push((from, to.min(first - 1), until));
             }
             if to > last {
-                self.holds.push((from.max(last + 1), to, until));
+                self.grants.push((from.max(last + 1), to, until));
             }
         }
     }
 }
 
 fn bounds(order: &Value) -> (u64, u64) {
-    let first = order["from"].as_u64().expect("a key");
-    (first, order["target"].as_u64().expect("a key"))
+    let first = order["from"].as_u64().expect("order has a range");
+    (first, order["target"].as_u64().expect("order has a range"))
 }
 
-/// One request as it was read.
+/// A request that was read completely.
 struct ReadRequest {
     path: String,
     headers: HashMap<String, String>,
@@ -298,12 +315,12 @@
             return socket.set_linger(Some(Duration::ZERO));
         }
         if hangs(state, &request) {
-            // The caller's leaving ends the read.
+            // The read ends when the caller disconnects.
             let mut rest = Vec::new();
             stream.read_to_end(&mut rest).await?;
             return Ok(());
         }
-        let (head, wait, close) = answer(state, id, &request);
+        let (head, wait, close) = respond(state, id, &request);
         tokio::time::sleep(wait).await;
         wait_released(&mut stream, state).await?;
         stream.get_mut().write_all(head.as_bytes()).await?;
@@ -314,10 +331,11 @@
     Ok(())
 }
 
-/// Whether a request of a caller ends with a reset of its connection.
+/// Whether a request is to end with a reset of its connection. Orders are
+/// never reset.
 fn is_reset(state: &Mutex<ServerState>, request: &ReadRequest) -> bool {
-    let mut state = state.lock().expect("no handler panics");
-    let resets = state.manner == ServerManner::Resets
+    let mut state = state.lock().expect("lock is not poisoned");
+    let resets = state.behavior == ServerBehavior::Resets
         && !request.path.starts_with("/v1/");
     if resets {
         state.resets += 1;
@@ -325,10 +343,10 @@
     resets
 }
 
-/// Whether a request of a caller is never answered.
+/// Whether a request is never to get a response. Orders always get one.
 fn hangs(state: &Mutex<ServerState>, request: &ReadRequest) -> bool {
-    let mut state = state.lock().expect("no handler panics");
-    let hangs = state.manner == ServerManner::Hangs
+    let mut state = state.lock().expect("lock is not poisoned");
+    let hangs = state.behavior == ServerBehavior::Hangs
         && !request.path.starts_with("/v1/");
     if hangs {
         state.hung += 1;
@@ -336,42 +354,42 @@
     hangs
 }
 
-/// Waits while answers are held back; an error if the caller leaves.
+/// Waits while responses are withheld; fails if the caller disconnects.
 async fn wait_released(
     stream: &mut BufReader<TcpStream>,
     state: &Mutex<ServerState>,
 ) -> std::io::Result<()> {
-    let holds = || {
-        let state = state.lock().expect("no handler panics");
-        state.manner == ServerManner::Holds
+    let withholds = || {
+        let state = state.lock().expect("lock is not poisoned");
+        state.behavior == ServerBehavior::Withholds
     };
-    while holds() {
+    while withholds() {
         let pause = Duration::from_millis(10);
         if let Ok(read) = timeout(pause, stream.fill_buf()).await
             && read?.is_empty()
         {
-            state.lock().expect("no handler panics").abandoned += 1;
+            state.lock().expect("lock is not poisoned").abandoned += 1;
             return Err(std::io::ErrorKind::UnexpectedEof.into());
         }
     }
     Ok(())
 }
 
-/// The bytes of the answer, the time until it, and whether the connection
-/// ends.
-fn answer(
+/// Returns the response as text, the delay before it, and whether the
+/// connection is closed after it.
+fn respond(
     state: &Mutex<ServerState>,
     id: &str,
     request: &ReadRequest,
 ) -> (String, Duration, bool) {
-    let mut state = state.lock().expect("no handler panics");
+    let mut state = state.lock().expect("lock is not poisoned");
     let header = |name: &str| request.headers.get(name).cloned();
     let attempt = header("x-attempt-id").unwrap_or_default();
     let echo = format!("X-Attempt-Id: {attempt}\r\n");
     let refusal = "X-Not-Executed: 1\r\n";
     let order = request.path.starts_with("/v1/");
-    // A server of a service that is not divided knows no orders.
-    if order && !state.divided {
+    // A server of a service that is not sharded accepts no orders.
+    if order && !state.sharded {
         let head = response("400 Bad Request", "", "");
         return (head, Duration::ZERO, false);
     }
@@ -381,15 +399,16 @@
         return (head, Duration::ZERO, false);
     }
     if order {
-        let order = serde_json::from_slice(&request.body).expect("an order");
+        let order =
+            serde_json::from_slice(&request.body).expect("order is JSON");
         let grant = request.path == "/v1/grant";
         if grant && state.is_outdated(&order) {
             let head = response("409 Conflict", "", "");
             return (head, Duration::ZERO, false);
         }
         let (first, last) = bounds(&order);
-        let token = order["fence"].as_u64().expect("a token");
-        state.seen.push((first, last, token));
+        let token = order["fence"].as_u64().expect("order has a token");
+        state.seen_tokens.push((first, last, token));
         if grant {
             state.grant(&order);
         } else {
@@ -398,39 +417,43 @@
         return (response("200 OK", "", ""), Duration::ZERO, false);
     }
     if state.limit.is_some() {
-        state.limited.push(Instant::now());
+        state.limited_at.push(Instant::now());
     }
     let key = header("x-shard-key").and_then(|text| text.parse().ok());
-    if state.divided && !key.is_some_and(|key| state.holds(key)) {
+    if state.sharded && !key.is_some_and(|key| state.owns(key)) {
         state.misdirected += 1;
         let head = response("421 Misdirected Request", refusal, "");
         return (head, Duration::ZERO, false);
     }
-    if state.manner == ServerManner::Sheds {
+    if state.behavior == ServerBehavior::Sheds {
         let headers = format!("{echo}{refusal}");
         let head = response("503 Service Unavailable", &headers, "");
         return (head, Duration::ZERO, false);
     }
-    *state.runs.entry(attempt).or_default() += 1;
+    *state.executions.entry(attempt).or_default() += 1;
     let stamp = format!("X-Response-Stamp: by-{id}\r\n");
     let limit = state.limit.as_ref();
     let limit = limit.map(|limit| format!("Server-Limit: {limit}\r\n"));
     let limit = limit.unwrap_or_default();
-    let whole = response("200 OK", &format!("{echo}{stamp}{limit}"), id);
-    match state.manner {
-        ServerManner::LosesAnswers => (String::new(), Duration::ZERO, true),
-        ServerManner::BreaksOff => {
-            let half = whole[..whole.len() - 1].to_owned();
-            (half, Duration::ZERO, true)
+    let complete = response("200 OK", &format!("{echo}{stamp}{limit}"), id);
+    match state.behavior {
+        ServerBehavior::DropsResponses => {
+            (String::new(), Duration::ZERO, true)
         }
-        ServerManner::MixesUp => {
+        ServerBehavior::Truncates => {
+            let truncated = complete[..complete.len() - 1].to_owned();
+            (truncated, Duration::ZERO, true)
+        }
+        ServerBehavior::WrongId => {
             let headers = format!("X-Attempt-Id: another\r\n{stamp}");
             (response("200 OK", &headers, id), Duration::ZERO, false)
         }
-        ServerManner::Works(wait) => (whole, wait, false),
-        ServerManner::Holds => (whole, Duration::ZERO, false),
-        ServerManner::Sheds | ServerManner::Resets | ServerManner::Hangs => {
-            unreachable!("answered above")
+        ServerBehavior::Responds(wait) => (complete, wait, false),
+        ServerBehavior::Withholds => (complete, Duration::ZERO, false),
+        ServerBehavior::Sheds
+        | ServerBehavior::Resets
+        | ServerBehavior::Hangs => {
+            unreachable!("handled above")
         }
     }
 }
--- a/goldcrestramp-entry/tests/daemon/stop.rs
+++ b/goldcrestramp-entry/tests/daemon/stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts nothing.
+//! A planned stop or a reload interrupts no request.
 
 use std::time::Duration;
 
@@ -7,117 +7,127 @@
 use tokio::io::AsyncReadExt;
 
 use crate::{
-    relay::{Relay, RelayManner},
-    server::ServerManner,
+    cluster::{Cluster, POOLED, eventually},
+    relay::{Relay, RelayBehavior},
+    server::ServerBehavior,
     store::StoreStandin,
-    world::{POOLED, World, eventually},
 };
 
-/// SIGTERM comes while an order is at its server. Its caller gets the
-/// answer, is asked to connect elsewhere, and the process then ends.
+/// Guards against lost responses on SIGTERM. The response of an order in
+/// flight is delivered with `Connection: close`, and the process then exits
+/// successfully.
 #[tokio::test]
-async fn a_stopped_daemon_finishes_what_it_has_read() {
-    let mut world = World::open(POOLED, 1, 1).await;
+async fn a_stopped_daemon_completes_the_requests_it_has_read() {
+    let mut cluster = Cluster::start(POOLED, 1, 1).await;
     let work = Duration::from_millis(1_500);
-    world.servers[0].set_manner(ServerManner::Works(work));
-    let attempt = world.attempt();
-    let request = world.request(0, Method::POST, "/order/1", &attempt);
+    cluster.servers[0].set_behavior(ServerBehavior::Responds(work));
+    let attempt = cluster.next_attempt();
+    let request = cluster.request(0, Method::POST, "/order/1", &attempt);
     let sent = tokio::spawn(request.send());
-    eventually(async || world.runs_of(&attempt) == 1).await;
+    eventually(async || cluster.executions_of(&attempt) == 1).await;
 
-    world.nodes[0].signal(Signal::TERM);
+    cluster.nodes[0].signal(Signal::TERM);
 
-    let answer = sent.await.expect("no panic").expect("an answer");
-    assert_eq!(answer.status(), 200);
-    assert_eq!(answer.headers()["connection"], "close");
-    assert!(world.nodes[0].ended().await.success());
+    let response = sent
+        .await
+        .expect("request task does not panic")
+        .expect("response arrives");
+    assert_eq!(response.status(), 200);
+    assert_eq!(response.headers()["connection"], "close");
+    assert!(cluster.nodes[0].wait_for_exit().await.success());
 }
 
-/// SIGHUP reads the settings again; callers notice nothing.
+/// Guards against requests that fail when SIGHUP reloads the settings.
 #[tokio::test]
-async fn a_reload_cuts_nothing() {
-    let world = World::open(POOLED, 1, 1).await;
+async fn a_reload_interrupts_no_request() {
+    let cluster = Cluster::start(POOLED, 1, 1).await;
 
-    world.nodes[0].signal(Signal::HUP);
+    cluster.nodes[0].signal(Signal::HUP);
 
     for _ in 0..5 {
-        assert_eq!(world.get(0, "/list/all").await.status(), 200);
+        assert_eq!(cluster.get(0, "/list/all").await.status(), 200);
     }
 }
 
-/// A process starts, and its settings change at once. A signal that comes
-/// before the process handles it ends the process, and callers find nobody
-/// until it is started again.
+/// Guards against a SIGHUP that terminates a starting process. This happens
+/// if the signal arrives before its handler is installed; the VM then serves
+/// nobody until it is restarted.
 #[tokio::test]
-async fn a_reload_during_the_start_ends_nothing() {
-    let mut world = World::open(POOLED, 1, 1).await;
+async fn a_reload_during_the_start_does_not_end_the_process() {
+    let mut cluster = Cluster::start(POOLED, 1, 1).await;
     for _turn in 0..30 {
-        world.nodes[0].restart();
-        let ready = world.nodes[0].ready;
-        // At the first moment at which the process shows: it has not
-        // bound all of its addresses by then.
+        cluster.nodes[0].restart();
+        let ready = cluster.nodes[0].ready;
+        // The readiness port is the earliest visible sign of the process:
+        // it has not bound all of its addresses by then.
         while std::net::TcpStream::connect(ready).is_err() {}
 
-        world.nodes[0].signal(Signal::HUP);
+        cluster.nodes[0].signal(Signal::HUP);
         tokio::time::sleep(Duration::from_millis(30)).await;
 
-        assert!(world.nodes[0].runs());
+        assert!(cluster.nodes[0].is_running());
     }
 }
 
-/// A lookup is at a server when SIGTERM comes, and takes longer than
-/// answers on its route usually do. Given up for another server, the work
-/// is done twice, and ends as a failure when the other one has no time
-/// left; the VM that leaves waits for the answer that is on the way.
+/// Guards against a draining VM that abandons a slow attempt for one at
+/// another server: the work is done twice, and the request fails if the other
+/// server has too little time. The VM waits for the response in flight.
 #[tokio::test]
-async fn a_leaving_daemon_gives_up_no_work_that_is_under_way() {
-    let world = World::open(POOLED, 2, 1).await;
+async fn a_draining_daemon_abandons_no_request_in_flight() {
+    let cluster = Cluster::start(POOLED, 2, 1).await;
     let work = Duration::from_millis(1_500);
-    for server in &world.servers {
-        server.set_manner(ServerManner::Works(work));
+    for server in &cluster.servers {
+        server.set_behavior(ServerBehavior::Responds(work));
     }
-    let attempt = world.attempt();
-    let request = world.request(0, Method::GET, "/list/all", &attempt);
+    let attempt = cluster.next_attempt();
+    let request = cluster.request(0, Method::GET, "/list/all", &attempt);
     let sent = tokio::spawn(request.send());
-    eventually(async || world.runs_of(&attempt) == 1).await;
+    eventually(async || cluster.executions_of(&attempt) == 1).await;
 
-    world.nodes[0].signal(Signal::TERM);
+    cluster.nodes[0].signal(Signal::TERM);
 
-    let answer = sent.await.expect("no panic").expect("an answer");
-    assert_eq!(answer.status(), 200);
-    assert_eq!(world.runs_of(&attempt), 1);
+    let response = sent
+        .await
+        .expect("request task does not panic")
+        .expect("response arrives");
+    assert_eq!(response.status(), 200);
+    assert_eq!(cluster.executions_of(&attempt), 1);
 }
 
-/// The store has just fallen silent when the VM is stopped, so its lease
-/// can't be ended. If that is waited for first, callers are taken until the
-/// process has to end, and an order that is then at a server is lost. The
-/// VM closes in its usual time: before work that is begun late is done.
+/// Guards against a close that waits for the store. If the store stops
+/// responding just before the stop, the lease cannot be ended; a VM that
+/// waits for it accepts callers until the process is killed, and an order
+/// then in flight is lost. The VM must close its idle connection first.
 #[tokio::test]
-async fn a_silent_store_does_not_put_off_the_close() {
+async fn an_unresponsive_store_does_not_delay_the_close() {
     let mut store = StoreStandin::spawn().await;
     let relay = Relay::spawn(store.address).await;
     store.address = relay.address;
-    let world = World::open_on(store, POOLED, 1, 1).await;
+    let cluster = Cluster::start_on(store, POOLED, 1, 1).await;
     let work = Duration::from_millis(2_900);
-    world.servers[0].set_manner(ServerManner::Works(work));
-    let traffic = world.nodes[0].traffic;
-    let mut idle =
-        tokio::net::TcpStream::connect(traffic).await.expect("a connection");
-    relay.set(RelayManner::Silent);
-    world.nodes[0].signal(Signal::TERM);
+    cluster.servers[0].set_behavior(ServerBehavior::Responds(work));
+    let traffic = cluster.nodes[0].traffic;
+    let mut idle = tokio::net::TcpStream::connect(traffic)
+        .await
+        .expect("connection succeeds");
+    relay.set_behavior(RelayBehavior::Silent);
+    cluster.nodes[0].signal(Signal::TERM);
     tokio::time::sleep(Duration::from_millis(800)).await;
-    let attempt = world.attempt();
-    let request = world.request(0, Method::POST, "/order/1", &attempt);
+    let attempt = cluster.next_attempt();
+    let request = cluster.request(0, Method::POST, "/order/1", &attempt);
     let mut sent = tokio::spawn(request.send());
 
     let mut byte = [0; 1];
     tokio::select! {
         closed = idle.read(&mut byte) => {
-            assert_eq!(closed.expect("a proper close"), 0);
+            assert_eq!(closed.expect("connection closes without a reset"), 0);
         }
-        _answer = &mut sent => panic!("the VM still takes callers"),
+        _response = &mut sent => panic!("the VM still accepts callers"),
     }
 
-    let answer = sent.await.expect("no panic").expect("an answer");
-    assert_eq!(answer.status(), 200);
+    let response = sent
+        .await
+        .expect("request task does not panic")
+        .expect("response arrives");
+    assert_eq!(response.status(), 200);
 }
--- a/goldcrestramp-entry/tests/daemon/store.rs
+++ b/goldcrestramp-entry/tests/daemon/store.rs
@@ -28,28 +28,30 @@
 struct StoreState {
     revision: u64,
     items: BTreeMap<String, StoredItem>,
-    /// Changes by revision: the key, and its value unless it was removed.
+    /// All changes: the revision, the key, and the value unless the key was
+    /// removed.
     history: Vec<(u64, String, Option<Vec<u8>>)>,
     leases: HashMap<u64, (Instant, Duration)>,
     next_lease: u64,
-    /// Watches that begin now hear nothing until their wait is over.
-    deaf: bool,
-    deaf_watches: u32,
-    /// The longest wait that a watch asked for, in milliseconds.
-    longest_wait: u64,
-    /// Claims to plan whose answers get lost, and readings after them that
-    /// are turned away.
-    claims_lost: u32,
-    readings_refused: u32,
-    /// Whether watches hide what follows the next end of a planner.
-    hides: bool,
-    /// Watches tell of no change after this revision.
+    /// Whether new watches see no change until their wait is over.
+    watches_blocked: bool,
+    blocked_watches: u32,
+    /// The longest wait that a watch requested, in milliseconds.
+    max_wait: u64,
+    /// The number of planner claims whose response is to be lost, and of
+    /// snapshot reads to be refused after them.
+    lost_claims: u32,
+    refused_reads: u32,
+    /// Whether watches hide the changes after the next removal of the
+    /// planner's record.
+    hides_after_planner: bool,
+    /// The last revision that watches report, if later ones are hidden.
     hidden_after: Option<u64>,
-    /// Where a VM is said to be reached, in place of its own address.
-    detours: HashMap<String, SocketAddr>,
+    /// Addresses that replace those in the entries of VMs, by key.
+    address_overrides: HashMap<String, SocketAddr>,
 }
 
-/// The store; it ends with the test.
+/// A store that runs until the test ends.
 #[derive(Clone, Debug)]
 pub struct StoreStandin {
     pub address: SocketAddr,
@@ -58,8 +60,9 @@
 
 impl StoreStandin {
     pub async fn spawn() -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener =
+            TcpListener::bind("127.0.0.1:0").await.expect("port binds");
+        let address = listener.local_addr().expect("listener has an address");
         let state = Arc::new(Mutex::new(StoreState {
             revision: 1,
             ..StoreState::default()
@@ -69,7 +72,7 @@
         store
     }
 
-    /// Writes as an operator or a server does.
+    /// Writes a key without a lease, as an operator or a server does.
     pub fn put(&self, key: &str, value: &Value) {
         let value = value.to_string().into_bytes();
         self.lock().write(key, value, 0);
@@ -84,60 +87,60 @@
         state.items.get(key).map(|item| item.value.clone())
     }
 
-    /// How long the lease of a key lasts without a renewal.
+    /// The TTL of a key's lease.
     #[allow(dead_code, reason = "not every test binary asks")]
-    pub fn lease_span(&self, key: &str) -> Option<Duration> {
+    pub fn lease_ttl(&self, key: &str) -> Option<Duration> {
         let state = self.lock();
         let lease = state.items.get(key)?.lease;
-        state.leases.get(&lease).map(|(_until, span)| *span)
+        state.leases.get(&lease).map(|(_until, ttl)| *ttl)
     }
 
-    /// From now on watches that begin hear nothing, and what changes is
-    /// forgotten; those that wait end.
-    pub fn fall_deaf(&self) {
+    /// From now on new watches see no change: one that missed changes ends
+    /// with `410 Gone` when its wait is over. Waiting watches end.
+    pub fn block_watches(&self) {
         let mut state = self.lock();
-        state.deaf = true;
+        state.watches_blocked = true;
         state.write("op/other", b"{}".to_vec(), 0);
     }
 
-    /// Watches that began since.
-    pub fn deaf_watches(&self) -> u32 {
-        self.lock().deaf_watches
+    /// The number of watches that began since watches are blocked.
+    pub fn blocked_watches(&self) -> u32 {
+        self.lock().blocked_watches
     }
 
-    /// The longest wait that a watch asked for, in milliseconds.
-    pub fn longest_wait(&self) -> u64 {
-        self.lock().longest_wait
+    /// The longest wait that a watch requested, in milliseconds.
+    pub fn max_wait(&self) -> u64 {
+        self.lock().max_wait
     }
 
-    /// The answer to the next claim to plan is lost, and the reading that
-    /// would tell of it is turned away.
+    /// Drops the response to the next planner claim and refuses the snapshot
+    /// read that would show its result.
     #[allow(dead_code, reason = "not every test binary loses one")]
     pub fn lose_claim(&self) {
-        self.lock().claims_lost = 1;
+        self.lock().lost_claims = 1;
     }
 
-    /// Watches tell of the end of the planner's record, and of nothing
-    /// after it until everything is shown.
+    /// From the next removal of the planner's record on, watches report that
+    /// removal and hide all later changes, until [`Self::show_all`].
     #[allow(dead_code, reason = "not every test binary hides anything")]
     pub fn hide_from_next_planner(&self) {
-        self.lock().hides = true;
+        self.lock().hides_after_planner = true;
     }
 
-    /// Watches tell of every change again.
+    /// Watches report every change again.
     #[allow(dead_code, reason = "not every test binary hides anything")]
     pub fn show_all(&self) {
         let mut state = self.lock();
-        state.hides = false;
+        state.hides_after_planner = false;
         state.hidden_after = None;
     }
 
-    /// From now on the entry of a VM names this address.
+    /// Replaces the address in the entry of a VM, now and at each write.
     #[allow(dead_code, reason = "not every test binary has a detour")]
-    pub fn detour(&self, vm: &str, address: SocketAddr) {
+    pub fn override_address(&self, vm: &str, address: SocketAddr) {
         let key = format!("router/vm/{vm}");
         let mut state = self.lock();
-        state.detours.insert(key.clone(), address);
+        state.address_overrides.insert(key.clone(), address);
         let known = state.items.get(&key).cloned();
         if let Some(item) = known {
             state.write(&key, item.value, item.lease);
@@ -145,19 +148,20 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, StoreState> {
-        self.state.lock().expect("no handler panics")
+        self.state.lock().expect("lock is not poisoned")
     }
 
     async fn serve(self, listener: TcpListener) {
         loop {
-            let (stream, _) = listener.accept().await.expect("a connection");
+            let (stream, _) =
+                listener.accept().await.expect("connection succeeds");
             let store = self.clone();
             let service = service_fn(move |request| {
                 let store = store.clone();
-                async move { Ok::<_, Infallible>(store.answer(request).await) }
+                async move { Ok::<_, Infallible>(store.handle(request).await) }
             });
             tokio::spawn(async move {
-                // Callers may leave at any time.
+                // Callers may disconnect at any time.
                 let _left = http1::Builder::new()
                     .serve_connection(TokioIo::new(stream), service)
                     .await;
@@ -165,12 +169,12 @@
         }
     }
 
-    async fn answer(
+    async fn handle(
         self,
         request: Request<Incoming>,
     ) -> Response<Full<Bytes>> {
         let (parts, body) = request.into_parts();
-        let body = body.collect().await.expect("a body").to_bytes();
+        let body = body.collect().await.expect("body is received").to_bytes();
         let body: Value = serde_json::from_slice(&body).unwrap_or(Value::Null);
         let query = parts.uri.query().unwrap_or("");
         let query: HashMap<String, String> = query
@@ -183,12 +187,12 @@
             "/v1/kv-range" => self.lock().range(&query),
             "/v1/kv-watch" => self.watch(&query).await,
             "/v1/kv-txn" => {
-                let answer = self.lock().transact(&body);
+                let response = self.lock().transact(&body);
                 let is_claim = body["writes"][0]["key"] == "router/planner";
-                if is_claim && self.lock().loses_claim() {
+                if is_claim && self.lock().take_lost_claim() {
                     std::future::pending::<()>().await;
                 }
-                answer
+                response
             }
             "/v1/kv-lease" => self.lock().lease(&body),
             path => self.lock().lease_call(path),
@@ -199,26 +203,26 @@
         &self,
         query: &HashMap<String, String>,
     ) -> Response<Full<Bytes>> {
-        let after: u64 = query["after"].parse().expect("a revision");
-        let wait: u64 = query["wait_ms"].parse().expect("a wait");
+        let after: u64 = query["after"].parse().expect("revision is a number");
+        let wait: u64 = query["wait_ms"].parse().expect("wait is a number");
         let end = Instant::now() + Duration::from_millis(wait);
-        let deaf = {
+        let watches_blocked = {
             let mut state = self.lock();
-            state.longest_wait = state.longest_wait.max(wait);
-            state.deaf_watches += u32::from(state.deaf);
-            state.deaf
+            state.max_wait = state.max_wait.max(wait);
+            state.blocked_watches += u32::from(state.watches_blocked);
+            state.watches_blocked
         };
         loop {
             {
                 let mut state = self.lock();
-                state.lapse();
+                state.expire_leases();
                 let events = state.events(after);
-                let over = Instant::now() >= end;
-                if deaf && over && !events.is_empty() {
+                let is_over = Instant::now() >= end;
+                if watches_blocked && is_over && !events.is_empty() {
                     return status(StatusCode::GONE);
                 }
-                if over || (!deaf && !events.is_empty()) {
-                    let revision = state.shown();
+                if is_over || (!watches_blocked && !events.is_empty()) {
+                    let revision = state.visible_revision();
                     return reply(&json!({
                         "events": events, "current_rev": revision
                     }));
@@ -230,17 +234,17 @@
 }
 
 impl StoreState {
-    fn loses_claim(&mut self) -> bool {
-        let lost = self.claims_lost > 0;
-        self.claims_lost = 0;
-        self.readings_refused += u32::from(lost);
+    fn take_lost_claim(&mut self) -> bool {
+        let lost = self.lost_claims > 0;
+        self.lost_claims = 0;
+        self.refused_reads += u32::from(lost);
         lost
     }
 
     fn write(&mut self, key: &str, mut value: Vec<u8>, lease: u64) {
-        if let Some(address) = self.detours.get(key) {
+        if let Some(address) = self.address_overrides.get(key) {
             let mut entry: Value =
-                serde_json::from_slice(&value).expect("an entry");
+                serde_json::from_slice(&value).expect("entry is JSON");
             entry["address"] = json!(address);
             value = entry.to_string().into_bytes();
         }
@@ -255,19 +259,19 @@
         if self.items.remove(key).is_some() {
             self.revision += 1;
             self.history.push((self.revision, key.to_owned(), None));
-            if self.hides && key == "router/planner" {
+            if self.hides_after_planner && key == "router/planner" {
                 self.hidden_after.get_or_insert(self.revision);
             }
         }
     }
 
-    /// The revision up to which watches tell of changes.
-    fn shown(&self) -> u64 {
+    /// The revision up to which watches report changes.
+    fn visible_revision(&self) -> u64 {
         self.hidden_after.unwrap_or(self.revision)
     }
 
-    /// Ends leases that were not renewed.
-    fn lapse(&mut self) {
+    /// Removes expired leases and their keys.
+    fn expire_leases(&mut self) {
         let now = Instant::now();
         let ended: Vec<u64> = self
             .leases
@@ -294,8 +298,9 @@
     }
 
     fn events(&self, after: u64) -> Vec<Value> {
-        let told = after + 1..=self.shown();
-        let changes = self.history.iter().filter(|(at, ..)| told.contains(at));
+        let visible = after + 1..=self.visible_revision();
+        let changes =
+            self.history.iter().filter(|(at, ..)| visible.contains(at));
         let event =
             |(at, key, value): &(u64, String, Option<Vec<u8>>)| match value {
                 Some(value) => json!({
@@ -313,10 +318,10 @@
         &mut self,
         query: &HashMap<String, String>,
     ) -> Response<Full<Bytes>> {
-        self.lapse();
+        self.expire_leases();
         let prefix = query.get("path_prefix").map_or("", String::as_str);
-        if prefix == "router/" && self.readings_refused > 0 {
-            self.readings_refused -= 1;
+        if prefix == "router/" && self.refused_reads > 0 {
+            self.refused_reads -= 1;
             return status(StatusCode::SERVICE_UNAVAILABLE);
         }
         let items = self.items.iter().filter(|(k, _)| k.starts_with(prefix));
@@ -336,41 +341,49 @@
     }
 
     fn transact(&mut self, body: &Value) -> Response<Full<Bytes>> {
-        self.lapse();
-        let rows = body["precondition"].as_array().expect("rows");
-        let holds = rows.iter().all(|row| {
-            let key = row["key"].as_str().expect("a key");
+        self.expire_leases();
+        let rows =
+            body["precondition"].as_array().expect("precondition is a list");
+        let is_met = rows.iter().all(|row| {
+            let key = row["key"].as_str().expect("key is a string");
             let known = self.items.get(key).map_or(0, |item| item.revision);
             row["revision"].as_u64() == Some(known)
         });
-        if !holds {
+        if !is_met {
             return status(StatusCode::PRECONDITION_FAILED);
         }
-        for write in body["writes"].as_array().expect("writes") {
-            let lease = write["lease"].as_u64().expect("a lease");
+        for write in body["writes"].as_array().expect("writes are a list") {
+            let lease = write["lease"].as_u64().expect("write has a lease");
             if lease != 0 && !self.leases.contains_key(&lease) {
                 return status(StatusCode::NOT_FOUND);
             }
-            let value = write["value"].as_str().expect("a value");
-            let value = STANDARD.decode(value).expect("base64");
-            self.write(write["key"].as_str().expect("a key"), value, lease);
+            let value = write["value"].as_str().expect("value is a string");
+            let value = STANDARD.decode(value).expect("value is base64");
+            self.write(
+                write["key"].as_str().expect("key is a string"),
+                value,
+                lease,
+            );
         }
         reply(&json!({ "revision": self.revision }))
     }
 
     fn lease(&mut self, body: &Value) -> Response<Full<Bytes>> {
-        let text = body["ttl_time"].as_str().expect("a span");
-        let millis = text.trim_end_matches("ms").parse().expect("a number");
-        let span = Duration::from_millis(millis);
+        let text = body["ttl_time"].as_str().expect("duration is a string");
+        let millis = text
+            .trim_end_matches("ms")
+            .parse()
+            .expect("duration is in milliseconds");
+        let ttl = Duration::from_millis(millis);
         self.next_lease += 1;
         let lease = self.next_lease;
-        self.leases.insert(lease, (Instant::now() + span, span));
+        self.leases.insert(lease, (Instant::now() + ttl, ttl));
         reply(&json!({ "lease": lease, "ttl_time": text }))
     }
 
     fn lease_call(&mut self, path: &str) -> Response<Full<Bytes>> {
-        self.lapse();
-        let (call, lease) = path.rsplit_once('/').expect("a path");
+        self.expire_leases();
+        let (call, lease) = path.rsplit_once('/').expect("path has a lease");
         let Ok(lease) = lease.parse::<u64>() else {
             return status(StatusCode::NOT_FOUND);
         };
@@ -379,9 +392,9 @@
             return reply(&json!({}));
         }
         match self.leases.get_mut(&lease) {
-            Some((until, span)) => {
-                *until = Instant::now() + *span;
-                let text = format!("{}ms", span.as_millis());
+            Some((until, ttl)) => {
+                *until = Instant::now() + *ttl;
+                let text = format!("{}ms", ttl.as_millis());
                 reply(&json!({ "ttl_time": text }))
             }
             None => status(StatusCode::NOT_FOUND),
@@ -399,19 +412,22 @@
     response
 }
 
-/// The text of a query's value, with its escapes undone.
+/// Decodes the percent escapes of a query value.
 fn unescaped(text: &str) -> String {
     let mut bytes = Vec::new();
     let mut rest = text.as_bytes();
     while let Some((first, tail)) = rest.split_first() {
         if *first == b'%' && tail.len() >= 2 {
-            let digits = std::str::from_utf8(&tail[..2]).expect("ASCII");
-            bytes.push(u8::from_str_radix(digits, 16).expect("hex"));
+            let digits =
+                std::str::from_utf8(&tail[..2]).expect("escape is ASCII");
+            bytes.push(
+                u8::from_str_radix(digits, 16).expect("escape is hexadecimal"),
+            );
             rest = &tail[2..];
         } else {
             bytes.push(*first);
             rest = tail;
         }
     }
-    String::from_utf8(bytes).expect("UTF-8")
+    String::from_utf8(bytes).expect("value is UTF-8")
 }
--- /dev/null
+++ b/goldcrestramp-entry/tests/soak/harness.rs
@@ -0,0 +1,337 @@
+//! Runs a seed: a cluster, its callers and its faults.
+
+use std::{
+    sync::{
+        Arc,
+        atomic::{AtomicBool, AtomicU64, Ordering},
+    },
+    time::Duration,
+};
+
+use reqwest::{Client, Method};
+use rustix::process::Signal;
+use tokio::{
+    sync::{Mutex, RwLock},
+    time::{Instant, sleep},
+};
+
+use crate::{
+    cluster::{POOLED, SHARDED, configuration, entry_at},
+    node::NodeProcess,
+    oracle::{Oracle, OrderOutcome},
+    plan::{Fault, plan},
+    relay::{Relay, RelayBehavior},
+    server::{ServerBehavior, ServerStandin},
+    store::StoreStandin,
+};
+
+const NODES: usize = 3;
+const SERVERS: usize = 6;
+const CALLERS: u64 = 6;
+
+/// The time after the last fault within which everything must be served
+/// again. It covers the grants of a lost server, the waits of a new planner
+/// and the start of a process.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(30);
+
+/// The time after which the supervisor restarts an exited process.
+const SUPERVISION_DELAY: Duration = Duration::from_millis(100);
+
+/// The path prefix of the route that every second configuration adds.
+const ADDED_PREFIX: &str = "/more/";
+
+/// A backend server and the relay in front of it.
+struct Backend {
+    id: String,
+    service: &'static str,
+    server: ServerStandin,
+    relay: Relay,
+}
+
+/// A daemon and its relay to the store.
+struct Daemon {
+    process: Mutex<NodeProcess>,
+    relay: Relay,
+    traffic: std::net::SocketAddr,
+    ready: std::net::SocketAddr,
+}
+
+struct SoakHarness {
+    store: StoreStandin,
+    daemons: Vec<Daemon>,
+    backends: RwLock<Vec<Backend>>,
+    /// Replaced servers; the oracle still counts their executions.
+    previous: RwLock<Vec<Backend>>,
+    oracle: Oracle,
+    next_server: AtomicU64,
+    version: AtomicU64,
+    is_over: AtomicBool,
+    seed: u64,
+}
+
+/// Runs a seed and returns the number of successes, or the violations.
+pub async fn run_seed(
+    seed: u64,
+    run_duration: Duration,
+) -> Result<u64, Vec<String>> {
+    let harness = Arc::new(SoakHarness::start(seed).await);
+    harness.wait_served().await;
+    let mut tasks = Vec::new();
+    for caller in 0..CALLERS {
+        tasks.push(tokio::spawn(run_caller(Arc::clone(&harness), caller)));
+    }
+    tasks.push(tokio::spawn(watch_owners(Arc::clone(&harness))));
+    let mut faults = Vec::new();
+    for planned in plan(seed, run_duration, NODES, SERVERS) {
+        sleep(planned.after).await;
+        let harness = Arc::clone(&harness);
+        faults.push(tokio::spawn(async move {
+            harness.inject(planned.fault).await;
+        }));
+    }
+    for fault in faults {
+        fault.await.expect("fault task does not panic");
+    }
+    harness.wait_served().await;
+    harness.is_over.store(true, Ordering::Relaxed);
+    for task in tasks {
+        task.await.expect("caller task does not panic");
+    }
+    let (current, previous) =
+        (harness.backends.read().await, harness.previous.read().await);
+    let all = current.iter().chain(previous.iter());
+    let all: Vec<&ServerStandin> = all.map(|b| &b.server).collect();
+    harness.oracle.check_orders(&all);
+    harness.oracle.verdict()
+}
+
+impl SoakHarness {
+    async fn start(seed: u64) -> Self {
+        let store = StoreStandin::spawn().await;
+        store.put("op/config", &configuration(1, None));
+        let harness = Self {
+            daemons: Vec::new(),
+            backends: RwLock::default(),
+            previous: RwLock::default(),
+            oracle: Oracle::default(),
+            next_server: AtomicU64::new(0),
+            version: AtomicU64::new(1),
+            is_over: AtomicBool::new(false),
+            seed,
+            store,
+        };
+        for index in 0..SERVERS {
+            let service = if index % 2 == 0 { POOLED } else { SHARDED };
+            let backend = harness.new_backend(service).await;
+            harness.backends.write().await.push(backend);
+        }
+        let mut daemons = Vec::new();
+        for number in 0..NODES {
+            let relay = Relay::spawn(harness.store.address).await;
+            let name = format!("vm-{number}");
+            let process = NodeProcess::spawn(&name, relay.address);
+            let (traffic, ready) = (process.traffic, process.ready);
+            let process = Mutex::new(process);
+            daemons.push(Daemon { process, relay, traffic, ready });
+        }
+        Self { daemons, ..harness }
+    }
+
+    async fn new_backend(&self, service: &'static str) -> Backend {
+        let number = self.next_server.fetch_add(1, Ordering::Relaxed);
+        let id = format!("server-{number}");
+        let server = ServerStandin::spawn(&id, service == SHARDED).await;
+        let relay = Relay::spawn(server.address).await;
+        let entry = entry_at(relay.address, service, "ready");
+        self.store.put(&format!("servers/{id}"), &entry);
+        Backend { id, service, server, relay }
+    }
+
+    /// Injects a fault and ends it after its duration.
+    async fn inject(&self, fault: Fault) {
+        match fault {
+            Fault::Kill { node, down } => {
+                let mut process = self.daemons[node].process.lock().await;
+                process.signal(Signal::KILL);
+                sleep(down).await;
+                process.restart();
+            }
+            Fault::Stop { node } => {
+                let mut process = self.daemons[node].process.lock().await;
+                process.signal(Signal::TERM);
+                process.wait_for_exit().await;
+                process.restart();
+            }
+            Fault::Pause { node, duration } => {
+                let process = self.daemons[node].process.lock().await;
+                process.signal(Signal::STOP);
+                sleep(duration).await;
+                process.signal(Signal::CONT);
+            }
+            Fault::Reload { node } => {
+                let mut process = self.daemons[node].process.lock().await;
+                process.signal(Signal::HUP);
+                sleep(SUPERVISION_DELAY).await;
+                // The signal may arrive before the program installs its
+                // handlers and terminate it. The supervisor restarts it.
+                if !process.is_running() {
+                    process.restart();
+                }
+            }
+            Fault::StoreLink { node, behavior, duration } => {
+                self.daemons[node].relay.set_behavior(behavior);
+                sleep(duration).await;
+                self.daemons[node].relay.set_behavior(RelayBehavior::Forwards);
+            }
+            Fault::ServerLink { server, behavior, duration } => {
+                self.backends.read().await[server]
+                    .relay
+                    .set_behavior(behavior);
+                sleep(duration).await;
+                let backends = self.backends.read().await;
+                backends[server].relay.set_behavior(RelayBehavior::Forwards);
+            }
+            Fault::Server { server, behavior, duration } => {
+                self.backends.read().await[server]
+                    .server
+                    .set_behavior(behavior);
+                sleep(duration).await;
+                let normal = ServerBehavior::Responds(Duration::ZERO);
+                self.backends.read().await[server].server.set_behavior(normal);
+            }
+            Fault::Replace { server } => self.replace(server).await,
+            Fault::Configure => self.configure(),
+        }
+    }
+
+    async fn replace(&self, index: usize) {
+        /// Longer than a draining server may get new requests.
+        const DRAIN_TIME: Duration = Duration::from_millis(2_300);
+        let (id, service, address) = {
+            let backend = &self.backends.read().await[index];
+            (backend.id.clone(), backend.service, backend.relay.address)
+        };
+        let key = format!("servers/{id}");
+        let draining = entry_at(address, service, "draining");
+        self.store.put(&key, &draining);
+        sleep(DRAIN_TIME).await;
+        let next = self.new_backend(service).await;
+        let mut backends = self.backends.write().await;
+        // A concurrent fault of this kind may have replaced it already.
+        if backends[index].id != id {
+            self.store.remove(&format!("servers/{}", next.id));
+            self.previous.write().await.push(next);
+            return;
+        }
+        self.store.remove(&key);
+        let previous = std::mem::replace(&mut backends[index], next);
+        // It ends: its connections break, and its address does not respond.
+        previous.relay.set_behavior(RelayBehavior::Resets);
+        previous.server.shut_down();
+        self.previous.write().await.push(previous);
+    }
+
+    fn configure(&self) {
+        let version = self.version.fetch_add(1, Ordering::Relaxed) + 1;
+        let added = version.is_multiple_of(2).then_some(ADDED_PREFIX);
+        self.store.put("op/config", &configuration(version, added));
+    }
+
+    /// Waits until every daemon serves every kind of request and the latest
+    /// configuration is in force.
+    async fn wait_served(&self) {
+        let end = Instant::now() + RECOVERY_TIMEOUT;
+        let http = client();
+        let version = self.version.load(Ordering::Relaxed);
+        let added = if version.is_multiple_of(2) { 200 } else { 404 };
+        for daemon in &self.daemons {
+            let url = |path: &str| format!("http://{}{path}", daemon.traffic);
+            let ready = format!("http://{}/v1/ready", daemon.ready);
+            let mut expected = vec![
+                (ready, 0, 200),
+                (url("/list/all"), 0, 200),
+                (url("/more/all"), 0, added),
+            ];
+            for key in (0..65_536).step_by(9_001) {
+                expected.push((url("/stock/rice"), key, 200));
+            }
+            for (url, key, status) in expected {
+                while get_status(&http, &url, key).await != Some(status) {
+                    if Instant::now() > end {
+                        let what = format!("{url} key {key}: not {status}");
+                        self.oracle.report_violation(what);
+                        return;
+                    }
+                    sleep(Duration::from_millis(50)).await;
+                }
+            }
+        }
+    }
+}
+
+fn client() -> Client {
+    let timeout = Duration::from_secs(5);
+    Client::builder()
+        .no_proxy()
+        .timeout(timeout)
+        .build()
+        .expect("client builds")
+}
+
+async fn get_status(http: &Client, url: &str, key: u64) -> Option<u16> {
+    let request = http
+        .get(url)
+        .header("Host", "shop.example")
+        .header("X-Attempt-Id", format!("look-{:x}", rand::random::<u64>()))
+        .header("X-Deadline-Ms", "2000")
+        .header("X-Shard-Key", key.to_string());
+    Some(request.send().await.ok()?.status().as_u16())
+}
+
+/// Sends one request after another over kept-alive connections.
+async fn run_caller(harness: Arc<SoakHarness>, caller: u64) {
+    let http = client();
+    let mut sequence = 0_u64;
+    while !harness.is_over.load(Ordering::Relaxed) {
+        sequence += 1;
+        let attempt = format!("{}-{caller}-{sequence}", harness.seed);
+        let daemon = &harness.daemons[rand::random_range(0..NODES)];
+        let (method, path) = match sequence % 3 {
+            0 => (Method::POST, "/order/1"),
+            1 => (Method::GET, "/list/all"),
+            _ => (Method::GET, "/stock/rice"),
+        };
+        let order = method == Method::POST;
+        let request = http
+            .request(method, format!("http://{}{path}", daemon.traffic))
+            .header("Host", "shop.example")
+            .header("X-Attempt-Id", &attempt)
+            .header("X-Deadline-Ms", "1500")
+            .header("X-Shard-Key", rand::random::<u16>().to_string());
+        let outcome = match request.send().await {
+            Ok(response) => {
+                harness.oracle.check_response(&attempt, response).await
+            }
+            Err(_lost) => OrderOutcome::Unknown,
+        };
+        if order {
+            harness.oracle.record_order(attempt, outcome);
+        }
+        sleep(Duration::from_millis(10)).await;
+    }
+}
+
+/// Checks continuously that no key has two owners.
+async fn watch_owners(harness: Arc<SoakHarness>) {
+    while !harness.is_over.load(Ordering::Relaxed) {
+        {
+            let backends = harness.backends.read().await;
+            let servers: Vec<&ServerStandin> =
+                backends.iter().map(|b| &b.server).collect();
+            for key in (0..65_536).step_by(1_021) {
+                harness.oracle.check_owner(&servers, key);
+            }
+        }
+        sleep(Duration::from_millis(3)).await;
+    }
+}
--- a/goldcrestramp-entry/tests/soak/main.rs
+++ b/goldcrestramp-entry/tests/soak/main.rs
@@ -1,16 +1,21 @@
-//! Faults at random, from outside of real processes, while callers ask.
+//! Random fault injection into real processes under load.
 //!
-//! Daemons run as processes of their own. Between them and the stand-ins of
-//! store and servers lie relays that delay, reset, silence or cut one way;
-//! processes are killed, stopped on a plan, paused and started again;
-//! servers lose, break off, mix up and refuse; configurations change. What
-//! callers and servers see is held against the promises.
+//! Daemons run as separate processes. Relays between them and the stand-ins
+//! of the store and the servers delay, reset, silence or drop one direction
+//! of connections. Processes are killed, stopped, paused and restarted;
+//! servers drop, truncate and mismatch responses and shed requests;
+//! configurations change. An oracle checks what callers and servers saw
+//! against the guarantees.
 //!
-//! Seeds that once broke a promise are played again with each run by hand.
+//! Seeds that once violated a guarantee run again with each manual run.
 //!
-//! `GOLDCRESTRAMP_SOAK_SEEDS=50 GOLDCRESTRAMP_SOAK_FIRST=1000` plays fifty
-//! seeds from 1,000 on, six at a time; without them one seed is played.
+//! `GOLDCRESTRAMP_SOAK_SEEDS=50 GOLDCRESTRAMP_SOAK_FIRST=1000` runs 50 seeds
+//! from 1,000 on, 6 at a time; without these variables one seed is run.
 
+#[path = "../daemon/cluster.rs"]
+#[allow(dead_code, reason = "shared with the tests of single faults")]
+mod cluster;
+mod harness;
 #[path = "../daemon/node.rs"]
 #[allow(dead_code, reason = "shared with the tests of single faults")]
 mod node;
@@ -20,55 +25,54 @@
 #[path = "../daemon/server.rs"]
 #[allow(dead_code, reason = "shared with the tests of single faults")]
 mod server;
-mod stage;
 #[path = "../daemon/store.rs"]
 #[allow(dead_code, reason = "shared with the tests of single faults")]
 mod store;
-#[path = "../daemon/world.rs"]
-#[allow(dead_code, reason = "shared with the tests of single faults")]
-mod world;
 
 use std::time::Duration;
 
-use crate::stage::play;
+use crate::harness::run_seed;
 
-/// Runs at a time: each is three processes and some hundred connections.
-const AT_ONCE: usize = 6;
+/// The number of seeds run at a time. Each has three daemon processes and some
+/// hundred connections.
+const MAX_CONCURRENT_RUNS: usize = 6;
 
-/// Seeds that once broke a promise, each with what it showed.
-const KEPT_SEEDS: [(u64, &str); 2] = [
-    (7, "SIGHUP while a process started ended it"),
-    (37, "a claim to plan whose answer was lost kept all from planning"),
+/// Seeds that once violated a guarantee, each with the fault that it found.
+const REGRESSION_SEEDS: [(u64, &str); 2] = [
+    (7, "SIGHUP during the start terminated the process"),
+    (37, "after a planner claim with a lost response nobody planned"),
 ];
 
-/// How long faults come, for a run in CI and for one by hand.
-const SHORT: Duration = Duration::from_secs(6);
-const LONG: Duration = Duration::from_secs(20);
+/// The duration of fault injection, in CI and in a manual run.
+const CI_DURATION: Duration = Duration::from_secs(6);
+const MANUAL_DURATION: Duration = Duration::from_secs(20);
 
 fn number(name: &str) -> Option<u64> {
     std::env::var(name).ok()?.parse().ok()
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn promises_hold_while_faults_overlap() {
+async fn guarantees_hold_while_faults_overlap() {
     let Some(seeds) = number("GOLDCRESTRAMP_SOAK_SEEDS") else {
-        play(1, SHORT).await.expect("seed 1");
+        run_seed(1, CI_DURATION).await.expect("seed 1 violates no guarantee");
         return;
     };
     let first = number("GOLDCRESTRAMP_SOAK_FIRST").unwrap_or(1);
-    let mut broken = Vec::new();
-    let kept = KEPT_SEEDS.iter().map(|(seed, _what)| *seed);
-    let all: Vec<u64> = kept.chain(first..first + seeds).collect();
-    for chunk in all.chunks(AT_ONCE) {
+    let mut violations = Vec::new();
+    let regressions = REGRESSION_SEEDS.iter().map(|(seed, _what)| *seed);
+    let all: Vec<u64> = regressions.chain(first..first + seeds).collect();
+    for chunk in all.chunks(MAX_CONCURRENT_RUNS) {
         let runs: Vec<_> = chunk
             .iter()
-            .map(|seed| (*seed, tokio::spawn(play(*seed, LONG))))
+            .map(|seed| {
+                (*seed, tokio::spawn(run_seed(*seed, MANUAL_DURATION)))
+            })
             .collect();
         for (seed, run) in runs {
-            let result = run.await.expect("no run panics");
+            let result = run.await.expect("run does not panic");
             println!("seed {seed}: {result:?}");
-            broken.extend(result.err().map(|what| (seed, what)));
+            violations.extend(result.err().map(|what| (seed, what)));
         }
     }
-    assert!(broken.is_empty(), "{broken:#?}");
+    assert!(violations.is_empty(), "{violations:#?}");
 }
--- a/goldcrestramp-entry/tests/soak/oracle.rs
+++ b/goldcrestramp-entry/tests/soak/oracle.rs
@@ -1,4 +1,4 @@
-//! What callers and servers saw, held against the promises.
+//! Checks what callers and servers saw against the guarantees.
 
 use std::{collections::HashMap, sync::Mutex};
 
@@ -6,105 +6,110 @@
 
 use crate::server::ServerStandin;
 
-/// What a caller was told of an order.
+/// The outcome of an order, as its caller knows it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum OrderAnswer {
+pub enum OrderOutcome {
     /// It ran.
     Done,
     /// It has not run and never will.
     NotRun,
-    /// Nothing.
+    /// It may have run.
     Unknown,
 }
 
-/// The broken promises, and what is still to be checked.
+/// The violations found, and the orders to check at the end.
 #[derive(Debug, Default)]
 pub struct Oracle {
-    broken: Mutex<Vec<String>>,
-    orders: Mutex<HashMap<String, OrderAnswer>>,
+    violations: Mutex<Vec<String>>,
+    orders: Mutex<HashMap<String, OrderOutcome>>,
     successes: Mutex<u64>,
 }
 
 impl Oracle {
-    pub fn break_promise(&self, what: String) {
-        self.broken.lock().expect("no holder panics").push(what);
+    pub fn report_violation(&self, what: String) {
+        self.violations.lock().expect("lock is not poisoned").push(what);
     }
 
-    /// Checks an answer: a success is whole, and this request's own.
-    pub async fn check_answer(
+    /// Checks that a success is complete and belongs to this request, and that
+    /// any other status is an expected one.
+    pub async fn check_response(
         &self,
         attempt: &str,
-        answer: Response,
-    ) -> OrderAnswer {
-        let status = answer.status().as_u16();
+        response: Response,
+    ) -> OrderOutcome {
+        let status = response.status().as_u16();
         let header = |name: &str| {
-            let value = answer.headers().get(name);
+            let value = response.headers().get(name);
             value.and_then(|v| v.to_str().ok()).map(str::to_owned)
         };
         let echoed = header("x-attempt-id");
         let stamp = header("x-response-stamp");
-        let Ok(body) = answer.text().await else {
-            return OrderAnswer::Unknown;
+        let Ok(body) = response.text().await else {
+            return OrderOutcome::Unknown;
         };
         match status {
             200 => {
                 let own = echoed.as_deref() == Some(attempt);
-                let whole = stamp == Some(format!("by-{body}"));
-                if !own || !whole {
-                    self.break_promise(format!(
+                let complete = stamp == Some(format!("by-{body}"));
+                if !own || !complete {
+                    self.report_violation(format!(
                         "{attempt}: 200 for {echoed:?}, {stamp:?}, {body}"
                     ));
                 }
-                *self.successes.lock().expect("no holder panics") += 1;
-                OrderAnswer::Done
+                *self.successes.lock().expect("lock is not poisoned") += 1;
+                OrderOutcome::Done
             }
-            408 | 421 | 429 | 503 => OrderAnswer::NotRun,
-            502 | 504 => OrderAnswer::Unknown,
+            408 | 421 | 429 | 503 => OrderOutcome::NotRun,
+            502 | 504 => OrderOutcome::Unknown,
             other => {
-                self.break_promise(format!("{attempt}: status {other}"));
-                OrderAnswer::Unknown
+                self.report_violation(format!("{attempt}: status {other}"));
+                OrderOutcome::Unknown
             }
         }
     }
 
-    pub fn note_order(&self, attempt: String, answer: OrderAnswer) {
-        let mut orders = self.orders.lock().expect("no holder panics");
-        orders.insert(attempt, answer);
+    pub fn record_order(&self, attempt: String, outcome: OrderOutcome) {
+        let mut orders = self.orders.lock().expect("lock is not poisoned");
+        orders.insert(attempt, outcome);
     }
 
-    /// Checks that no two servers hold a key. They are asked one after the
-    /// other, so only those count that still hold it once all were asked.
+    /// Checks that no two servers own a key. They are checked one after
+    /// another, so only those count that still own it after all were checked.
     pub fn check_owner(&self, servers: &[&ServerStandin], key: u64) {
-        let holds = |server: &&&ServerStandin| server.holds(key);
-        let first: Vec<_> = servers.iter().filter(holds).collect();
-        let still = first.into_iter().filter(|s| s.holds(key)).count();
-        if still > 1 {
-            self.break_promise(format!("key {key} has {still} owners"));
+        let owns = |server: &&&ServerStandin| server.owns(key);
+        let owners: Vec<_> = servers.iter().filter(owns).collect();
+        let still_owners = owners.into_iter().filter(|s| s.owns(key)).count();
+        if still_owners > 1 {
+            self.report_violation(format!(
+                "key {key} has {still_owners} owners"
+            ));
         }
     }
 
-    /// Checks every order against what the servers ran.
+    /// Checks the outcome of every order against its executions.
     pub fn check_orders(&self, servers: &[&ServerStandin]) {
-        let orders = self.orders.lock().expect("no holder panics");
-        for (attempt, answer) in orders.iter() {
-            let runs: u32 = servers.iter().map(|s| s.runs_of(attempt)).sum();
-            let kept = match answer {
-                OrderAnswer::Done => runs == 1,
-                OrderAnswer::NotRun => runs == 0,
-                OrderAnswer::Unknown => runs <= 1,
+        let orders = self.orders.lock().expect("lock is not poisoned");
+        for (attempt, outcome) in orders.iter() {
+            let executions: u32 =
+                servers.iter().map(|s| s.executions_of(attempt)).sum();
+            let is_consistent = match outcome {
+                OrderOutcome::Done => executions == 1,
+                OrderOutcome::NotRun => executions == 0,
+                OrderOutcome::Unknown => executions <= 1,
             };
-            if !kept {
-                self.break_promise(format!(
-                    "{attempt}: {answer:?}, {runs} runs"
+            if !is_consistent {
+                self.report_violation(format!(
+                    "{attempt}: {outcome:?}, {executions} executions"
                 ));
             }
         }
     }
 
-    /// Successes so far, or the promises that were broken.
+    /// Returns the number of successes, or the violations.
     pub fn verdict(&self) -> Result<u64, Vec<String>> {
-        let broken = self.broken.lock().expect("no holder panics").clone();
-        let successes = *self.successes.lock().expect("no holder panics");
-        if broken.is_empty() { Ok(successes) } else { Err(broken) }
+        let violations =
+            self.violations.lock().expect("lock is not poisoned").clone();
+        let successes = *self.successes.lock().expect("lock is not poisoned");
+        if violations.is_empty() { Ok(successes) } else { Err(violations) }
     }
 }
--- a/goldcrestramp-entry/tests/soak/plan.rs
+++ b/goldcrestramp-entry/tests/soak/plan.rs
@@ -1,98 +1,106 @@
-//! The faults of a run, drawn from its seed.
+//! Generates the faults of a run from its seed.
 
 use std::time::Duration;
 
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
-use crate::{relay::RelayManner, server::ServerManner};
+use crate::{relay::RelayBehavior, server::ServerBehavior};
 
-/// Something that happens to one part of the fleet.
+/// A fault of one part of the cluster, or a change.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
-    /// A daemon is killed, and started again after this time.
+    /// A daemon is killed, and restarted after this time.
     Kill { node: usize, down: Duration },
-    /// A daemon is stopped on a plan, and started again.
+    /// A daemon gets SIGTERM, and is restarted after its exit.
     Stop { node: usize },
     /// A daemon is paused for this time.
-    Pause { node: usize, span: Duration },
-    /// A daemon is told that its settings have changed.
+    Pause { node: usize, duration: Duration },
+    /// A daemon gets SIGHUP, as if its settings had changed.
     Reload { node: usize },
-    /// A daemon's way to the store misbehaves.
-    Store { node: usize, manner: RelayManner, span: Duration },
-    /// The way to a server misbehaves.
-    Way { server: usize, manner: RelayManner, span: Duration },
-    /// A server misbehaves.
-    Server { server: usize, manner: ServerManner, span: Duration },
-    /// A server drains, ends, and another one comes.
+    /// The link between a daemon and the store is faulty.
+    StoreLink { node: usize, behavior: RelayBehavior, duration: Duration },
+    /// The link to a server is faulty.
+    ServerLink { server: usize, behavior: RelayBehavior, duration: Duration },
+    /// A server is faulty.
+    Server { server: usize, behavior: ServerBehavior, duration: Duration },
+    /// A server drains and shuts down, and another one replaces it.
     Replace { server: usize },
-    /// A new configuration.
+    /// The configuration changes.
     Configure,
 }
 
-/// A fault with the time since the one before it.
+/// A fault, and its delay after the previous one.
 #[derive(Clone, Copy, Debug)]
 pub struct PlannedFault {
     pub after: Duration,
     pub fault: Fault,
 }
 
-fn millis(dice: &mut StdRng, range: std::ops::Range<u64>) -> Duration {
-    Duration::from_millis(dice.random_range(range))
+fn millis(rng: &mut StdRng, range: std::ops::Range<u64>) -> Duration {
+    Duration::from_millis(rng.random_range(range))
 }
 
-/// A way may be late by no more than a second: a grant that was given up
-/// is reckoned with for two and a half.
-fn manner(dice: &mut StdRng) -> RelayManner {
-    match dice.random_range(0..4) {
-        0 => RelayManner::Delays(millis(dice, 20..900)),
-        1 => RelayManner::Resets,
-        2 => RelayManner::Silent,
-        _ => RelayManner::LosesAnswers,
+/// Links delay by less than 1 s: the planner counts a grant order that it gave
+/// up on as possibly in effect for 2.5 s.
+fn relay_behavior(rng: &mut StdRng) -> RelayBehavior {
+    match rng.random_range(0..4) {
+        0 => RelayBehavior::Delays(millis(rng, 20..900)),
+        1 => RelayBehavior::Resets,
+        2 => RelayBehavior::Silent,
+        _ => RelayBehavior::DropsResponses,
     }
 }
 
-fn server_manner(dice: &mut StdRng) -> ServerManner {
-    match dice.random_range(0..5) {
-        0 => ServerManner::Works(millis(dice, 50..600)),
-        1 => ServerManner::LosesAnswers,
-        2 => ServerManner::BreaksOff,
-        3 => ServerManner::Sheds,
-        _ => ServerManner::MixesUp,
+fn server_behavior(rng: &mut StdRng) -> ServerBehavior {
+    match rng.random_range(0..5) {
+        0 => ServerBehavior::Responds(millis(rng, 50..600)),
+        1 => ServerBehavior::DropsResponses,
+        2 => ServerBehavior::Truncates,
+        3 => ServerBehavior::Sheds,
+        _ => ServerBehavior::WrongId,
     }
 }
 
-/// The faults of a run of this length, in order; they overlap.
+/// Returns the faults of a run of this duration in order; they overlap.
 pub fn plan(
     seed: u64,
-    length: Duration,
+    run_duration: Duration,
     nodes: usize,
     servers: usize,
 ) -> Vec<PlannedFault> {
-    let mut dice = StdRng::seed_from_u64(seed);
+    let mut rng = StdRng::seed_from_u64(seed);
     let mut passed = Duration::ZERO;
     let mut plan = Vec::new();
-    while passed < length {
-        let after = millis(&mut dice, 30..500);
+    while passed < run_duration {
+        let after = millis(&mut rng, 30..500);
         passed += after;
-        let node = dice.random_range(0..nodes);
-        let server = dice.random_range(0..servers);
-        let fault = match dice.random_range(0..12) {
-            0 => Fault::Kill { node, down: millis(&mut dice, 50..1_500) },
+        let node = rng.random_range(0..nodes);
+        let server = rng.random_range(0..servers);
+        let fault = match rng.random_range(0..12) {
+            0 => Fault::Kill { node, down: millis(&mut rng, 50..1_500) },
             1 => Fault::Stop { node },
-            2 => Fault::Pause { node, span: millis(&mut dice, 100..4_000) },
+            2 => Fault::Pause { node, duration: millis(&mut rng, 100..4_000) },
             3 => Fault::Reload { node },
             4 | 5 => {
-                let span = millis(&mut dice, 200..5_000);
-                Fault::Store { node, manner: manner(&mut dice), span }
+                let duration = millis(&mut rng, 200..5_000);
+                Fault::StoreLink {
+                    node,
+                    behavior: relay_behavior(&mut rng),
+                    duration,
+                }
             }
             6 | 7 => {
-                let span = millis(&mut dice, 200..4_000);
-                Fault::Way { server, manner: manner(&mut dice), span }
+                let duration = millis(&mut rng, 200..4_000);
+                Fault::ServerLink {
+                    server,
+                    behavior: relay_behavior(&mut rng),
+                    duration,
+                }
             }
             8 | 9 => {
-                let span = millis(&mut dice, 200..2_000);
-                let manner = server_manner(&mut dice);
-                Fault::Server { server, manner, span }
+                let duration = millis(&mut rng, 200..2_000);
+                let behavior = server_behavior(&mut rng);
+                Fault::Server { server, behavior, duration }
             }
             10 => Fault::Replace { server },
             _ => Fault::Configure,
--- a/goldcrestramp-entry/tests/soak/relay.rs
+++ b/goldcrestramp-entry/tests/soak/relay.rs
@@ -1,4 +1,4 @@
-//! A relay between a process and what it calls, which misbehaves.
+//! A TCP relay that injects faults between a process and a server it calls.
 
 use std::{
     net::SocketAddr,
@@ -15,29 +15,29 @@
     task::JoinHandle,
 };
 
-/// The bytes that a narrow link carries at a time.
+/// The size of the packets that a throttled link transmits one by one.
 const PACKET_BYTES: usize = 1_400;
 
-/// What a relay does with what passes.
+/// How a relay handles the bytes of its connections.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum RelayManner {
-    /// It passes everything on.
+pub enum RelayBehavior {
+    /// It forwards everything.
     #[default]
-    Passes,
-    /// It passes everything on, later.
+    Forwards,
+    /// It forwards everything after a delay.
     Delays(Duration),
-    /// It ends every connection, and each new one at once.
+    /// It closes every connection, and each new one immediately.
     Resets,
-    /// It takes everything and passes nothing on.
+    /// It accepts everything and forwards nothing.
     Silent,
-    /// It passes calls on, and none of the answers.
-    LosesAnswers,
-    /// It passes so many bytes of answers a second on, of all connections.
+    /// It forwards requests and drops responses.
+    DropsResponses,
+    /// It forwards this many response bytes per second, over all connections.
     #[allow(dead_code, reason = "one more kind would change kept seeds")]
-    Narrow(u32),
+    Throttled(u32),
 }
 
-/// A relay to one address; it ends with the test.
+/// A relay to one address, stopped on drop.
 #[derive(Debug)]
 pub struct Relay {
     pub address: SocketAddr,
@@ -47,54 +47,55 @@
 
 #[derive(Debug, Default)]
 struct RelayState {
-    manner: Mutex<RelayManner>,
-    /// Bytes of answers that were passed on.
-    answered: AtomicUsize,
-    /// Held by whoever's bytes are on a narrow link.
+    behavior: Mutex<RelayBehavior>,
+    /// The number of response bytes forwarded.
+    response_bytes: AtomicUsize,
+    /// Locked while a packet is transmitted over a throttled link.
     link: tokio::sync::Mutex<()>,
 }
 
 impl RelayState {
-    fn manner(&self) -> RelayManner {
-        *self.manner.lock().expect("no holder panics")
+    fn behavior(&self) -> RelayBehavior {
+        *self.behavior.lock().expect("lock is not poisoned")
     }
 
-    fn count_answered(&self, bytes: usize) {
-        self.answered.fetch_add(bytes, Ordering::Relaxed);
+    fn count_response_bytes(&self, bytes: usize) {
+        self.response_bytes.fetch_add(bytes, Ordering::Relaxed);
     }
 
-    /// Waits until a narrow link has carried a packet.
-    async fn carry(&self, bytes: usize, bytes_per_s: u32) {
+    /// Waits for the time that a throttled link needs to transmit a packet.
+    async fn transmit(&self, bytes: usize, bytes_per_s: u32) {
         let _link = self.link.lock().await;
-        let count = u32::try_from(bytes).expect("a packet's length");
-        let span = Duration::from_secs(1) * count / bytes_per_s;
-        tokio::time::sleep(span).await;
-        self.count_answered(bytes);
+        let count = u32::try_from(bytes).expect("packet length fits in u32");
+        let duration = Duration::from_secs(1) * count / bytes_per_s;
+        tokio::time::sleep(duration).await;
+        self.count_response_bytes(bytes);
     }
 }
 
 impl Relay {
     pub async fn spawn(target: SocketAddr) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener =
+            TcpListener::bind("127.0.0.1:0").await.expect("port binds");
+        let address = listener.local_addr().expect("listener has an address");
         let state = Arc::<RelayState>::default();
-        let known = Arc::clone(&state);
+        let task_state = Arc::clone(&state);
         let task = tokio::spawn(async move {
             while let Ok((caller, _)) = listener.accept().await {
-                tokio::spawn(pass(caller, target, Arc::clone(&known)));
+                tokio::spawn(forward(caller, target, Arc::clone(&task_state)));
             }
         });
         Self { address, state, task }
     }
 
-    pub fn set(&self, manner: RelayManner) {
-        *self.state.manner.lock().expect("no holder panics") = manner;
+    pub fn set_behavior(&self, behavior: RelayBehavior) {
+        *self.state.behavior.lock().expect("lock is not poisoned") = behavior;
     }
 
-    /// Bytes of answers that were passed on so far.
+    /// The number of response bytes forwarded so far.
     #[allow(dead_code, reason = "not every test binary counts them")]
-    pub fn answered(&self) -> usize {
-        self.state.answered.load(Ordering::Relaxed)
+    pub fn response_bytes(&self) -> usize {
+        self.state.response_bytes.load(Ordering::Relaxed)
     }
 }
 
@@ -104,23 +105,27 @@
     }
 }
 
-async fn pass(caller: TcpStream, target: SocketAddr, state: Arc<RelayState>) {
-    if state.manner() == RelayManner::Resets {
+async fn forward(
+    caller: TcpStream,
+    target: SocketAddr,
+    state: Arc<RelayState>,
+) {
+    if state.behavior() == RelayBehavior::Resets {
         return;
     }
-    let Ok(answering) = TcpStream::connect(target).await else { return };
+    let Ok(server) = TcpStream::connect(target).await else { return };
     let (from_caller, to_caller) = caller.into_split();
-    let (answers, to_answering) = answering.into_split();
-    // The end of one direction ends both, as the end of a process does.
+    let (responses, to_server) = server.into_split();
+    // The end of one direction closes both, as when a process exits.
     tokio::select! {
-        () = copy(from_caller, to_answering, &state, true) => {}
-        () = copy(answers, to_caller, &state, false) => {}
-        () = until_reset(&state) => {}
+        () = copy(from_caller, to_server, &state, true) => {}
+        () = copy(responses, to_caller, &state, false) => {}
+        () = wait_for_reset(&state) => {}
     }
 }
 
-async fn until_reset(state: &RelayState) {
-    while state.manner() != RelayManner::Resets {
+async fn wait_for_reset(state: &RelayState) {
+    while state.behavior() != RelayBehavior::Resets {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
@@ -129,35 +134,35 @@
     mut from: tcp::OwnedReadHalf,
     mut to: tcp::OwnedWriteHalf,
     state: &RelayState,
-    is_call: bool,
+    is_request: bool,
 ) {
     let mut bytes = vec![0; 16 * 1024];
-    // A connection that has lost bytes says nothing more.
-    let mut deaf = false;
+    // A connection that has lost bytes must not forward later ones.
+    let mut discards = false;
     while let Ok(count @ 1..) = from.read(&mut bytes).await {
-        match state.manner() {
-            RelayManner::Delays(span) => tokio::time::sleep(span).await,
-            RelayManner::Narrow(bytes_per_s) if !is_call => {
+        match state.behavior() {
+            RelayBehavior::Delays(delay) => tokio::time::sleep(delay).await,
+            RelayBehavior::Throttled(bytes_per_s) if !is_request => {
                 for packet in bytes[..count].chunks(PACKET_BYTES) {
-                    state.carry(packet.len(), bytes_per_s).await;
+                    state.transmit(packet.len(), bytes_per_s).await;
                     if to.write_all(packet).await.is_err() {
                         return;
                     }
                 }
                 continue;
             }
-            RelayManner::Silent => deaf = true,
-            RelayManner::LosesAnswers if !is_call => deaf = true,
+            RelayBehavior::Silent => discards = true,
+            RelayBehavior::DropsResponses if !is_request => discards = true,
             _ => {}
         }
-        if deaf {
+        if discards {
             continue;
         }
         if to.write_all(&bytes[..count]).await.is_err() {
             return;
         }
-        if !is_call {
-            state.count_answered(count);
+        if !is_request {
+            state.count_response_bytes(count);
         }
     }
 }
