--- a/goldcrestramp-entry/src/metrics.rs
+++ b/goldcrestramp-entry/src/metrics.rs
@@ -178,7 +178,8 @@
         self.attempts.get_or_create(&ReasonLabel { reason }).inc();
     }
 
-    /// Counts a request for updates that ended with this source or outcome.
+    /// Counts a request for updates by its source and outcome, such as `peer`
+    /// or `peer-slow`.
     pub fn news(&self, reason: &'static str) {
         self.news.get_or_create(&ReasonLabel { reason }).inc();
     }
--- a/goldcrestramp-entry/tests/daemon/ownership.rs
+++ b/goldcrestramp-entry/tests/daemon/ownership.rs
@@ -203,8 +203,9 @@
 
 /// Guards against a fleet without a planner when the store accepts a claim
 /// but its response is lost, and so is the read that would show it. The record
-/// names a VM that does not know of it and renews its lease, so nobody plans.
-/// The VM must claim its own record again.
+/// names a VM that does not know of it and renews its lease, so nobody plans
+/// and the keys of a lost server stay without an owner. The VM must claim its
+/// own record again.
 #[tokio::test]
 async fn a_claim_whose_response_was_lost_is_made_again() {
     let store = StoreStandin::spawn().await;
