--- a/goldcrestramp-config/src/deployment.rs
+++ b/goldcrestramp-config/src/deployment.rs
@@ -8,7 +8,7 @@
 };
 use serde::{Deserialize, Serialize};
 
-use crate::ticket::{ConfiguredThing, ThingId, ThingKind, TicketMarks};
+use crate::ticket::{ConfiguredEntity, EntityId, EntityKind, TicketHistory};
 
 /// The accepted configuration of a deployment.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -30,7 +30,7 @@
     pub callers: Vec<CallerRules>,
     /// Which tickets have been accepted.
     #[serde(default)]
-    pub tickets: TicketMarks,
+    pub tickets: TicketHistory,
 }
 
 impl DeploymentState {
@@ -72,61 +72,61 @@
         service.name == server.service && place && region && !server.drain
     }
 
-    pub(crate) fn contains(&self, thing: &ThingId) -> bool {
+    pub(crate) fn contains(&self, thing: &EntityId) -> bool {
         let name = &*thing.name;
         match thing.kind {
-            ThingKind::Domain => {
+            EntityKind::Domain => {
                 self.domains.iter().any(|d| d.name.as_str() == name)
             }
-            ThingKind::Service => {
+            EntityKind::Service => {
                 self.services.iter().any(|s| s.name.as_str() == name)
             }
-            ThingKind::Server => {
+            EntityKind::Server => {
                 self.servers.iter().any(|s| s.name.as_str() == name)
             }
-            ThingKind::Caller => {
+            EntityKind::Caller => {
                 self.callers.iter().any(|c| c.name.as_str() == name)
             }
         }
     }
 
-    pub(crate) fn remove(&mut self, thing: &ThingId) {
+    pub(crate) fn remove(&mut self, thing: &EntityId) {
         let name = &*thing.name;
         match thing.kind {
-            ThingKind::Domain => {
+            EntityKind::Domain => {
                 self.domains.retain(|d| d.name.as_str() != name);
             }
-            ThingKind::Service => {
+            EntityKind::Service => {
                 self.services.retain(|s| s.name.as_str() != name);
             }
-            ThingKind::Server => {
+            EntityKind::Server => {
                 self.servers.retain(|s| s.name.as_str() != name);
             }
-            ThingKind::Caller => {
+            EntityKind::Caller => {
                 self.callers.retain(|c| c.name.as_str() != name);
             }
         }
     }
 
     /// A thing that refers to `thing`.
-    pub(crate) fn user_of(&self, thing: &ThingId) -> Option<ThingId> {
+    pub(crate) fn user_of(&self, thing: &EntityId) -> Option<EntityId> {
         let name = &*thing.name;
         match thing.kind {
-            ThingKind::Domain => {
+            EntityKind::Domain => {
                 let services = self.services.iter();
                 let mut services = services
                     .filter(|s| s.domains.iter().any(|d| d.as_str() == name));
                 let mut servers = self.servers.iter();
                 let server = servers.find(|s| s.domain.as_str() == name);
-                let service = services.next().map(ConfiguredThing::id);
-                service.or_else(|| server.map(ConfiguredThing::id))
+                let service = services.next().map(ConfiguredEntity::id);
+                service.or_else(|| server.map(ConfiguredEntity::id))
             }
-            ThingKind::Service => {
+            EntityKind::Service => {
                 let mut servers = self.servers.iter();
                 let server = servers.find(|s| s.service.as_str() == name);
-                server.map(ConfiguredThing::id)
+                server.map(ConfiguredEntity::id)
             }
-            ThingKind::Server | ThingKind::Caller => None,
+            EntityKind::Server | EntityKind::Caller => None,
         }
     }
 
--- a/goldcrestramp-config/src/document/mod.rs
+++ b/goldcrestramp-config/src/document/mod.rs
@@ -7,12 +7,12 @@
 
 mod fault;
 mod fields;
-mod places;
+mod positions;
 mod tree;
 
 pub use self::fault::{DocumentFault, FaultList, SourcePosition};
 pub(crate) use self::{
     fields::{FieldReader, leaf},
-    places::PlaceIndex,
+    positions::PlaceIndex,
     tree::{DocumentNode, open_document},
 };
--- a/goldcrestramp-config/src/lib.rs
+++ b/goldcrestramp-config/src/lib.rs
@@ -25,10 +25,11 @@
         PeerTlsSettings, parse_settings, read_settings,
     },
     ticket::{
-        AcceptOutcome, CapacityPreview, ChangeTicket, RefusalReason,
-        RemovalList, STATE_BYTES, ServicePreview, StateChange, StateMark,
-        ThingId, ThingKind, TicketDocument, TicketMark, TicketMarks,
-        TicketPreview, TicketRefusal, TouchMark, accept_ticket, merge_states,
-        parse_ticket, preview_ticket, read_ticket,
+        AcceptOutcome, AcceptedTicket, CapacityPreview, ChangeTicket,
+        EntityId, EntityKind, EntityRevision, MAX_STATE_BYTES, RefusalReason,
+        RemovalList, ServicePreview, StateChange, StateRevision,
+        TicketDocument, TicketHistory, TicketPreview, TicketRefusal,
+        accept_ticket, merge_states, parse_ticket, preview_ticket,
+        read_ticket,
     },
 };
--- a/goldcrestramp-config/src/ticket/accept.rs
+++ b/goldcrestramp-config/src/ticket/accept.rs
@@ -3,16 +3,16 @@
 use super::{
     ChangeTicket,
     check::check_change,
-    marks::{TicketMark, TouchMark},
+    entity::{ConfiguredEntity, EntityId},
+    history::{AcceptedTicket, EntityRevision},
     refusal::{RefusalReason, TicketRefusal},
-    thing::{ConfiguredThing, ThingId},
 };
 use crate::deployment::DeploymentState;
 
 /// The most bytes that the state may take as one value of the store.
 ///
 /// The store holds a megabyte; a tenth is left for the next merge.
-pub const STATE_BYTES: usize = 900_000;
+pub const MAX_STATE_BYTES: usize = 900_000;
 
 /// What a ticket comes to.
 #[derive(Clone, Debug, PartialEq)]
@@ -110,10 +110,10 @@
     put_all(&mut next.servers, &ticket.servers);
     put_all(&mut next.callers, &ticket.callers);
     for (_, thing) in ticket.things() {
-        let mark = TouchMark::new(ticket.ticket, digest);
+        let mark = EntityRevision::new(ticket.ticket, digest);
         next.tickets.last.insert(thing, mark);
     }
-    let mark = TicketMark { digest, version: next.version };
+    let mark = AcceptedTicket { digest, version: next.version };
     next.tickets.note(ticket.ticket, mark);
     next.trim_marks();
     next
@@ -121,9 +121,9 @@
 
 /// Puts each thing in place of the former one; lists are sorted by name,
 /// so that equal states are equal texts.
-pub(super) fn put_all<T: ConfiguredThing>(list: &mut Vec<T>, new: &[T]) {
-    let ids: Vec<ThingId> = new.iter().map(ConfiguredThing::id).collect();
+pub(super) fn put_all<T: ConfiguredEntity>(list: &mut Vec<T>, new: &[T]) {
+    let ids: Vec<EntityId> = new.iter().map(ConfiguredEntity::id).collect();
     list.retain(|thing| !ids.contains(&thing.id()));
     list.extend(new.iter().cloned());
-    list.sort_by_cached_key(ConfiguredThing::id);
+    list.sort_by_cached_key(ConfiguredEntity::id);
 }
--- a/goldcrestramp-config/src/ticket/change.rs
+++ b/goldcrestramp-config/src/ticket/change.rs
@@ -12,8 +12,8 @@
 
 use super::{
     accept::put_all,
-    marks::{TicketMark, TicketMarks, TouchMark},
-    thing::{ConfiguredThing, ThingId},
+    entity::{ConfiguredEntity, EntityId},
+    history::{AcceptedTicket, EntityRevision, TicketHistory},
 };
 use crate::deployment::{
     CallerRules, DeploymentState, DomainRules, ServerRules, ServiceRules,
@@ -30,14 +30,14 @@
 #[derive(
     Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize,
 )]
-pub struct StateMark {
+pub struct StateRevision {
     /// The state's version; 0: no state.
     pub version: u64,
     /// A digest of all that it says.
     pub digest: u64,
 }
 
-impl StateMark {
+impl StateRevision {
     /// The mark of `state`.
     ///
     /// # Panics
@@ -56,9 +56,9 @@
 #[serde(deny_unknown_fields)]
 pub struct StateChange {
     /// The state that it changes.
-    pub base: StateMark,
+    pub base: StateRevision,
     /// The state that it makes.
-    pub next: StateMark,
+    pub next: StateRevision,
     /// Failure domains, each as it shall be.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     domains: Vec<DomainRules>,
@@ -73,7 +73,7 @@
     callers: Vec<CallerRules>,
     /// What shall no longer be there.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    remove: Vec<ThingId>,
+    remove: Vec<EntityId>,
     /// The memory of tickets.
     tickets: MarksChange,
 }
@@ -84,11 +84,11 @@
 struct MarksChange {
     floor: u64,
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
-    last: BTreeMap<ThingId, TouchMark>,
+    last: BTreeMap<EntityId, EntityRevision>,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    last_forgotten: Vec<ThingId>,
+    last_forgotten: Vec<EntityId>,
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
-    recent: BTreeMap<u64, Vec<TicketMark>>,
+    recent: BTreeMap<u64, Vec<AcceptedTicket>>,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     recent_forgotten: Vec<u64>,
 }
@@ -114,8 +114,8 @@
     ) -> Option<Self> {
         let mut remove = Vec::new();
         let change = Self {
-            base: StateMark::of(old),
-            next: StateMark::of(new),
+            base: StateRevision::of(old),
+            next: StateRevision::of(new),
             domains: changed(&old.domains, &new.domains, &mut remove),
             services: changed(&old.services, &new.services, &mut remove),
             servers: changed(&old.servers, &new.servers, &mut remove),
@@ -151,7 +151,7 @@
         put_changed(&mut next.servers, &self.servers);
         put_changed(&mut next.callers, &self.callers);
         self.tickets.apply(&mut next.tickets);
-        (StateMark::of(&next) == self.next).then_some(next)
+        (StateRevision::of(&next) == self.next).then_some(next)
     }
 
     fn entries(&self) -> usize {
@@ -164,7 +164,7 @@
 }
 
 impl MarksChange {
-    fn between(old: &TicketMarks, new: &TicketMarks) -> Self {
+    fn between(old: &TicketHistory, new: &TicketHistory) -> Self {
         let (last, last_forgotten) = changed_marks(&old.last, &new.last);
         let (recent, recent_forgotten) =
             changed_marks(&old.recent, &new.recent);
@@ -172,7 +172,7 @@
         Self { floor, last, last_forgotten, recent, recent_forgotten }
     }
 
-    fn apply(&self, marks: &mut TicketMarks) {
+    fn apply(&self, marks: &mut TicketHistory) {
         marks.floor = self.floor;
         for thing in &self.last_forgotten {
             marks.last.remove(thing);
@@ -195,22 +195,22 @@
 
 /// The things of `new` that `old` has not so; names in `remove` those that
 /// are gone.
-fn changed<T: ConfiguredThing + PartialEq>(
+fn changed<T: ConfiguredEntity + PartialEq>(
     old: &[T],
     new: &[T],
-    remove: &mut Vec<ThingId>,
+    remove: &mut Vec<EntityId>,
 ) -> Vec<T> {
-    let mut former: FastMap<ThingId, &T> =
+    let mut former: FastMap<EntityId, &T> =
         old.iter().map(|thing| (thing.id(), thing)).collect();
     let differs = |thing: &&T| former.remove(&thing.id()) != Some(*thing);
     let changed = new.iter().filter(differs).cloned().collect();
-    let gone: BTreeSet<ThingId> = former.into_keys().collect();
+    let gone: BTreeSet<EntityId> = former.into_keys().collect();
     remove.extend(gone);
     changed
 }
 
 /// Lists that do not change keep their order as it is.
-fn put_changed<T: ConfiguredThing>(list: &mut Vec<T>, changed: &[T]) {
+fn put_changed<T: ConfiguredEntity>(list: &mut Vec<T>, changed: &[T]) {
     if !changed.is_empty() {
         put_all(list, changed);
     }
--- a/goldcrestramp-config/src/ticket/check.rs
+++ b/goldcrestramp-config/src/ticket/check.rs
@@ -6,9 +6,9 @@
 
 use super::{
     ChangeTicket,
-    accept::STATE_BYTES,
+    accept::MAX_STATE_BYTES,
+    entity::{ConfiguredEntity, EntityId, EntityKind},
     refusal::{RefusalReason, TicketRefusal},
-    thing::{ConfiguredThing, ThingId, ThingKind},
 };
 use crate::deployment::{DeploymentState, ServerRules, ServiceRules};
 
@@ -91,13 +91,13 @@
 
     fn domain_exists(&mut self, path: String, domain: &DomainName) {
         if self.next.domain(domain).is_none() {
-            let thing = ThingId::new(ThingKind::Domain, domain.as_str());
+            let thing = EntityId::new(EntityKind::Domain, domain.as_str());
             self.refuse(path, RefusalReason::Missing { thing });
         }
     }
 
     fn servers(&mut self) {
-        let mut taken = FastMap::<SocketAddr, Vec<ThingId>>::default();
+        let mut taken = FastMap::<SocketAddr, Vec<EntityId>>::default();
         for server in &self.next.servers {
             taken.entry(server.address).or_default().push(server.id());
         }
@@ -116,7 +116,7 @@
     fn server(&mut self, index: usize, server: &ServerRules) {
         if self.next.service(&server.service).is_none() {
             let name = server.service.as_str();
-            let thing = ThingId::new(ThingKind::Service, name);
+            let thing = EntityId::new(EntityKind::Service, name);
             let path = format!("servers[{index}].service");
             self.refuse(path, RefusalReason::Missing { thing });
         }
@@ -195,8 +195,8 @@
     fn size(&mut self) {
         let text = serde_json::to_vec(self.next);
         let bytes = text.map_or(usize::MAX, |text| text.len());
-        if bytes > STATE_BYTES {
-            let limit = STATE_BYTES;
+        if bytes > MAX_STATE_BYTES {
+            let limit = MAX_STATE_BYTES;
             let reason = RefusalReason::TooLarge { bytes, limit };
             self.refuse("ticket".to_owned(), reason);
         }
--- a/goldcrestramp-config/src/ticket/thing.rs
+++ b/goldcrestramp-config/src/ticket/entity.rs
@@ -8,7 +8,7 @@
 
 /// A kind of thing.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub enum ThingKind {
+pub enum EntityKind {
     /// A failure domain.
     Domain,
     /// A service.
@@ -19,7 +19,7 @@
     Caller,
 }
 
-impl ThingKind {
+impl EntityKind {
     const ALL: [Self; 4] =
         [Self::Domain, Self::Service, Self::Server, Self::Caller];
 
@@ -50,70 +50,70 @@
     Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize,
 )]
 #[serde(try_from = "String", into = "String")]
-pub struct ThingId {
+pub struct EntityId {
     /// Its kind.
-    pub kind: ThingKind,
+    pub kind: EntityKind,
     /// Its name.
     pub name: Arc<str>,
 }
 
-impl ThingId {
+impl EntityId {
     /// Names a thing.
     #[must_use]
-    pub fn new(kind: ThingKind, name: &str) -> Self {
+    pub fn new(kind: EntityKind, name: &str) -> Self {
         Self { kind, name: Arc::from(name) }
     }
 }
 
-impl fmt::Display for ThingId {
+impl fmt::Display for EntityId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}/{}", self.kind.code(), self.name)
     }
 }
 
-impl From<ThingId> for String {
-    fn from(id: ThingId) -> Self {
+impl From<EntityId> for String {
+    fn from(id: EntityId) -> Self {
         id.to_string()
     }
 }
 
-impl TryFrom<String> for ThingId {
+impl TryFrom<String> for EntityId {
     type Error = &'static str;
 
     fn try_from(text: String) -> Result<Self, Self::Error> {
         let (code, name) = text.split_once('/').ok_or("no kind/name")?;
-        let mut kinds = ThingKind::ALL.into_iter();
+        let mut kinds = EntityKind::ALL.into_iter();
         let kind = kinds.find(|kind| kind.code() == code);
         Ok(Self::new(kind.ok_or("no such kind of thing")?, name))
     }
 }
 
 /// What the four kinds have in common.
-pub(crate) trait ConfiguredThing: Clone {
+pub(crate) trait ConfiguredEntity: Clone {
     /// The thing's kind and name.
-    fn id(&self) -> ThingId;
+    fn id(&self) -> EntityId;
 }
 
-impl ConfiguredThing for DomainRules {
-    fn id(&self) -> ThingId {
-        ThingId::new(ThingKind::Domain, self.name.as_str())
+impl ConfiguredEntity for DomainRules {
+    fn id(&self) -> EntityId {
+        EntityId::new(EntityKind::Domain, self.name.as_str())
     }
 }
 
-impl ConfiguredThing for ServiceRules {
-    fn id(&self) -> ThingId {
-        ThingId::new(ThingKind::Service, self.name.as_str())
+impl ConfiguredEntity for ServiceRules {
+    fn id(&self) -> EntityId {
+        EntityId::new(EntityKind::Service, self.name.as_str())
     }
 }
 
-impl ConfiguredThing for ServerRules {
-    fn id(&self) -> ThingId {
-        ThingId::new(ThingKind::Server, self.name.as_str())
+impl ConfiguredEntity for ServerRules {
+    fn id(&self) -> EntityId {
+        EntityId::new(EntityKind::Server, self.name.as_str())
     }
 }
 
-impl ConfiguredThing for CallerRules {
-    fn id(&self) -> ThingId {
-        ThingId::new(ThingKind::Caller, self.name.as_str())
+impl ConfiguredEntity for CallerRules {
+    fn id(&self) -> EntityId {
+        EntityId::new(EntityKind::Caller, self.name.as_str())
     }
 }
--- a/goldcrestramp-config/src/ticket/marks.rs
+++ b/goldcrestramp-config/src/ticket/history.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::thing::ThingId;
+use super::entity::EntityId;
 
 /// Accepted tickets that are remembered by number.
 ///
@@ -17,7 +17,7 @@
 
 /// An accepted ticket.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
-pub struct TicketMark {
+pub struct AcceptedTicket {
     /// The digest of what it said.
     pub digest: u64,
     /// The state's version that it made.
@@ -38,9 +38,9 @@
     Serialize,
     Deserialize,
 )]
-pub struct TouchMark(pub u64, pub u32);
+pub struct EntityRevision(pub u64, pub u32);
 
-impl TouchMark {
+impl EntityRevision {
     /// The mark of the ticket with this number and digest.
     #[must_use]
     pub fn new(number: u64, digest: u64) -> Self {
@@ -52,32 +52,32 @@
 /// The memory of accepted tickets, kept with the state they made.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct TicketMarks {
+pub struct TicketHistory {
     /// For a thing without a mark the last number counts as this.
     #[serde(default)]
     pub floor: u64,
     /// The last ticket that touched each thing, removed ones among them.
     #[serde(default)]
-    pub last: BTreeMap<ThingId, TouchMark>,
+    pub last: BTreeMap<EntityId, EntityRevision>,
     /// The accepted tickets with the highest numbers, sorted by digest.
     ///
     /// A number has one ticket, unless the store was restored from older
     /// data and its operators used the number again; then each counts.
     #[serde(default)]
-    pub recent: BTreeMap<u64, Vec<TicketMark>>,
+    pub recent: BTreeMap<u64, Vec<AcceptedTicket>>,
 }
 
-impl TicketMarks {
+impl TicketHistory {
     /// The last ticket that touched `thing`.
     #[must_use]
-    pub fn last_for(&self, thing: &ThingId) -> TouchMark {
-        let unknown = TouchMark(self.floor, 0);
+    pub fn last_for(&self, thing: &EntityId) -> EntityRevision {
+        let unknown = EntityRevision(self.floor, 0);
         self.last.get(thing).copied().unwrap_or(unknown)
     }
 
     /// Notes an accepted ticket; the same one again changes nothing but
     /// that the higher version counts.
-    pub(super) fn note(&mut self, number: u64, mark: TicketMark) {
+    pub(super) fn note(&mut self, number: u64, mark: AcceptedTicket) {
         let marks = self.recent.entry(number).or_default();
         match marks.binary_search_by_key(&mark.digest, |m| m.digest) {
             Ok(place) => {
@@ -94,7 +94,7 @@
     /// delayed. Forgetting its mark raises the floor to its number, which
     /// refuses that ticket as before, and with it any other new thing with
     /// so low a number.
-    pub(crate) fn trim(&mut self, present: impl Fn(&ThingId) -> bool) {
+    pub(crate) fn trim(&mut self, present: impl Fn(&EntityId) -> bool) {
         while self.recent.len() > RECENT_TICKETS {
             self.recent.pop_first();
         }
--- a/goldcrestramp-config/src/ticket/merge.rs
+++ b/goldcrestramp-config/src/ticket/merge.rs
@@ -4,8 +4,8 @@
 
 use super::{
     accept::put_all,
-    marks::TicketMarks,
-    thing::{ConfiguredThing, ThingId},
+    entity::{ConfiguredEntity, EntityId},
+    history::TicketHistory,
 };
 use crate::deployment::DeploymentState;
 
@@ -40,7 +40,7 @@
     let mut merged = left.clone();
     for thing in taken_from_right(&left.tickets, &right.tickets) {
         merged.remove(&thing);
-        let found = |id: ThingId| id == thing;
+        let found = |id: EntityId| id == thing;
         copy_found(&mut merged.domains, &right.domains, &found);
         copy_found(&mut merged.services, &right.services, &found);
         copy_found(&mut merged.servers, &right.servers, &found);
@@ -52,10 +52,10 @@
     merged
 }
 
-fn copy_found<T: ConfiguredThing>(
+fn copy_found<T: ConfiguredEntity>(
     list: &mut Vec<T>,
     from: &[T],
-    found: &impl Fn(ThingId) -> bool,
+    found: &impl Fn(EntityId) -> bool,
 ) {
     let new: Vec<T> =
         from.iter().filter(|thing| found(thing.id())).cloned().collect();
@@ -65,8 +65,11 @@
 }
 
 /// The things that the right state knows better.
-fn taken_from_right(left: &TicketMarks, right: &TicketMarks) -> Vec<ThingId> {
-    let things: BTreeSet<&ThingId> =
+fn taken_from_right(
+    left: &TicketHistory,
+    right: &TicketHistory,
+) -> Vec<EntityId> {
+    let things: BTreeSet<&EntityId> =
         left.last.keys().chain(right.last.keys()).collect();
     let better = things
         .into_iter()
@@ -74,7 +77,7 @@
     better.cloned().collect()
 }
 
-fn merge_marks(left: &TicketMarks, right: &TicketMarks) -> TicketMarks {
+fn merge_marks(left: &TicketHistory, right: &TicketHistory) -> TicketHistory {
     let mut merged = left.clone();
     merged.floor = left.floor.max(right.floor);
     for (thing, mark) in &right.last {
--- a/goldcrestramp-config/src/ticket/mod.rs
+++ b/goldcrestramp-config/src/ticket/mod.rs
@@ -8,29 +8,29 @@
 mod accept;
 mod change;
 mod check;
-mod marks;
+mod entity;
+mod history;
 mod merge;
 mod preview;
 mod reader;
 mod refusal;
-mod thing;
 
 use goldcrestramp_types::{CallerName, DomainName, ServerName, ServiceName};
 use serde::{Deserialize, Serialize};
 
 pub use self::{
-    accept::{AcceptOutcome, STATE_BYTES, accept_ticket},
-    change::{StateChange, StateMark},
-    marks::{TicketMark, TicketMarks, TouchMark},
+    accept::{AcceptOutcome, MAX_STATE_BYTES, accept_ticket},
+    change::{StateChange, StateRevision},
+    entity::{EntityId, EntityKind},
+    history::{AcceptedTicket, EntityRevision, TicketHistory},
     merge::merge_states,
     preview::{
         CapacityPreview, ServicePreview, TicketPreview, preview_ticket,
     },
     reader::{TicketDocument, parse_ticket, read_ticket},
     refusal::{RefusalReason, TicketRefusal},
-    thing::{ThingId, ThingKind},
 };
-pub(crate) use self::{reader::ticket_from_node, thing::ConfiguredThing};
+pub(crate) use self::{entity::ConfiguredEntity, reader::ticket_from_node};
 use crate::deployment::{CallerRules, DomainRules, ServerRules, ServiceRules};
 
 /// A numbered change to the deployment's configuration.
@@ -89,7 +89,7 @@
 
     /// Everything that the ticket touches, each with its path in the text.
     #[must_use]
-    pub fn things(&self) -> Vec<(String, ThingId)> {
+    pub fn things(&self) -> Vec<(String, EntityId)> {
         let mut things = Vec::new();
         push_things(&mut things, "domains", &self.domains);
         push_things(&mut things, "services", &self.services);
@@ -101,28 +101,28 @@
 }
 
 impl RemovalList {
-    fn things(&self) -> Vec<(String, ThingId)> {
+    fn things(&self) -> Vec<(String, EntityId)> {
         let domains = self.domains.iter().map(DomainName::as_str);
         let services = self.services.iter().map(ServiceName::as_str);
         let servers = self.servers.iter().map(ServerName::as_str);
         let callers = self.callers.iter().map(CallerName::as_str);
-        let domains = domains.enumerate().map(|n| (ThingKind::Domain, n));
-        let services = services.enumerate().map(|n| (ThingKind::Service, n));
-        let servers = servers.enumerate().map(|n| (ThingKind::Server, n));
-        let callers = callers.enumerate().map(|n| (ThingKind::Caller, n));
+        let domains = domains.enumerate().map(|n| (EntityKind::Domain, n));
+        let services = services.enumerate().map(|n| (EntityKind::Service, n));
+        let servers = servers.enumerate().map(|n| (EntityKind::Server, n));
+        let callers = callers.enumerate().map(|n| (EntityKind::Caller, n));
         let all = domains.chain(services).chain(servers).chain(callers);
-        let path = |kind: ThingKind, index: usize| {
+        let path = |kind: EntityKind, index: usize| {
             format!("remove.{}[{index}]", kind.plural())
         };
         all.map(|(kind, (index, name))| {
-            (path(kind, index), ThingId::new(kind, name))
+            (path(kind, index), EntityId::new(kind, name))
         })
         .collect()
     }
 }
 
-fn push_things<T: ConfiguredThing>(
-    things: &mut Vec<(String, ThingId)>,
+fn push_things<T: ConfiguredEntity>(
+    things: &mut Vec<(String, EntityId)>,
     field: &str,
     list: &[T],
 ) {
--- a/goldcrestramp-config/src/ticket/refusal.rs
+++ b/goldcrestramp-config/src/ticket/refusal.rs
@@ -5,7 +5,7 @@
 use goldcrestramp_types::{RegionName, ServiceName};
 use serde::Serialize;
 
-use super::thing::ThingId;
+use super::entity::EntityId;
 
 /// One reason to refuse a ticket, and which of its values it is about.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
@@ -33,19 +33,19 @@
     /// A ticket with this number or a higher one touched the thing.
     NumberTooLow {
         /// The thing.
-        thing: ThingId,
+        thing: EntityId,
         /// The last ticket that touched it.
         last: u64,
     },
     /// The ticket says two things of one.
     TouchedTwice {
         /// The thing.
-        thing: ThingId,
+        thing: EntityId,
     },
     /// A thing that it refers to, or removes, does not exist.
     Missing {
         /// The thing.
-        thing: ThingId,
+        thing: EntityId,
     },
     /// No failure domain stands in the region.
     EmptyRegion {
@@ -55,7 +55,7 @@
     /// A thing that it removes is still referred to.
     StillUsed {
         /// The thing that refers to it.
-        by: ThingId,
+        by: EntityId,
     },
     /// A service's number of slices is fixed when it is created.
     SlicesFixed,
@@ -66,7 +66,7 @@
     /// Another server listens there.
     AddressTaken {
         /// The other server.
-        by: ThingId,
+        by: EntityId,
     },
     /// A server with fewer connections than slots can't fill its slots.
     TooFewConnections,
--- a/goldcrestramp-config/tests/tickets.rs
+++ b/goldcrestramp-config/tests/tickets.rs
@@ -3,8 +3,8 @@
 use std::fmt::Write;
 
 use goldcrestramp_config::{
-    AcceptOutcome, DeploymentState, RefusalReason, STATE_BYTES, accept_ticket,
-    parse_ticket, preview_ticket,
+    AcceptOutcome, DeploymentState, MAX_STATE_BYTES, RefusalReason,
+    accept_ticket, parse_ticket, preview_ticket,
 };
 
 const FIRST: &str = r#"{
@@ -246,7 +246,7 @@
 
     let text = serde_json::to_vec(&state).expect("JSON");
 
-    assert!(text.len() < STATE_BYTES / 2, "{} bytes", text.len());
+    assert!(text.len() < MAX_STATE_BYTES / 2, "{} bytes", text.len());
     let back: DeploymentState = serde_json::from_slice(&text).expect("back");
     assert_eq!(back, state);
 }
@@ -257,7 +257,7 @@
 
     let text = serde_json::to_vec(&state).expect("JSON");
 
-    assert!(text.len() <= STATE_BYTES, "{} bytes", text.len());
+    assert!(text.len() <= MAX_STATE_BYTES, "{} bytes", text.len());
 }
 
 #[test]
@@ -271,5 +271,5 @@
         panic!("{refusals:?}");
     };
     assert!(bytes > limit);
-    assert_eq!(limit, STATE_BYTES);
+    assert_eq!(limit, MAX_STATE_BYTES);
 }
--- a/goldcrestramp-node/src/control/service.rs
+++ b/goldcrestramp-node/src/control/service.rs
@@ -3,7 +3,7 @@
 use std::{pin::Pin, sync::Arc};
 
 use futures_util::Stream;
-use goldcrestramp_config::StateMark;
+use goldcrestramp_config::StateRevision;
 use goldcrestramp_types::DomainName;
 use goldcrestramp_wire::{
     delta::{DeltaDecoder, DeltaEncoder},
@@ -120,7 +120,7 @@
     ) -> Result<Response<Self::TablesStream>, Status> {
         let request = request.into_inner();
         let version = request.config_version;
-        let config = StateMark { version, digest: request.config_digest };
+        let config = StateRevision { version, digest: request.config_digest };
         let only = request.domain;
         let only = if only.is_empty() {
             None
--- a/goldcrestramp-node/src/control/tables.rs
+++ b/goldcrestramp-node/src/control/tables.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Arc, Mutex, PoisonError};
 
-use goldcrestramp_config::{DeploymentState, StateChange, StateMark};
+use goldcrestramp_config::{DeploymentState, StateChange, StateRevision};
 use goldcrestramp_ownership::{DomainTable, ServiceRecord, TableChange};
 use goldcrestramp_platform::records::StoreRecord;
 use goldcrestramp_types::{
@@ -28,7 +28,7 @@
     pub(crate) changes: FastMap<DomainName, Arc<TableChange>>,
     pub(crate) config: Option<Arc<DeploymentState>>,
     /// The mark of `config`.
-    pub(crate) config_mark: StateMark,
+    pub(crate) config_mark: StateRevision,
     /// The last changes that made it, each of the one before.
     pub(crate) config_changes: Vec<Arc<StateChange>>,
     pub(crate) homes: FastMap<ServiceName, Arc<ServiceRecord>>,
@@ -37,7 +37,10 @@
 impl TableSet {
     /// The changes that make the configuration of the one with this mark;
     /// `None`: it is not known, and the whole must be sent.
-    fn changes_since(&self, mark: StateMark) -> Option<&[Arc<StateChange>]> {
+    fn changes_since(
+        &self,
+        mark: StateRevision,
+    ) -> Option<&[Arc<StateChange>]> {
         let mut changes = self.config_changes.iter();
         let first = changes.position(|change| change.base == mark)?;
         self.config_changes.get(first..)
@@ -49,7 +52,7 @@
         let change = known.and_then(|old| StateChange::between(old, state));
         self.config = Some(Arc::clone(state));
         let Some(change) = change else {
-            self.config_mark = StateMark::of(state);
+            self.config_mark = StateRevision::of(state);
             self.config_changes.clear();
             return;
         };
@@ -168,13 +171,13 @@
 #[derive(Debug, Default)]
 pub(crate) struct StreamCursor {
     tables: FastMap<DomainName, TableVersion>,
-    config: StateMark,
+    config: StateRevision,
     homes: FastMap<ServiceName, u64>,
 }
 
 impl StreamCursor {
     /// A subscriber that has this configuration, and no table.
-    pub(crate) fn new(config: StateMark) -> Self {
+    pub(crate) fn new(config: StateRevision) -> Self {
         Self { config, ..Self::default() }
     }
 
--- a/goldcrestramp-node/tests/one_domain/mod.rs
+++ b/goldcrestramp-node/tests/one_domain/mod.rs
@@ -6,7 +6,9 @@
 };
 
 use bytes::Bytes;
-use goldcrestramp_config::{NodeSettings, ThingId, ThingKind, TouchMark};
+use goldcrestramp_config::{
+    EntityId, EntityKind, EntityRevision, NodeSettings,
+};
 use goldcrestramp_node::NodeHandle;
 use goldcrestramp_platform::{
     PlatformClient, PutCondition, StoreAccess, records::keys,
@@ -115,10 +117,10 @@
     /// A ticket takes a server out of service.
     pub(crate) async fn drain_server(&mut self, server: usize) {
         let name = format!("stock-{server}");
-        let thing = ThingId::new(ThingKind::Server, &name);
+        let thing = EntityId::new(EntityKind::Server, &name);
         self.state["servers"][server]["drain"] = json!(true);
         self.state["tickets"]["last"][thing.to_string()] =
-            json!(TouchMark(2, 0));
+            json!(EntityRevision(2, 0));
         self.put_config(2).await;
     }
 
--- a/goldcrestramp-node/tests/planner.rs
+++ b/goldcrestramp-node/tests/planner.rs
@@ -2,7 +2,7 @@
 
 mod two_domains;
 
-use goldcrestramp_config::{ThingId, ThingKind, TouchMark};
+use goldcrestramp_config::{EntityId, EntityKind, EntityRevision};
 use goldcrestramp_types::DomainName;
 use serde_json::json;
 use two_domains::{DOMAINS, TwoDomains};
@@ -69,12 +69,13 @@
     let two = TwoDomains::spawn(2).await;
 
     two.pause_node(1, true);
-    let thing = ThingId::new(ThingKind::Service, "stock");
+    let thing = EntityId::new(EntityKind::Service, "stock");
     two.put_config(2, |state| {
         state["services"][0]["domains"] = json!([DOMAINS[0]]);
         // A state without its ticket's mark counts as older data, and the
         // steward writes the one before it again.
-        state["tickets"]["last"][thing.to_string()] = json!(TouchMark(2, 0));
+        state["tickets"]["last"][thing.to_string()] =
+            json!(EntityRevision(2, 0));
     })
     .await;
     two.wait_for_division(|r| r.leaving(&domain(1)).len() == 32).await;
--- a/goldcrestramp-node/tests/two_domains/mod.rs
+++ b/goldcrestramp-node/tests/two_domains/mod.rs
@@ -3,7 +3,9 @@
 use std::{net::SocketAddr, time::Duration};
 
 use bytes::Bytes;
-use goldcrestramp_config::{NodeSettings, ThingId, ThingKind, TouchMark};
+use goldcrestramp_config::{
+    EntityId, EntityKind, EntityRevision, NodeSettings,
+};
 use goldcrestramp_node::NodeHandle;
 use goldcrestramp_ownership::{DomainRecord, ServiceRecord};
 use goldcrestramp_platform::{
@@ -115,11 +117,11 @@
         domain: usize,
         lost: bool,
     ) {
-        let thing = ThingId::new(ThingKind::Domain, DOMAINS[domain]);
+        let thing = EntityId::new(EntityKind::Domain, DOMAINS[domain]);
         let edit = |state: &mut serde_json::Value| {
             state["domains"][domain]["lost"] = json!(lost);
             state["tickets"]["last"][thing.to_string()] =
-                json!(TouchMark(number, 0));
+                json!(EntityRevision(number, 0));
         };
         self.put_config(number, edit).await;
     }
@@ -132,11 +134,11 @@
         drain: bool,
     ) {
         let name = format!("{}-server", DOMAINS[domain]);
-        let thing = ThingId::new(ThingKind::Server, &name);
+        let thing = EntityId::new(EntityKind::Server, &name);
         let edit = |state: &mut serde_json::Value| {
             state["servers"][domain]["drain"] = json!(drain);
             state["tickets"]["last"][thing.to_string()] =
-                json!(TouchMark(number, 0));
+                json!(EntityRevision(number, 0));
         };
         self.put_config(number, edit).await;
     }
--- a/goldcrestramp-ownership/src/planner/policy.rs
+++ b/goldcrestramp-ownership/src/planner/policy.rs
@@ -1,7 +1,7 @@
 //! Which failure domains may hold a service's slices, and how many.
 
 use goldcrestramp_config::{
-    DeploymentState, ServiceRules, ThingId, ThingKind, TouchMark,
+    DeploymentState, EntityId, EntityKind, EntityRevision, ServiceRules,
 };
 use goldcrestramp_types::{
     DomainName, FastMap, FastSet, ServiceName, SliceCount,
@@ -33,7 +33,7 @@
     /// Those of them whose servers may not have heard of it yet.
     pub stopping: FastSet<DomainName>,
     /// The last ticket that touched each configured domain.
-    pub tickets: FastMap<DomainName, TouchMark>,
+    pub tickets: FastMap<DomainName, EntityRevision>,
 }
 
 impl ServicePolicy {
@@ -67,7 +67,7 @@
 
     /// The last ticket that touched `domain`; the lowest mark: none is known.
     #[must_use]
-    pub fn ticket_of(&self, domain: &DomainName) -> TouchMark {
+    pub fn ticket_of(&self, domain: &DomainName) -> EntityRevision {
         self.tickets.get(domain).copied().unwrap_or_default()
     }
 
@@ -111,8 +111,8 @@
 pub(super) fn last_ticket(
     state: &DeploymentState,
     domain: &DomainName,
-) -> TouchMark {
-    state.tickets.last_for(&ThingId::new(ThingKind::Domain, domain.as_str()))
+) -> EntityRevision {
+    state.tickets.last_for(&EntityId::new(EntityKind::Domain, domain.as_str()))
 }
 
 /// The slots of a service's servers in a domain.
--- a/goldcrestramp-ownership/src/planner/record.rs
+++ b/goldcrestramp-ownership/src/planner/record.rs
@@ -1,6 +1,6 @@
 //! Which failure domain holds each slice of a service.
 
-use goldcrestramp_config::TouchMark;
+use goldcrestramp_config::EntityRevision;
 use goldcrestramp_types::{
     DomainName, ServiceName, SliceCount, SliceIndex, SliceSet,
 };
@@ -27,7 +27,7 @@
     /// A domain that was declared lost and returns acts on the record only
     /// once this names the ticket that brought it back: until then a
     /// planner that knows only of the loss may still take its slices.
-    pub ticket: TouchMark,
+    pub ticket: EntityRevision,
 }
 
 /// The division of one service's slices among failure domains.
@@ -77,7 +77,7 @@
 
     /// The last ticket about `domain` that the record takes account of.
     #[must_use]
-    pub fn ticket_of(&self, domain: &DomainName) -> Option<TouchMark> {
+    pub fn ticket_of(&self, domain: &DomainName) -> Option<EntityRevision> {
         let position = self.position(domain)?;
         Some(self.domains[usize::from(position)].ticket)
     }
--- a/goldcrestramp-ownership/src/planner/round.rs
+++ b/goldcrestramp-ownership/src/planner/round.rs
@@ -1,6 +1,6 @@
 //! One round of the planner for one service.
 
-use goldcrestramp_config::TouchMark;
+use goldcrestramp_config::EntityRevision;
 use goldcrestramp_types::{
     DomainName, FastMap, FastSet, SliceIndex, SliceSet,
 };
@@ -162,7 +162,7 @@
 /// A planner that was paused may know a domain as lost that has returned
 /// and holds its slices again; it must not take them.
 fn knows_tickets(record: &ServiceRecord, policy: &ServicePolicy) -> bool {
-    let known = |name: &DomainName, ticket: TouchMark| {
+    let known = |name: &DomainName, ticket: EntityRevision| {
         policy.tickets.get(name).is_none_or(|known| *known >= ticket)
     };
     record.domains.iter().all(|domain| known(&domain.name, domain.ticket))
--- a/goldcrestramp-ownership/tests/planner.rs
+++ b/goldcrestramp-ownership/tests/planner.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use goldcrestramp_config::{
-    DeploymentState, DomainRules, ServerRules, ServiceRules, ThingId,
-    ThingKind, TouchMark,
+    DeploymentState, DomainRules, EntityId, EntityKind, EntityRevision,
+    ServerRules, ServiceRules,
 };
 use goldcrestramp_ownership::{
     DomainMove, DomainView, PlannerRound, ServicePolicy, ServiceRecord,
@@ -112,8 +112,8 @@
 ) {
     let rules = &mut state.domains[position];
     rules.lost = lost;
-    let thing = ThingId::new(ThingKind::Domain, rules.name.as_str());
-    state.tickets.last.insert(thing, TouchMark(ticket, 0));
+    let thing = EntityId::new(EntityKind::Domain, rules.name.as_str());
+    state.tickets.last.insert(thing, EntityRevision(ticket, 0));
     state.version += 1;
 }
 
--- a/goldcrestramp-ownership/tests/planner_history.rs
+++ b/goldcrestramp-ownership/tests/planner_history.rs
@@ -5,7 +5,7 @@
 //! read some time ago, and a domain is declared lost and returns. The
 //! oracle is the list of slices that each domain's servers hold.
 
-use goldcrestramp_config::TouchMark;
+use goldcrestramp_config::EntityRevision;
 use goldcrestramp_ownership::{
     DomainMove, DomainShare, DomainView, PlannerRound, RecordStage,
     ServicePolicy, ServiceRecord, StrandedCause, ViewStage,
@@ -68,7 +68,7 @@
     saved: DomainView,
     lost: bool,
     /// The last ticket that touched the domain.
-    ticket: TouchMark,
+    ticket: EntityRevision,
 }
 
 #[derive(Debug, Default)]
--- a/goldcrestramp-platform/src/records/service.rs
+++ b/goldcrestramp-platform/src/records/service.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use goldcrestramp_config::TouchMark;
+use goldcrestramp_config::EntityRevision;
 use goldcrestramp_ownership::{RecordDomain, ServiceRecord, SliceHolding};
 use goldcrestramp_types::{DomainName, ServiceName, SliceCount};
 use serde::{Deserialize, Serialize};
@@ -34,7 +34,7 @@
     service: ServiceName,
     count: SliceCount,
     revision: u64,
-    domains: Vec<(DomainName, TouchMark)>,
+    domains: Vec<(DomainName, EntityRevision)>,
     held: Vec<(u32, u16)>,
     moving: Vec<(u16, u16)>,
 }
--- a/goldcrestramp-platform/tests/records.rs
+++ b/goldcrestramp-platform/tests/records.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use goldcrestramp_config::TouchMark;
+use goldcrestramp_config::EntityRevision;
 use goldcrestramp_ownership::{
     DomainRecord, RecordDomain, RosterVoter, ServiceRecord, SliceHolding,
     StrandedCause, VoterRoster,
@@ -25,7 +25,7 @@
 }
 
 fn record_domain(name: &str) -> RecordDomain {
-    RecordDomain { name: domain(name), ticket: TouchMark(3, 1) }
+    RecordDomain { name: domain(name), ticket: EntityRevision(3, 1) }
 }
 
 fn service(name: &str) -> ServiceName {
