--- a/goldcrestramp-config/src/deployment.rs
+++ b/goldcrestramp-config/src/deployment.rs
@@ -1,7 +1,7 @@
 //! The state that accepted change tickets have built up.
 //!
-//! It is one value in the store, so that a ticket is in force whole or not
-//! at all, and one order of tickets holds for all nodes.
+//! It is stored as one value, so that a ticket is applied atomically and all
+//! nodes see the tickets in the same order.
 
 use goldcrestramp_types::{
     CallerName, DomainName, RegionName, ServerName, ServiceName, SliceCount,
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DeploymentState {
-    /// Rises by one with each accepted ticket.
+    /// The version, incremented by each accepted ticket.
     pub version: u64,
     /// Failure domains.
     #[serde(default)]
@@ -25,37 +25,37 @@
     /// Backend servers.
     #[serde(default)]
     pub servers: Vec<ServerRules>,
-    /// Callers that get another share than the default.
+    /// Callers whose share differs from the default.
     #[serde(default)]
     pub callers: Vec<CallerRules>,
-    /// Which tickets have been accepted.
+    /// The accepted tickets.
     #[serde(default)]
     pub tickets: TicketHistory,
 }
 
 impl DeploymentState {
-    /// The failure domain of this name.
+    /// Returns the failure domain of this name.
     #[must_use]
     pub fn domain(&self, name: &DomainName) -> Option<&DomainRules> {
         self.domains.iter().find(|domain| domain.name == *name)
     }
 
-    /// The service of this name.
+    /// Returns the service of this name.
     #[must_use]
     pub fn service(&self, name: &ServiceName) -> Option<&ServiceRules> {
         self.services.iter().find(|service| service.name == *name)
     }
 
-    /// The server of this name.
+    /// Returns the server of this name.
     #[must_use]
     pub fn server(&self, name: &ServerName) -> Option<&ServerRules> {
         self.servers.iter().find(|server| server.name == *name)
     }
 
-    /// Whether `server` may own keys of `service`: the service's rules let
-    /// its place, and it is not draining.
+    /// Whether `server` may own keys of `service`: the service's rules allow
+    /// its failure domain and region, and it is not draining.
     ///
-    /// A domain that is declared lost still counts here; see
+    /// Servers in a domain that is declared lost still count; see
     /// [`DomainRules::lost`].
     #[must_use]
     pub fn may_own(
@@ -66,15 +66,15 @@
         let domains = &service.domains;
         let regions = &service.regions;
         let region = self.domain(&server.domain).map(|d| &d.region);
-        let place = domains.is_empty() || domains.contains(&server.domain);
+        let domain = domains.is_empty() || domains.contains(&server.domain);
         let region = regions.is_empty()
             || region.is_some_and(|region| regions.contains(region));
-        service.name == server.service && place && region && !server.drain
+        service.name == server.service && domain && region && !server.drain
     }
 
-    pub(crate) fn contains(&self, thing: &EntityId) -> bool {
-        let name = &*thing.name;
-        match thing.kind {
+    pub(crate) fn contains(&self, entity: &EntityId) -> bool {
+        let name = &*entity.name;
+        match entity.kind {
             EntityKind::Domain => {
                 self.domains.iter().any(|d| d.name.as_str() == name)
             }
@@ -90,9 +90,9 @@
         }
     }
 
-    pub(crate) fn remove(&mut self, thing: &EntityId) {
-        let name = &*thing.name;
-        match thing.kind {
+    pub(crate) fn remove(&mut self, entity: &EntityId) {
+        let name = &*entity.name;
+        match entity.kind {
             EntityKind::Domain => {
                 self.domains.retain(|d| d.name.as_str() != name);
             }
@@ -108,10 +108,10 @@
         }
     }
 
-    /// A thing that refers to `thing`.
-    pub(crate) fn user_of(&self, thing: &EntityId) -> Option<EntityId> {
-        let name = &*thing.name;
-        match thing.kind {
+    /// Returns an entity that refers to `entity`.
+    pub(crate) fn referrer_of(&self, entity: &EntityId) -> Option<EntityId> {
+        let name = &*entity.name;
+        match entity.kind {
             EntityKind::Domain => {
                 let services = self.services.iter();
                 let mut services = services
@@ -130,10 +130,10 @@
         }
     }
 
-    pub(crate) fn trim_marks(&mut self) {
-        let mut marks = std::mem::take(&mut self.tickets);
-        marks.trim(|thing| self.contains(thing));
-        self.tickets = marks;
+    pub(crate) fn trim_history(&mut self) {
+        let mut history = std::mem::take(&mut self.tickets);
+        history.trim(|entity| self.contains(entity));
+        self.tickets = history;
     }
 }
 
@@ -145,7 +145,7 @@
     pub name: DomainName,
     /// Its region.
     pub region: RegionName,
-    /// Declared lost by an operator: its slices may be taken from it.
+    /// Declared lost by an operator: its slices may be assigned elsewhere.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub lost: bool,
 }
@@ -156,13 +156,13 @@
 pub struct ServiceRules {
     /// Its name.
     pub name: ServiceName,
-    /// Its number of slices, fixed when it is created.
+    /// Its number of slices, fixed when the service is created.
     #[serde(default = "default_slices")]
     pub slices: SliceCount,
-    /// The failure domains that may own its keys; empty: all of them.
+    /// The failure domains that may own its keys; all of them if empty.
     #[serde(default)]
     pub domains: Vec<DomainName>,
-    /// The regions that may own its keys; empty: all of them.
+    /// The regions that may own its keys; all of them if empty.
     #[serde(default)]
     pub regions: Vec<RegionName>,
 }
@@ -177,15 +177,15 @@
     pub service: ServiceName,
     /// Its failure domain.
     pub domain: DomainName,
-    /// Where it listens, `IP:port`.
+    /// The address it listens on, `IP:port`.
     pub address: std::net::SocketAddr,
-    /// How many requests it runs at once.
+    /// The maximum number of requests it runs concurrently.
     pub slots: u32,
-    /// How many connections it takes.
+    /// The maximum number of connections it accepts.
     pub connections: u32,
-    /// Whether it refuses orders that carry an old token.
+    /// Whether it rejects orders that carry an old fencing token.
     pub checks_fence: bool,
-    /// Leaving: it gets no new work, and its slices move away.
+    /// Draining: it gets no new work, and its slices move to other servers.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub drain: bool,
 }
@@ -196,7 +196,7 @@
 pub struct CallerRules {
     /// The caller.
     pub name: CallerName,
-    /// Its weight; a caller that is not listed has 1.
+    /// Its weight; callers that are not listed have weight 1.
     pub weight: u32,
 }
 
--- a/goldcrestramp-config/src/document/fault.rs
+++ b/goldcrestramp-config/src/document/fault.rs
@@ -1,30 +1,31 @@
-//! What is wrong with a document, and where.
+//! Faults of a document and their positions.
 
 use std::{fmt, sync::Arc};
 
 use serde::Serialize;
 
-/// A place in a text; lines and columns count from 1, columns in bytes.
+/// A position in a text; lines and columns count from 1, columns in bytes.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd, Serialize,
 )]
 pub struct SourcePosition {
-    /// The line.
+    /// The line, from 1.
     pub line: usize,
-    /// The column.
+    /// The column in bytes, from 1.
     pub column: usize,
 }
 
 /// One fault of a document.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct DocumentFault {
-    /// The file, as the operator named it.
+    /// The file's name as the operator gave it.
     pub file: Arc<str>,
-    /// Where in the file.
+    /// The position in the file.
     pub position: SourcePosition,
-    /// Which value, such as `servers[3].slots`; empty: the whole document.
+    /// The path of the value, such as `servers[3].slots`; empty for the
+    /// whole document.
     pub path: String,
-    /// What is wrong with it, as a short sentence.
+    /// A short description of the fault.
     pub message: String,
 }
 
@@ -41,7 +42,7 @@
 
 impl std::error::Error for DocumentFault {}
 
-/// The faults of one document, ordered by place.
+/// The faults of one document, ordered by position.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct FaultList {
     file: Arc<str>,
@@ -49,13 +50,13 @@
 }
 
 impl FaultList {
-    /// No faults yet in the file of this name.
+    /// Creates an empty list for the file of this name.
     #[must_use]
     pub fn new(file: &str) -> Self {
         Self { file: Arc::from(file), faults: Vec::new() }
     }
 
-    /// The one fault of a file that can't be read.
+    /// Creates the list of a file that can't be read, with one fault.
     pub(crate) fn unreadable(file: &str, error: &std::io::Error) -> Self {
         let mut faults = Self::new(file);
         let message = format!("can't be read: {error}");
@@ -63,7 +64,7 @@
         faults
     }
 
-    /// Notes a fault.
+    /// Adds a fault at its position in the order.
     pub fn add(
         &mut self,
         position: SourcePosition,
@@ -76,24 +77,24 @@
             path: path.to_owned(),
             message: message.into(),
         };
-        let place = self.faults.partition_point(|f| f.position <= position);
-        self.faults.insert(place, fault);
+        let index = self.faults.partition_point(|f| f.position <= position);
+        self.faults.insert(index, fault);
     }
 
-    /// The faults, ordered by place.
+    /// Returns the faults, ordered by position.
     #[must_use]
     pub fn faults(&self) -> &[DocumentFault] {
         &self.faults
     }
 
-    /// Whether nothing is wrong.
+    /// Whether the document has no faults.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.faults.is_empty()
     }
 
-    /// The document when nothing is wrong with it, else the faults.
-    pub(crate) fn or_value<T>(self, value: Option<T>) -> Result<T, Self> {
+    /// Returns the value if there are no faults, otherwise the faults.
+    pub(crate) fn into_result<T>(self, value: Option<T>) -> Result<T, Self> {
         match value {
             Some(value) if self.is_empty() => Ok(value),
             _ => Err(self),
--- a/goldcrestramp-config/src/document/fields.rs
+++ b/goldcrestramp-config/src/document/fields.rs
@@ -1,4 +1,4 @@
-//! Takes the fields of a table one by one and notes every fault.
+//! Reads the fields of an object one by one and collects every fault.
 
 use std::{fmt::Display, ops::RangeInclusive};
 
@@ -6,25 +6,25 @@
 
 use super::{
     fault::{FaultList, SourcePosition},
-    tree::{DocumentNode, NodeContent, TableEntry},
+    tree::{DocumentNode, NodeContent, ObjectEntry},
 };
 
-/// Reads one table; what is left over at the end is an unknown field.
+/// Reads one object; a field that was not read is unknown.
 #[derive(Debug)]
 pub(crate) struct FieldReader<'a> {
     position: SourcePosition,
     path: &'a str,
-    entries: &'a [TableEntry],
+    entries: &'a [ObjectEntry],
     known: Vec<&'static str>,
 }
 
 impl<'a> FieldReader<'a> {
-    /// Opens the table at `node`; anything else there is a fault.
+    /// Opens the object at `node`; any other value is a fault.
     pub(crate) fn open(
         node: &'a DocumentNode,
         faults: &mut FaultList,
     ) -> Option<Self> {
-        let NodeContent::Table(entries) = &node.content else {
+        let NodeContent::Object(entries) = &node.content else {
             faults.add(node.position, &node.path, "must be an object");
             return None;
         };
@@ -33,7 +33,7 @@
         Some(Self { position: node.position, path, entries, known })
     }
 
-    /// The node of a field, if the document has it and it is not null.
+    /// Returns the node of a field, if it is present and not null.
     pub(crate) fn node(
         &mut self,
         name: &'static str,
@@ -43,7 +43,7 @@
         (entry.value.text != "null").then_some(&entry.value)
     }
 
-    /// The node of a field that must be there.
+    /// Returns the node of a required field.
     pub(crate) fn required_node(
         &mut self,
         name: &'static str,
@@ -57,17 +57,17 @@
         node
     }
 
-    /// A value that must be there.
+    /// Reads a required value.
     pub(crate) fn required<T: DeserializeOwned>(
         &mut self,
         name: &'static str,
         faults: &mut FaultList,
     ) -> Option<T> {
         let node = self.required_node(name, faults)?;
-        leaf(node, faults)
+        parse_value(node, faults)
     }
 
-    /// A value that may be absent; an outer `None` is a fault.
+    /// Reads a value that may be absent; an outer `None` is a fault.
     #[expect(clippy::option_option, reason = "a fault differs from absence")]
     pub(crate) fn optional<T: DeserializeOwned>(
         &mut self,
@@ -76,11 +76,11 @@
     ) -> Option<Option<T>> {
         match self.node(name) {
             None => Some(None),
-            Some(node) => leaf(node, faults).map(Some),
+            Some(node) => parse_value(node, faults).map(Some),
         }
     }
 
-    /// A value with a default.
+    /// Reads a value with a default.
     pub(crate) fn or_default<T: DeserializeOwned>(
         &mut self,
         name: &'static str,
@@ -90,7 +90,7 @@
         self.optional(name, faults).map(|value| value.unwrap_or(default))
     }
 
-    /// A number in a range; without a default it must be there.
+    /// Reads a number within a range; it is required without a default.
     pub(crate) fn ranged<T>(
         &mut self,
         name: &'static str,
@@ -108,7 +108,7 @@
             },
             None => self.required_node(name, faults)?,
         };
-        let value = leaf(node, faults)?;
+        let value = parse_value(node, faults)?;
         if range.contains(&value) {
             return Some(value);
         }
@@ -118,7 +118,7 @@
         None
     }
 
-    /// The items of a list; an absent list is empty.
+    /// Reads the items of a list; an absent list is empty.
     pub(crate) fn list<T>(
         &mut self,
         name: &'static str,
@@ -133,13 +133,14 @@
         items.iter().filter_map(|item| read(item, faults)).collect()
     }
 
-    /// Where a field's value stands, or the table when it is absent.
+    /// Returns the position of a field's value, or that of the object if the
+    /// field is absent.
     pub(crate) fn position(&self, name: &str) -> SourcePosition {
         let entry = self.entries.iter().find(|entry| entry.name == name);
         entry.map_or(self.position, |entry| entry.value.position)
     }
 
-    /// Notes every field that nobody asked for.
+    /// Adds a fault for every field that was not read.
     pub(crate) fn close(self, faults: &mut FaultList) {
         let unknown = self
             .entries
@@ -152,7 +153,8 @@
     }
 }
 
-/// Names the field that was probably meant, else all that are known.
+/// Suggests the field that was probably meant, otherwise lists the known
+/// ones.
 fn unknown_field(name: &str, known: &[&str]) -> String {
     let close =
         known.iter().find(|k| k.starts_with(name) || name.starts_with(**k));
@@ -162,8 +164,8 @@
     )
 }
 
-/// One value by serde; its complaint becomes a fault at its place.
-pub(crate) fn leaf<T: DeserializeOwned>(
+/// Parses one value with serde; an error becomes a fault at its position.
+pub(crate) fn parse_value<T: DeserializeOwned>(
     node: &DocumentNode,
     faults: &mut FaultList,
 ) -> Option<T> {
--- a/goldcrestramp-config/src/document/mod.rs
+++ b/goldcrestramp-config/src/document/mod.rs
@@ -1,9 +1,9 @@
-//! Reading JSON with comments so that all faults are told at once.
+//! Reads JSON with comments and reports all faults at once.
 //!
-//! serde stops at the first fault. Here a document becomes a tree whose
-//! nodes know where they stand; readers take fields from it one by one and
-//! note each fault with its place, so that an operator mends a file in one
-//! go.
+//! serde stops at the first fault. Here a document is parsed into a tree
+//! whose nodes have positions. Readers take fields from it one by one and
+//! collect each fault with its position, so that an operator can correct a
+//! file in one pass.
 
 mod fault;
 mod fields;
@@ -12,7 +12,7 @@
 
 pub use self::fault::{DocumentFault, FaultList, SourcePosition};
 pub(crate) use self::{
-    fields::{FieldReader, leaf},
-    positions::PlaceIndex,
+    fields::{FieldReader, parse_value},
+    positions::PositionIndex,
     tree::{DocumentNode, open_document},
 };
--- a/goldcrestramp-config/src/document/positions.rs
+++ b/goldcrestramp-config/src/document/positions.rs
@@ -1,4 +1,4 @@
-//! Finds the place of a path after a document has been read.
+//! Finds the position of a path after a document has been read.
 
 use goldcrestramp_types::FastMap;
 
@@ -7,30 +7,31 @@
     tree::{DocumentNode, NodeContent},
 };
 
-/// The places of all values of one document, by path.
+/// The positions of all values of one document, by path.
 #[derive(Clone, Debug)]
-pub(crate) struct PlaceIndex {
-    places: FastMap<String, SourcePosition>,
+pub(crate) struct PositionIndex {
+    positions: FastMap<String, SourcePosition>,
 }
 
-impl PlaceIndex {
-    /// The places at and below `node`.
+impl PositionIndex {
+    /// Indexes `node` and all values below it.
     pub(crate) fn new(node: &DocumentNode) -> Self {
-        let mut places = FastMap::default();
-        note_places(node, &mut places);
-        Self { places }
+        let mut positions = FastMap::default();
+        insert_positions(node, &mut positions);
+        Self { positions }
     }
 
-    /// The place of a value, or of what holds it when the text lacks it.
+    /// Returns the position of a value, or that of its closest ancestor if the
+    /// text doesn't have it.
     pub(crate) fn find(&self, path: &str) -> SourcePosition {
         let mut path = path;
         loop {
-            if let Some(position) = self.places.get(path) {
+            if let Some(position) = self.positions.get(path) {
                 return *position;
             }
             let end = path.rfind(['.', '[']);
             match end.and_then(|end| path.get(..end)) {
-                Some(holder) => path = holder,
+                Some(parent) => path = parent,
                 None if path.is_empty() => return SourcePosition::default(),
                 None => path = "",
             }
@@ -38,20 +39,20 @@
     }
 }
 
-fn note_places(
+fn insert_positions(
     node: &DocumentNode,
-    places: &mut FastMap<String, SourcePosition>,
+    positions: &mut FastMap<String, SourcePosition>,
 ) {
-    places.insert(node.path.clone(), node.position);
+    positions.insert(node.path.clone(), node.position);
     match &node.content {
-        NodeContent::Table(entries) => {
+        NodeContent::Object(entries) => {
             for entry in entries {
-                note_places(&entry.value, places);
+                insert_positions(&entry.value, positions);
             }
         }
         NodeContent::List(items) => {
             for item in items {
-                note_places(item, places);
+                insert_positions(item, positions);
             }
         }
         NodeContent::Scalar => {}
--- a/goldcrestramp-config/src/document/tree.rs
+++ b/goldcrestramp-config/src/document/tree.rs
@@ -1,4 +1,4 @@
-//! A JSON document as a tree whose nodes know where they stand.
+//! Parses a JSON document into a tree whose nodes have positions.
 
 use std::io::Read;
 
@@ -7,33 +7,34 @@
 
 use super::fault::{FaultList, SourcePosition};
 
-/// One value of a document, with its place and path.
+/// One value of a document, with its position and path.
 #[derive(Debug)]
 pub(crate) struct DocumentNode {
     pub position: SourcePosition,
     pub path: String,
-    /// The value's own text, valid JSON.
+    /// The value's text, which is valid JSON.
     pub text: String,
     pub content: NodeContent,
 }
 
-/// What a value is made of.
+/// The content of a value.
 #[derive(Debug)]
 pub(crate) enum NodeContent {
-    Table(Vec<TableEntry>),
+    Object(Vec<ObjectEntry>),
     List(Vec<DocumentNode>),
     Scalar,
 }
 
-/// One field of a table.
+/// One field of an object.
 #[derive(Debug)]
-pub(crate) struct TableEntry {
+pub(crate) struct ObjectEntry {
     pub name: String,
     pub position: SourcePosition,
     pub value: DocumentNode,
 }
 
-/// Makes `text` a tree; syntax faults and repeated fields go to `faults`.
+/// Parses `text` into a tree; adds syntax errors and repeated fields to
+/// `faults`.
 pub(crate) fn open_document(
     text: &str,
     faults: &mut FaultList,
@@ -42,27 +43,28 @@
     let stripped = match strip_comments(text) {
         Ok(stripped) => stripped,
         Err(error) => {
-            let message = format!("not a text with comments: {error}");
+            let message = format!("invalid comment: {error}");
             faults.add(start, "", message);
             return None;
         }
     };
     if let Err(error) = serde_json::from_str::<IgnoredAny>(&stripped) {
-        // The parser counts columns from 0 at a line's very beginning.
+        // The parser reports column 0 at the start of a line.
         let (line, column) = (error.line().max(1), error.column().max(1));
-        let place = SourcePosition { line, column };
-        faults.add(place, "", format!("no valid JSON: {error}"));
+        let position = SourcePosition { line, column };
+        faults.add(position, "", format!("invalid JSON: {error}"));
         return None;
     }
-    let mut scanner = TreeScanner { text: &stripped, at: 0, place: start };
+    let mut scanner =
+        TreeScanner { text: &stripped, offset: 0, position: start };
     Some(scanner.value(String::new(), faults))
 }
 
-/// Puts spaces in place of comments, so that every place stays the same.
+/// Replaces comments with spaces, so that all positions stay the same.
 ///
-/// The library blanks the line ends inside block comments too, and all
-/// faults below such a comment would be told some lines too high; the
-/// lengths agree, so the line ends are put back from the original.
+/// The library also replaces the line ends inside block comments, so faults
+/// below such a comment would be reported with too low a line number. The
+/// lengths are equal, so the line ends are restored from the original.
 fn strip_comments(text: &str) -> std::io::Result<String> {
     let mut stripped = Vec::with_capacity(text.len());
     StripComments::new(text.as_bytes()).read_to_end(&mut stripped)?;
@@ -74,74 +76,74 @@
     String::from_utf8(stripped).map_err(std::io::Error::other)
 }
 
-/// Walks a text that `serde_json` has found valid, so it needs no checks.
+/// Scans a text that `serde_json` has validated, so it needs no checks.
 struct TreeScanner<'a> {
     text: &'a str,
-    at: usize,
-    place: SourcePosition,
+    offset: usize,
+    position: SourcePosition,
 }
 
 impl TreeScanner<'_> {
     fn peek(&self) -> u8 {
-        self.text.as_bytes().get(self.at).copied().unwrap_or(0)
+        self.text.as_bytes().get(self.offset).copied().unwrap_or(0)
     }
 
     fn step(&mut self) {
         if self.peek() == b'\n' {
-            self.place.line += 1;
-            self.place.column = 0;
+            self.position.line += 1;
+            self.position.column = 0;
         }
-        self.place.column += 1;
-        self.at += 1;
+        self.position.column += 1;
+        self.offset += 1;
     }
 
-    fn skip_space(&mut self) {
+    fn skip_whitespace(&mut self) {
         while self.peek().is_ascii_whitespace() {
             self.step();
         }
     }
 
     /// Skips one separator, `,` or `:`, if it is next.
-    fn skip_mark(&mut self) {
-        self.skip_space();
+    fn skip_separator(&mut self) {
+        self.skip_whitespace();
         if matches!(self.peek(), b',' | b':') {
             self.step();
         }
-        self.skip_space();
+        self.skip_whitespace();
     }
 
     fn value(&mut self, path: String, faults: &mut FaultList) -> DocumentNode {
-        self.skip_space();
-        let position = self.place;
-        let start = self.at;
+        self.skip_whitespace();
+        let position = self.position;
+        let start = self.offset;
         let content = match self.peek() {
-            b'{' => NodeContent::Table(self.table(&path, faults)),
+            b'{' => NodeContent::Object(self.object(&path, faults)),
             b'[' => NodeContent::List(self.list(&path, faults)),
             _ => self.scalar(),
         };
-        let text = self.text.get(start..self.at).unwrap_or("").to_owned();
+        let text = self.text.get(start..self.offset).unwrap_or("").to_owned();
         DocumentNode { position, path, text, content }
     }
 
-    fn table(
+    fn object(
         &mut self,
         path: &str,
         faults: &mut FaultList,
-    ) -> Vec<TableEntry> {
-        let mut entries = Vec::<TableEntry>::new();
+    ) -> Vec<ObjectEntry> {
+        let mut entries = Vec::<ObjectEntry>::new();
         self.step();
-        self.skip_space();
+        self.skip_whitespace();
         while !matches!(self.peek(), b'}' | 0) {
-            let position = self.place;
+            let position = self.position;
             let name = self.field_name();
-            let below = join_path(path, &name);
-            self.skip_mark();
+            let child_path = join_path(path, &name);
+            self.skip_separator();
             if entries.iter().any(|entry| entry.name == name) {
-                faults.add(position, &below, "this field stands twice");
+                faults.add(position, &child_path, "this field stands twice");
             }
-            let value = self.value(below, faults);
-            entries.push(TableEntry { name, position, value });
-            self.skip_mark();
+            let value = self.value(child_path, faults);
+            entries.push(ObjectEntry { name, position, value });
+            self.skip_separator();
         }
         self.step();
         entries
@@ -154,26 +156,26 @@
     ) -> Vec<DocumentNode> {
         let mut items = Vec::new();
         self.step();
-        self.skip_space();
+        self.skip_whitespace();
         while !matches!(self.peek(), b']' | 0) {
-            let below = format!("{path}[{}]", items.len());
-            items.push(self.value(below, faults));
-            self.skip_mark();
+            let child_path = format!("{path}[{}]", items.len());
+            items.push(self.value(child_path, faults));
+            self.skip_separator();
         }
         self.step();
         items
     }
 
     fn field_name(&mut self) -> String {
-        let start = self.at;
+        let start = self.offset;
         self.scalar();
-        let text = self.text.get(start..self.at).unwrap_or("");
+        let text = self.text.get(start..self.offset).unwrap_or("");
         serde_json::from_str(text).unwrap_or_default()
     }
 
     fn scalar(&mut self) -> NodeContent {
         if self.peek() == b'"' {
-            self.quoted();
+            self.quoted_string();
         } else {
             while !matches!(self.peek(), b',' | b'}' | b']' | 0)
                 && !self.peek().is_ascii_whitespace()
@@ -184,7 +186,7 @@
         NodeContent::Scalar
     }
 
-    fn quoted(&mut self) {
+    fn quoted_string(&mut self) {
         self.step();
         while !matches!(self.peek(), b'"' | 0) {
             if self.peek() == b'\\' {
--- a/goldcrestramp-config/src/example/mod.rs
+++ b/goldcrestramp-config/src/example/mod.rs
@@ -1,8 +1,8 @@
-//! A whole deployment in one file: what the demo and tests start from.
+//! A complete deployment in one file, which the demo and tests start from.
 //!
-//! The file holds ticket 1 with everything that operators declare, and
-//! beside it what is not configuration: the entry VMs, the links between
-//! the places, and the mix of traffic.
+//! The file contains ticket 1 with everything that operators declare. It also
+//! describes what is not configuration: the entry VMs, the network links and
+//! the traffic mix.
 
 mod reader;
 
@@ -16,35 +16,35 @@
 pub use self::reader::{parse_example, read_example};
 use crate::ticket::ChangeTicket;
 
-/// A deployment in its shape and size.
+/// A deployment with its servers, links and traffic.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ExampleDeployment {
     /// The deployment's name.
     pub deployment: Arc<str>,
-    /// The region in which the platform's store stands.
+    /// The region of the platform's store.
     pub store_region: RegionName,
-    /// Figures of the links between the places.
+    /// Latencies and bandwidth of the network links.
     pub links: LinkFigures,
     /// The entry VMs.
     pub vms: Vec<EntryVm>,
     /// Ticket 1: failure domains, services, servers and callers.
     pub ticket: ChangeTicket,
-    /// The requests of callers, one mix for each service.
+    /// The requests of callers, as mixes of one service and class each.
     pub traffic: Vec<TrafficMix>,
 }
 
-/// Links between the places of a deployment; times are one-way.
+/// Network links of a deployment; latencies are one-way.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct LinkFigures {
-    /// Between two failure domains of a region, in microseconds.
+    /// Latency between two failure domains of a region, in microseconds.
     pub between_domains_us: u64,
-    /// Between two regions, in microseconds.
+    /// Latency between two regions, in microseconds.
     pub between_regions_us: u64,
-    /// Between an entry VM and a caller, in microseconds.
+    /// Latency between an entry VM and a caller, in microseconds.
     pub to_clients_us: u64,
-    /// A new connection to a server, in microseconds.
+    /// Time to open a connection to a server, in microseconds.
     pub connection_us: u64,
-    /// The link between two regions, each way, in Mbit/s.
+    /// Bandwidth between two regions in each direction, in Mbit/s.
     pub between_regions_mbit_s: u64,
 }
 
@@ -64,21 +64,21 @@
     pub service: ServiceName,
     /// The class of its requests.
     pub class: RequestClass,
-    /// Arrivals in a second, over all callers.
+    /// Arrival rate over all callers, in requests per second.
     pub requests_per_s: u64,
-    /// How many callers send them.
+    /// The number of callers that send them.
     pub callers: u64,
-    /// How many keys they name.
+    /// The number of distinct keys.
     pub keys: u64,
     /// The exponent of the keys' Zipf distribution; 0 is uniform.
     pub zipf_exponent: f64,
-    /// How many keys are hot, changing places over time.
+    /// The number of hot keys; which keys are hot changes over time.
     pub hot_keys: u64,
-    /// How long a server works on one request, in milliseconds.
+    /// A server's processing time for one request, in milliseconds.
     pub work_ms: u64,
-    /// A request's body, in bytes.
+    /// The size of a request's body, in bytes.
     pub request_bytes: u64,
-    /// An answer's body, in bytes.
+    /// The size of a response's body, in bytes.
     pub answer_bytes: u64,
     /// A request's deadline, in milliseconds from its arrival.
     pub deadline_ms: u64,
--- a/goldcrestramp-config/src/example/reader.rs
+++ b/goldcrestramp-config/src/example/reader.rs
@@ -1,4 +1,4 @@
-//! Reads a deployment's file and checks it as a whole.
+//! Reads a deployment's file and checks its references.
 
 use std::{ops::RangeInclusive, path::Path};
 
@@ -8,15 +8,15 @@
 use crate::{
     deployment::DeploymentState,
     document::{
-        DocumentNode, FaultList, FieldReader, PlaceIndex, open_document,
+        DocumentNode, FaultList, FieldReader, PositionIndex, open_document,
     },
     ticket::{AcceptOutcome, accept_ticket, ticket_from_node},
 };
 
-/// Up to ten seconds one way.
+/// One-way latency, up to ten seconds.
 const LINK_US: RangeInclusive<u64> = 0..=10_000_000;
 const LINK_MBIT_S: RangeInclusive<u64> = 1..=1_000_000;
-/// Rates and sizes for loopback; far above what one machine carries.
+/// Rates on loopback; the limit is far above what one machine can handle.
 const REQUESTS_PER_S: RangeInclusive<u64> = 1..=10_000_000;
 const COUNT: RangeInclusive<u64> = 1..=1_000_000_000;
 const HOT_KEYS: RangeInclusive<u64> = 0..=1_000_000;
@@ -28,7 +28,7 @@
 ///
 /// # Errors
 ///
-/// Every fault of the file at once, each with its place.
+/// Returns all faults of the file, each with its position.
 pub fn read_example(file: &Path) -> Result<ExampleDeployment, FaultList> {
     let name = file.display().to_string();
     match std::fs::read_to_string(file) {
@@ -41,8 +41,8 @@
 ///
 /// # Errors
 ///
-/// Every fault of the text at once, each with its place; what the ticket
-/// refers to is judged too.
+/// Returns all faults of the text, each with its position, among them
+/// invalid references of the ticket.
 pub fn parse_example(
     file: &str,
     text: &str,
@@ -50,10 +50,10 @@
     let mut faults = FaultList::new(file);
     let example = open_document(text, &mut faults).and_then(|node| {
         let example = example(&node, &mut faults)?;
-        check_example(&example, &PlaceIndex::new(&node), &mut faults);
+        check_example(&example, &PositionIndex::new(&node), &mut faults);
         Some(example)
     });
-    faults.or_value(example)
+    faults.into_result(example)
 }
 
 fn example(
@@ -148,7 +148,7 @@
 
 fn check_example(
     example: &ExampleDeployment,
-    places: &PlaceIndex,
+    positions: &PositionIndex,
     faults: &mut FaultList,
 ) {
     let empty = DeploymentState::default();
@@ -159,29 +159,32 @@
             for refusal in refusals {
                 let path = format!("ticket.{}", refusal.path);
                 let reason = refusal.reason.to_string();
-                faults.add(places.find(&path), &path, reason);
+                faults.add(positions.find(&path), &path, reason);
             }
             return;
         }
     };
-    let mut note = |path: String, message: &str| {
-        faults.add(places.find(&path), &path, message);
+    let mut report = |path: String, message: &str| {
+        faults.add(positions.find(&path), &path, message);
     };
     if state.domains.iter().all(|d| d.region != example.store_region) {
-        note("store_region".to_owned(), "no failure domain stands there");
+        report(
+            "store_region".to_owned(),
+            "no failure domain is in this region",
+        );
     }
     let mut names = FastSet::default();
     for (index, vm) in example.vms.iter().enumerate() {
         if state.domain(&vm.domain).is_none() {
-            note(format!("vms[{index}].domain"), "no such failure domain");
+            report(format!("vms[{index}].domain"), "no such failure domain");
         }
         if !names.insert(&vm.name) {
-            note(format!("vms[{index}].name"), "another VM has this name");
+            report(format!("vms[{index}].name"), "another VM has this name");
         }
     }
     for (index, mix) in example.traffic.iter().enumerate() {
         if state.service(&mix.service).is_none() {
-            note(format!("traffic[{index}].service"), "no such service");
+            report(format!("traffic[{index}].service"), "no such service");
         }
     }
 }
--- a/goldcrestramp-config/src/lib.rs
+++ b/goldcrestramp-config/src/lib.rs
@@ -1,8 +1,8 @@
 /*!
-Node settings, change tickets and their checks.
+Reads and validates node settings and change tickets.
 
-Both are JSON with comments. Unknown fields, bad references and values out
-of range are refused, all at once, each with file, line, column and path.
+Both are JSON with comments. Unknown fields, invalid references and values
+out of range are reported together, each with file, line, column and path.
 */
 
 mod deployment;
--- a/goldcrestramp-config/src/settings/mod.rs
+++ b/goldcrestramp-config/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! The settings of one daemon, read when it starts.
+//! The settings of one daemon, read at startup.
 
 mod reader;
 
@@ -9,82 +9,82 @@
 
 pub use self::reader::{parse_settings, read_settings};
 
-/// Everything that a daemon learns from its settings file.
+/// The contents of a daemon's settings file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeSettings {
-    /// The name of the deployment; peers of another one are refused.
+    /// The name of the deployment; peers of other deployments are rejected.
     pub deployment: String,
-    /// This VM.
+    /// The name of this VM.
     pub vm: VmName,
-    /// Its failure domain.
+    /// The failure domain of this VM.
     pub domain: DomainName,
-    /// Its region.
+    /// The region of this VM.
     pub region: RegionName,
-    /// Where callers are served (HTTP).
+    /// The address to listen on for callers (HTTP).
     pub callers_listen: SocketAddr,
-    /// Where peers' requests for keys are served (gRPC).
+    /// The address to listen on for peers' requests for keys (gRPC).
     pub peers_listen: SocketAddr,
-    /// Where peers reach that; `peers_listen` when absent.
+    /// The address at which peers reach `peers_listen`, if it differs.
     pub peers_address: Option<SocketAddr>,
-    /// Where peers' control messages are served (gRPC), by a thread of its
-    /// own, so that traffic cannot delay them.
+    /// The address to listen on for peers' control messages (gRPC). A
+    /// separate thread serves them, so that traffic cannot delay them.
     pub control_listen: SocketAddr,
-    /// Where peers reach that; `control_listen` when absent.
+    /// The address at which peers reach `control_listen`, if it differs.
     pub control_address: Option<SocketAddr>,
     /// The base URL of the platform's services.
     pub platform_url: String,
     /// The operators' listener.
     pub operators: OperatorSettings,
-    /// Logs.
+    /// Log level and format.
     #[serde(default)]
     pub log: LogSettings,
-    /// TLS between peers; absent: plain TCP, loopback only.
+    /// TLS between peers; if absent, peers use plain TCP on loopback only.
     pub peer_tls: Option<PeerTlsSettings>,
-    /// The most requests under way at this gateway.
+    /// The maximum number of requests in flight at this gateway.
     #[serde(default = "default_gateway_requests")]
     pub gateway_requests: u32,
-    /// The largest request body, in bytes.
+    /// The maximum size of a request body, in bytes.
     #[serde(default = "default_body_bytes")]
     pub body_bytes: u32,
-    /// A request without a deadline gets this one, in milliseconds.
+    /// The deadline of requests that set none, in milliseconds.
     #[serde(default = "default_deadline_ms")]
     pub default_deadline_ms: u64,
-    /// What this VM may send to another region, in bytes a second: the
-    /// link's rate over the VMs that share it.
+    /// The rate at which this VM may send to another region, in bytes per
+    /// second: the link's rate divided by the VMs that share it.
     #[serde(default = "default_link_bytes_per_second")]
     pub link_bytes_per_second: u64,
 }
 
-/// The operators' listener: metrics, health, status.
+/// The operators' listener for metrics, health and status.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorSettings {
-    /// Where operators are served (HTTP).
+    /// The address to listen on for operators (HTTP).
     pub listen: SocketAddr,
-    /// A file that holds the bearer token; needed off loopback.
+    /// A file with the bearer token; required off loopback.
     pub token_file: Option<PathBuf>,
 }
 
-/// Certificate and key by which peers know each other.
+/// Certificates and key that authenticate peers to each other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeerTlsSettings {
-    /// The authority that signs every peer's certificate, PEM.
+    /// The certificate authority that signs every peer's certificate (PEM).
     pub authority_file: PathBuf,
-    /// This VM's certificate chain, PEM.
+    /// This VM's certificate chain (PEM).
     pub certificate_file: PathBuf,
-    /// This VM's private key, PEM.
+    /// This VM's private key (PEM).
     pub key_file: PathBuf,
 }
 
-/// How a daemon logs.
+/// Log settings of a daemon.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
-    /// `error`, `warn`, `info`, `debug` or `trace`.
+    /// The level: `error`, `warn`, `info`, `debug` or `trace`.
     pub level: String,
-    /// Lines for people or for machines.
+    /// The format of the lines.
     pub format: LogFormat,
 }
 
@@ -94,13 +94,13 @@
     }
 }
 
-/// The form of log lines.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LogFormat {
-    /// One short sentence a line.
+    /// One short sentence per line.
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
@@ -116,7 +116,7 @@
     10_000
 }
 
-/// 30 Mbit/s over five VMs.
+/// 30 Mbit/s divided by five VMs.
 const fn default_link_bytes_per_second() -> u64 {
     750_000
 }
--- a/goldcrestramp-config/src/settings/reader.rs
+++ b/goldcrestramp-config/src/settings/reader.rs
@@ -1,4 +1,4 @@
-//! Reads a settings file and checks it as a whole.
+//! Reads a settings file and checks that its fields are consistent.
 
 use std::{
     net::SocketAddr,
@@ -16,13 +16,13 @@
     DocumentNode, FaultList, FieldReader, SourcePosition, open_document,
 };
 
-/// Requests under way at one gateway: each holds a body and two sockets.
+/// Requests in flight at one gateway; each uses a body and two sockets.
 const GATEWAY_REQUESTS: std::ops::RangeInclusive<u32> = 1..=65_536;
-/// From one KiB to 64 MiB; a VM holds several bodies at once.
+/// From one KiB to 64 MiB; a VM buffers several bodies at once.
 const BODY_BYTES: std::ops::RangeInclusive<u32> = 1_024..=67_108_864;
-/// Up to an hour, the longest download that is expected.
+/// Up to an hour, the longest expected download.
 const DEADLINE_MS: std::ops::RangeInclusive<u64> = 1..=3_600_000;
-/// From a modem to 100 Gbit/s; beyond either the figure is a slip.
+/// From the rate of a modem to 100 Gbit/s; other values are typing errors.
 const LINK_BYTES_PER_SECOND: std::ops::RangeInclusive<u64> =
     4_096..=12_500_000_000;
 const LOG_LEVELS: [&str; 5] = ["error", "warn", "info", "debug", "trace"];
@@ -31,7 +31,7 @@
 ///
 /// # Errors
 ///
-/// Every fault of the file at once, each with its place.
+/// Returns all faults of the file, each with its position.
 pub fn read_settings(file: &Path) -> Result<NodeSettings, FaultList> {
     let name = file.display().to_string();
     match std::fs::read_to_string(file) {
@@ -44,7 +44,7 @@
 ///
 /// # Errors
 ///
-/// Every fault of the text at once, each with its place.
+/// Returns all faults of the text, each with its position.
 ///
 /// # Example
 ///
@@ -52,7 +52,7 @@
 /// use goldcrestramp_config::parse_settings;
 ///
 /// let faults = parse_settings("node.jsonc", "{ \"vmm\": 3 } // typo")
-///     .expect_err("nearly all is missing");
+///     .expect_err("most fields are missing");
 /// let first = faults.faults()[0].to_string();
 /// assert!(first.starts_with("node.jsonc:1:1: "));
 /// ```
@@ -63,7 +63,7 @@
     let mut faults = FaultList::new(file);
     let node = open_document(text, &mut faults);
     let settings = node.and_then(|node| settings(&node, &mut faults));
-    faults.or_value(settings)
+    faults.into_result(settings)
 }
 
 fn settings(
@@ -115,7 +115,7 @@
         Some(default_link_bytes_per_second()),
         faults,
     );
-    let places = SettingsPlaces::new(&fields);
+    let positions = SettingsPositions::new(&fields);
     fields.close(faults);
     let settings = NodeSettings {
         deployment: deployment?,
@@ -136,7 +136,7 @@
         default_deadline_ms: default_deadline_ms?,
         link_bytes_per_second: link_bytes_per_second?,
     };
-    check_settings(&settings, &places, faults);
+    check_settings(&settings, &positions, faults);
     Some(settings)
 }
 
@@ -149,7 +149,7 @@
     let token_file = fields.optional::<PathBuf>("token_file", faults);
     fields.close(faults);
     let (listen, token_file) = (listen?, token_file?);
-    // Without a token anybody who reaches the port could apply a ticket.
+    // Without a token, anyone who can reach the port could apply a ticket.
     if token_file.is_none() && !listen.ip().is_loopback() {
         let path = format!("{}.token_file", node.path);
         let message = "needed when operators are served off loopback";
@@ -191,8 +191,8 @@
     })
 }
 
-/// Where the fields stand that are checked against each other.
-struct SettingsPlaces {
+/// Positions of the fields that are checked against each other.
+struct SettingsPositions {
     deployment: SourcePosition,
     vm: SourcePosition,
     domain: SourcePosition,
@@ -203,7 +203,7 @@
     operators: SourcePosition,
 }
 
-impl SettingsPlaces {
+impl SettingsPositions {
     fn new(fields: &FieldReader<'_>) -> Self {
         Self {
             deployment: fields.position("deployment"),
@@ -220,40 +220,40 @@
 
 fn check_settings(
     settings: &NodeSettings,
-    places: &SettingsPlaces,
+    positions: &SettingsPositions,
     faults: &mut FaultList,
 ) {
-    check_names(settings, places, faults);
-    check_listeners(settings, places, faults);
-    check_peers(settings, places, faults);
+    check_names(settings, positions, faults);
+    check_listeners(settings, positions, faults);
+    check_peers(settings, positions, faults);
     if !settings.platform_url.starts_with("http://") {
         let message = "must begin with `http://`";
-        faults.add(places.platform_url, "platform_url", message);
+        faults.add(positions.platform_url, "platform_url", message);
     }
 }
 
-/// The three names stand as labels in the certificates of peers.
+/// Checks the names that are DNS labels in the certificates of peers.
 fn check_names(
     settings: &NodeSettings,
-    places: &SettingsPlaces,
+    positions: &SettingsPositions,
     faults: &mut FaultList,
 ) {
     if settings.deployment.is_empty() {
-        faults.add(places.deployment, "deployment", "may not be empty");
+        faults.add(positions.deployment, "deployment", "may not be empty");
     }
     if settings.peer_tls.is_none() {
         return;
     }
     let labels = [
-        ("deployment", settings.deployment.as_str(), places.deployment),
-        ("vm", settings.vm.as_str(), places.vm),
-        ("domain", settings.domain.as_str(), places.domain),
+        ("deployment", settings.deployment.as_str(), positions.deployment),
+        ("vm", settings.vm.as_str(), positions.vm),
+        ("domain", settings.domain.as_str(), positions.domain),
     ];
-    for (path, label, place) in labels {
+    for (path, label, position) in labels {
         if !is_dns_label(label) {
-            let message = "with peer_tls only a-z, 0-9 and inner `-` may \
-                stand here, 63 at most";
-            faults.add(place, path, message);
+            let message = "with peer_tls only a-z, 0-9 and inner `-` are \
+                allowed, 63 characters at most";
+            faults.add(position, path, message);
         }
     }
 }
@@ -267,30 +267,31 @@
         && !label.ends_with('-')
 }
 
-/// Two listeners on one port: the second could not be bound.
+/// Rejects two listeners on one port, since the second could not bind it.
 fn check_listeners(
     settings: &NodeSettings,
-    places: &SettingsPlaces,
+    positions: &SettingsPositions,
     faults: &mut FaultList,
 ) {
     let listeners = [
-        ("callers_listen", settings.callers_listen, places.callers_listen),
-        ("peers_listen", settings.peers_listen, places.peers_listen),
-        ("control_listen", settings.control_listen, places.control_listen),
-        ("operators.listen", settings.operators.listen, places.operators),
+        ("callers_listen", settings.callers_listen, positions.callers_listen),
+        ("peers_listen", settings.peers_listen, positions.peers_listen),
+        ("control_listen", settings.control_listen, positions.control_listen),
+        ("operators.listen", settings.operators.listen, positions.operators),
     ];
-    for (index, (path, address, place)) in listeners.iter().enumerate() {
-        let former = listeners.iter().take(index);
-        let taken = former.into_iter().find(|f| clash(f.1, *address));
+    for (index, (path, address, position)) in listeners.iter().enumerate() {
+        let previous = listeners.iter().take(index);
+        let taken = previous.into_iter().find(|f| conflicts(f.1, *address));
         if let Some((other, ..)) = taken {
             let message = format!("{address} is taken by {other}");
-            faults.add(*place, path, message);
+            faults.add(*position, path, message);
         }
     }
 }
 
-/// Port 0 asks the system for any free port and so never clashes.
-fn clash(left: SocketAddr, right: SocketAddr) -> bool {
+/// Whether two listeners conflict; port 0 never does, since the system
+/// selects a free port.
+fn conflicts(left: SocketAddr, right: SocketAddr) -> bool {
     let same_port = left.port() == right.port() && left.port() != 0;
     let (left, right) = (left.ip(), right.ip());
     let overlap =
@@ -300,24 +301,24 @@
 
 fn check_peers(
     settings: &NodeSettings,
-    places: &SettingsPlaces,
+    positions: &SettingsPositions,
     faults: &mut FaultList,
 ) {
     let peers = (settings.peers_listen, settings.peers_address);
     let control = (settings.control_listen, settings.control_address);
     let both = [
-        ("peers", peers, places.peers_listen),
-        ("control", control, places.control_listen),
+        ("peers", peers, positions.peers_listen),
+        ("control", control, positions.control_listen),
     ];
-    for (name, (listen, address), place) in both {
-        // Plain TCP off loopback would let anybody order a fence raised.
+    for (name, (listen, address), position) in both {
+        // Over plain TCP off loopback, anyone could order a higher fence.
         if settings.peer_tls.is_none() && !listen.ip().is_loopback() {
             let message = "off loopback peers need `peer_tls`";
-            faults.add(place, &format!("{name}_listen"), message);
+            faults.add(position, &format!("{name}_listen"), message);
         }
         if address.unwrap_or(listen).ip().is_unspecified() {
             let message = "peers need an address that they can reach";
-            faults.add(place, &format!("{name}_address"), message);
+            faults.add(position, &format!("{name}_address"), message);
         }
     }
 }
--- a/goldcrestramp-config/src/ticket/accept.rs
+++ b/goldcrestramp-config/src/ticket/accept.rs
@@ -1,4 +1,4 @@
-//! Decides whether a ticket changes the state.
+//! Decides whether a ticket is accepted and applies it to the state.
 
 use super::{
     ChangeTicket,
@@ -9,26 +9,26 @@
 };
 use crate::deployment::DeploymentState;
 
-/// The most bytes that the state may take as one value of the store.
+/// The maximum size in bytes of the state as one value of the store.
 ///
-/// The store holds a megabyte; a tenth is left for the next merge.
+/// The store accepts a megabyte; a tenth is reserved for the next merge.
 pub const MAX_STATE_BYTES: usize = 900_000;
 
-/// What a ticket comes to.
+/// The result of checking a ticket.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AcceptOutcome {
-    /// It makes this state.
+    /// The ticket is accepted, with this state as the result.
     Accepted(Box<DeploymentState>),
-    /// The same ticket made this version before.
+    /// The same ticket was accepted earlier.
     AcceptedAlready {
-        /// The version.
+        /// The version that it created.
         version: u64,
     },
-    /// It changes nothing, for each of these reasons.
+    /// The ticket changes nothing, for each of these reasons.
     Refused(Vec<TicketRefusal>),
 }
 
-/// Judges `ticket` against `state`.
+/// Checks `ticket` against `state` and applies it if it is valid.
 ///
 /// # Example
 ///
@@ -39,11 +39,11 @@
 ///
 /// let text = r#"{ "ticket": 1,
 ///     "domains": [{ "name": "sierra-a", "region": "sierra" }] }"#;
-/// let ticket = parse_ticket("one.jsonc", text).expect("good").ticket;
+/// let ticket = parse_ticket("one.jsonc", text).expect("ticket parses").ticket;
 /// let empty = DeploymentState::default();
 /// let AcceptOutcome::Accepted(state) = accept_ticket(&empty, &ticket)
 /// else {
-///     panic!("the first ticket");
+///     panic!("the first ticket is accepted");
 /// };
 /// assert_eq!(state.version, 1);
 /// let again = accept_ticket(&state, &ticket);
@@ -55,11 +55,11 @@
     ticket: &ChangeTicket,
 ) -> AcceptOutcome {
     let digest = ticket.digest();
-    if let Some(marks) = state.tickets.recent.get(&ticket.ticket) {
-        let same = marks.iter().find(|mark| mark.digest == digest);
+    if let Some(tickets) = state.tickets.recent.get(&ticket.ticket) {
+        let same = tickets.iter().find(|known| known.digest == digest);
         return same.map_or_else(
             || refused("ticket", RefusalReason::NumberReused),
-            |mark| AcceptOutcome::AcceptedAlready { version: mark.version },
+            |known| AcceptOutcome::AcceptedAlready { version: known.version },
         );
     }
     let mut refusals = check_numbers(state, ticket);
@@ -77,24 +77,25 @@
     AcceptOutcome::Refused(vec![TicketRefusal { path, reason }])
 }
 
-/// Two tickets of one thing have one order, that of their numbers.
+/// Refuses a ticket whose number is not above the last one of each entity.
 ///
-/// Without this a ticket that was delayed on its way would undo a later
-/// one that has been in force since.
+/// Tickets that change one entity are ordered by their numbers. Without
+/// this, a ticket that was delayed in flight would undo a later ticket that
+/// has been accepted since.
 fn check_numbers(
     state: &DeploymentState,
     ticket: &ChangeTicket,
 ) -> Vec<TicketRefusal> {
-    let things = ticket.things().into_iter();
-    let late = things.filter_map(|(path, thing)| {
-        let last = state.tickets.last_for(&thing).0;
-        let reason = RefusalReason::NumberTooLow { thing, last };
+    let entities = ticket.entities().into_iter();
+    let stale = entities.filter_map(|(path, entity)| {
+        let last = state.tickets.last_for(&entity).0;
+        let reason = RefusalReason::NumberTooLow { thing: entity, last };
         (ticket.ticket <= last).then_some(TicketRefusal { path, reason })
     });
-    late.collect()
+    stale.collect()
 }
 
-/// The state with the whole ticket in it.
+/// Returns the state with the complete ticket applied.
 fn change_state(
     state: &DeploymentState,
     ticket: &ChangeTicket,
@@ -102,28 +103,28 @@
 ) -> DeploymentState {
     let mut next = state.clone();
     next.version += 1;
-    for (_, thing) in ticket.remove.things() {
-        next.remove(&thing);
+    for (_, entity) in ticket.remove.entities() {
+        next.remove(&entity);
     }
-    put_all(&mut next.domains, &ticket.domains);
-    put_all(&mut next.services, &ticket.services);
-    put_all(&mut next.servers, &ticket.servers);
-    put_all(&mut next.callers, &ticket.callers);
-    for (_, thing) in ticket.things() {
-        let mark = EntityRevision::new(ticket.ticket, digest);
-        next.tickets.last.insert(thing, mark);
+    upsert_all(&mut next.domains, &ticket.domains);
+    upsert_all(&mut next.services, &ticket.services);
+    upsert_all(&mut next.servers, &ticket.servers);
+    upsert_all(&mut next.callers, &ticket.callers);
+    for (_, entity) in ticket.entities() {
+        let revision = EntityRevision::new(ticket.ticket, digest);
+        next.tickets.last.insert(entity, revision);
     }
-    let mark = AcceptedTicket { digest, version: next.version };
-    next.tickets.note(ticket.ticket, mark);
-    next.trim_marks();
+    let accepted = AcceptedTicket { digest, version: next.version };
+    next.tickets.record(ticket.ticket, accepted);
+    next.trim_history();
     next
 }
 
-/// Puts each thing in place of the former one; lists are sorted by name,
-/// so that equal states are equal texts.
-pub(super) fn put_all<T: ConfiguredEntity>(list: &mut Vec<T>, new: &[T]) {
+/// Inserts each entity or replaces the previous one of its name. Lists are
+/// sorted by name, so that equal states have equal encodings.
+pub(super) fn upsert_all<T: ConfiguredEntity>(list: &mut Vec<T>, new: &[T]) {
     let ids: Vec<EntityId> = new.iter().map(ConfiguredEntity::id).collect();
-    list.retain(|thing| !ids.contains(&thing.id()));
+    list.retain(|entity| !ids.contains(&entity.id()));
     list.extend(new.iter().cloned());
     list.sort_by_cached_key(ConfiguredEntity::id);
 }
--- a/goldcrestramp-config/src/ticket/change.rs
+++ b/goldcrestramp-config/src/ticket/change.rs
@@ -1,9 +1,9 @@
-//! The change from one state to a later one, for nodes that have the
-//! former.
+//! The delta from one state to a later one, for nodes that have the earlier
+//! one.
 //!
-//! A state near its bound takes 900 kB. Sent whole to each VM with each of
-//! 3,700 tickets a day it would take more than all that a node may spend
-//! on control; what a ticket changes takes some hundred bytes.
+//! A state near its size limit has 900 kB. Sending it in full to each VM
+//! with each of 3,700 tickets a day would exceed a node's bandwidth for
+//! control messages; a delta has some hundred bytes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    accept::put_all,
+    accept::upsert_all,
     entity::{ConfiguredEntity, EntityId},
     history::{AcceptedTicket, EntityRevision, TicketHistory},
 };
@@ -19,69 +19,69 @@
     CallerRules, DeploymentState, DomainRules, ServerRules, ServiceRules,
 };
 
-/// The most entries of a change; beyond it the whole state costs less to
-/// apply.
-const CHANGE_ENTRIES: usize = 1_024;
+/// The maximum number of entries of a change; beyond it, applying the full
+/// state costs less.
+const MAX_CHANGE_ENTRIES: usize = 1_024;
 
-/// One state by its version and its content.
+/// Identifies one state by its version and its content.
 ///
-/// The version alone does not tell: a store that came back with older data
-/// may have been given other tickets up to the same version.
+/// The version alone is ambiguous: a store that was restored from older data
+/// may have accepted other tickets up to the same version.
 #[derive(
     Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize,
 )]
 pub struct StateRevision {
-    /// The state's version; 0: no state.
+    /// The state's version; 0 if there is no state.
     pub version: u64,
-    /// A digest of all that it says.
+    /// A digest of the state's content.
     pub digest: u64,
 }
 
 impl StateRevision {
-    /// The mark of `state`.
+    /// Returns the revision of `state`.
     ///
     /// # Panics
     ///
-    /// Never: a state can always be written as JSON.
+    /// Never, since a state can always be encoded as JSON.
     #[must_use]
     pub fn of(state: &DeploymentState) -> Self {
-        let text = serde_json::to_vec(state).expect("a state is JSON");
+        let text = serde_json::to_vec(state).expect("state encodes as JSON");
         let digest = xxhash_rust::xxh3::xxh3_64(&text);
         Self { version: state.version, digest }
     }
 }
 
-/// What differs between two states.
+/// The difference between two states.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StateChange {
-    /// The state that it changes.
+    /// The state that the change applies to.
     pub base: StateRevision,
-    /// The state that it makes.
+    /// The state that it results in.
     pub next: StateRevision,
-    /// Failure domains, each as it shall be.
+    /// Failure domains that are new or changed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     domains: Vec<DomainRules>,
-    /// Services, each as it shall be.
+    /// Services that are new or changed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     services: Vec<ServiceRules>,
-    /// Backend servers, each as it shall be.
+    /// Backend servers that are new or changed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     servers: Vec<ServerRules>,
-    /// Callers' shares, each as it shall be.
+    /// Callers' shares that are new or changed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     callers: Vec<CallerRules>,
-    /// What shall no longer be there.
+    /// The entities to remove.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     remove: Vec<EntityId>,
-    /// The memory of tickets.
-    tickets: MarksChange,
+    /// The change of the ticket history.
+    tickets: HistoryChange,
 }
 
-/// What differs between two memories of tickets.
+/// The difference between two ticket histories.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct MarksChange {
+struct HistoryChange {
     floor: u64,
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     last: BTreeMap<EntityId, EntityRevision>,
@@ -94,7 +94,8 @@
 }
 
 impl StateChange {
-    /// The change that makes `new` of `old`; `None`: send `new` whole.
+    /// Returns the change from `old` to `new`, or `None` if `new` is to be
+    /// sent in full.
     ///
     /// # Example
     ///
@@ -103,7 +104,7 @@
     ///
     /// let old = DeploymentState { version: 7, ..Default::default() };
     /// let new = DeploymentState { version: 8, ..Default::default() };
-    /// let change = StateChange::between(&old, &new).expect("a small one");
+    /// let change = StateChange::between(&old, &new).expect("change is small");
     /// assert_eq!(change.apply(&old), Some(new.clone()));
     /// assert_eq!(change.apply(&new), None);
     /// ```
@@ -121,21 +122,22 @@
             servers: changed(&old.servers, &new.servers, &mut remove),
             callers: changed(&old.callers, &new.callers, &mut remove),
             remove,
-            tickets: MarksChange::between(&old.tickets, &new.tickets),
+            tickets: HistoryChange::between(&old.tickets, &new.tickets),
         };
-        if change.entries() > CHANGE_ENTRIES {
+        if change.entries() > MAX_CHANGE_ENTRIES {
             return None;
         }
-        // A list that is not sorted by name can't be put together again.
-        let made = change.apply(old);
-        made.is_some().then_some(change)
+        // A list that is not sorted by name can't be reconstructed.
+        let result = change.apply(old);
+        result.is_some().then_some(change)
     }
 
-    /// The next state; `None`: `state` is not the one that this changes.
+    /// Returns the next state, or `None` if the change doesn't apply to
+    /// `state`.
     ///
-    /// A change that is applied to another state of the same version would
-    /// leave this VM with rules that no operator has accepted, and all later
-    /// changes would build on them. The digest of the result tells.
+    /// A change applied to another state of the same version would give this
+    /// VM rules that no operator has accepted, and all later changes would
+    /// build on them. The digest of the result detects this.
     #[must_use]
     pub fn apply(&self, state: &DeploymentState) -> Option<DeploymentState> {
         if state.version != self.base.version {
@@ -143,47 +145,51 @@
         }
         let mut next = state.clone();
         next.version = self.next.version;
-        for thing in &self.remove {
-            next.remove(thing);
+        for entity in &self.remove {
+            next.remove(entity);
         }
-        put_changed(&mut next.domains, &self.domains);
-        put_changed(&mut next.services, &self.services);
-        put_changed(&mut next.servers, &self.servers);
-        put_changed(&mut next.callers, &self.callers);
+        upsert_changed(&mut next.domains, &self.domains);
+        upsert_changed(&mut next.services, &self.services);
+        upsert_changed(&mut next.servers, &self.servers);
+        upsert_changed(&mut next.callers, &self.callers);
         self.tickets.apply(&mut next.tickets);
         (StateRevision::of(&next) == self.next).then_some(next)
     }
 
     fn entries(&self) -> usize {
-        let things = self.domains.len()
+        let entities = self.domains.len()
             + self.services.len()
             + self.servers.len()
             + self.callers.len();
-        things + self.remove.len() + self.tickets.entries()
+        entities + self.remove.len() + self.tickets.entries()
     }
 }
 
-impl MarksChange {
+impl HistoryChange {
     fn between(old: &TicketHistory, new: &TicketHistory) -> Self {
-        let (last, last_forgotten) = changed_marks(&old.last, &new.last);
+        let (last, last_forgotten) = changed_entries(&old.last, &new.last);
         let (recent, recent_forgotten) =
-            changed_marks(&old.recent, &new.recent);
+            changed_entries(&old.recent, &new.recent);
         let floor = new.floor;
         Self { floor, last, last_forgotten, recent, recent_forgotten }
     }
 
-    fn apply(&self, marks: &mut TicketHistory) {
-        marks.floor = self.floor;
-        for thing in &self.last_forgotten {
-            marks.last.remove(thing);
+    fn apply(&self, history: &mut TicketHistory) {
+        history.floor = self.floor;
+        for entity in &self.last_forgotten {
+            history.last.remove(entity);
         }
         for number in &self.recent_forgotten {
-            marks.recent.remove(number);
+            history.recent.remove(number);
         }
         let last = self.last.iter();
-        marks.last.extend(last.map(|(thing, mark)| (thing.clone(), *mark)));
+        history.last.extend(
+            last.map(|(entity, revision)| (entity.clone(), *revision)),
+        );
         let recent = self.recent.iter();
-        marks.recent.extend(recent.map(|(n, marks)| (*n, marks.clone())));
+        history
+            .recent
+            .extend(recent.map(|(n, tickets)| (*n, tickets.clone())));
     }
 
     fn entries(&self) -> usize {
@@ -193,38 +199,38 @@
     }
 }
 
-/// The things of `new` that `old` has not so; names in `remove` those that
-/// are gone.
+/// Returns the entities of `new` that are new or differ from those of `old`;
+/// adds the removed ones to `remove`.
 fn changed<T: ConfiguredEntity + PartialEq>(
     old: &[T],
     new: &[T],
     remove: &mut Vec<EntityId>,
 ) -> Vec<T> {
-    let mut former: FastMap<EntityId, &T> =
-        old.iter().map(|thing| (thing.id(), thing)).collect();
-    let differs = |thing: &&T| former.remove(&thing.id()) != Some(*thing);
+    let mut previous: FastMap<EntityId, &T> =
+        old.iter().map(|entity| (entity.id(), entity)).collect();
+    let differs = |entity: &&T| previous.remove(&entity.id()) != Some(*entity);
     let changed = new.iter().filter(differs).cloned().collect();
-    let gone: BTreeSet<EntityId> = former.into_keys().collect();
-    remove.extend(gone);
+    let removed: BTreeSet<EntityId> = previous.into_keys().collect();
+    remove.extend(removed);
     changed
 }
 
-/// Lists that do not change keep their order as it is.
-fn put_changed<T: ConfiguredEntity>(list: &mut Vec<T>, changed: &[T]) {
+/// Like [`upsert_all`], but keeps the order of a list without changes.
+fn upsert_changed<T: ConfiguredEntity>(list: &mut Vec<T>, changed: &[T]) {
     if !changed.is_empty() {
-        put_all(list, changed);
+        upsert_all(list, changed);
     }
 }
 
-fn changed_marks<K: Ord + Clone, V: PartialEq + Clone>(
+fn changed_entries<K: Ord + Clone, V: PartialEq + Clone>(
     old: &BTreeMap<K, V>,
     new: &BTreeMap<K, V>,
 ) -> (BTreeMap<K, V>, Vec<K>) {
     let differs = |(key, value): &(&K, &V)| old.get(*key) != Some(*value);
     let changed = new.iter().filter(differs);
-    let gone = old.keys().filter(|key| !new.contains_key(*key));
+    let removed = old.keys().filter(|key| !new.contains_key(*key));
     (
         changed.map(|(key, value)| (key.clone(), value.clone())).collect(),
-        gone.cloned().collect(),
+        removed.cloned().collect(),
     )
 }
--- a/goldcrestramp-config/src/ticket/check.rs
+++ b/goldcrestramp-config/src/ticket/check.rs
@@ -1,4 +1,4 @@
-//! Checks of references, fixed properties, capacity and size.
+//! Checks a ticket's references, fixed properties, capacity and size.
 
 use std::net::SocketAddr;
 
@@ -12,14 +12,14 @@
 };
 use crate::deployment::{DeploymentState, ServerRules, ServiceRules};
 
-/// Every reason why `ticket` may not make `next` of `state`.
+/// Returns every reason to refuse `ticket`, which changes `state` to `next`.
 pub(super) fn check_change(
     state: &DeploymentState,
     ticket: &ChangeTicket,
     next: &DeploymentState,
 ) -> Vec<TicketRefusal> {
     let mut check = ChangeCheck { state, ticket, next, refusals: Vec::new() };
-    check.things();
+    check.entities();
     check.domains();
     check.services();
     check.servers();
@@ -41,23 +41,26 @@
         self.refusals.push(TicketRefusal { path, reason });
     }
 
-    fn things(&mut self) {
-        let things = self.ticket.things();
-        if things.is_empty() {
+    fn entities(&mut self) {
+        let entities = self.ticket.entities();
+        if entities.is_empty() {
             self.refuse("ticket".to_owned(), RefusalReason::Empty);
         }
         let mut seen = FastSet::default();
-        for (path, thing) in things {
-            if !seen.insert(thing.clone()) {
-                self.refuse(path, RefusalReason::TouchedTwice { thing });
+        for (path, entity) in entities {
+            if !seen.insert(entity.clone()) {
+                self.refuse(
+                    path,
+                    RefusalReason::TouchedTwice { thing: entity },
+                );
             }
         }
     }
 
     fn domains(&mut self) {
         for (index, domain) in self.ticket.domains.iter().enumerate() {
-            let former = self.state.domain(&domain.name);
-            if former.is_some_and(|f| f.region != domain.region) {
+            let previous = self.state.domain(&domain.name);
+            if previous.is_some_and(|p| p.region != domain.region) {
                 let path = format!("domains[{index}].region");
                 self.refuse(path, RefusalReason::RegionFixed);
             }
@@ -66,16 +69,16 @@
 
     fn services(&mut self) {
         for (index, service) in self.ticket.services.iter().enumerate() {
-            let former = self.state.service(&service.name);
-            if former.is_some_and(|f| f.slices != service.slices) {
+            let previous = self.state.service(&service.name);
+            if previous.is_some_and(|p| p.slices != service.slices) {
                 let path = format!("services[{index}].slices");
                 self.refuse(path, RefusalReason::SlicesFixed);
             }
-            self.service_places(index, service);
+            self.service_locations(index, service);
         }
     }
 
-    fn service_places(&mut self, index: usize, service: &ServiceRules) {
+    fn service_locations(&mut self, index: usize, service: &ServiceRules) {
         for (place, domain) in service.domains.iter().enumerate() {
             let path = format!("services[{index}].domains[{place}]");
             self.domain_exists(path, domain);
@@ -91,8 +94,8 @@
 
     fn domain_exists(&mut self, path: String, domain: &DomainName) {
         if self.next.domain(domain).is_none() {
-            let thing = EntityId::new(EntityKind::Domain, domain.as_str());
-            self.refuse(path, RefusalReason::Missing { thing });
+            let entity = EntityId::new(EntityKind::Domain, domain.as_str());
+            self.refuse(path, RefusalReason::Missing { thing: entity });
         }
     }
 
@@ -116,15 +119,16 @@
     fn server(&mut self, index: usize, server: &ServerRules) {
         if self.next.service(&server.service).is_none() {
             let name = server.service.as_str();
-            let thing = EntityId::new(EntityKind::Service, name);
+            let entity = EntityId::new(EntityKind::Service, name);
             let path = format!("servers[{index}].service");
-            self.refuse(path, RefusalReason::Missing { thing });
+            self.refuse(path, RefusalReason::Missing { thing: entity });
         }
         let path = format!("servers[{index}].domain");
         self.domain_exists(path, &server.domain);
-        let former = self.state.server(&server.name);
-        let moved = former.is_some_and(|former| {
-            former.service != server.service || former.domain != server.domain
+        let previous = self.state.server(&server.name);
+        let moved = previous.is_some_and(|previous| {
+            previous.service != server.service
+                || previous.domain != server.domain
         });
         if moved {
             let path = format!("servers[{index}].name");
@@ -137,27 +141,27 @@
     }
 
     fn removals(&mut self) {
-        for (path, thing) in self.ticket.remove.things() {
-            if !self.state.contains(&thing) {
-                let reason = RefusalReason::Missing { thing };
+        for (path, entity) in self.ticket.remove.entities() {
+            if !self.state.contains(&entity) {
+                let reason = RefusalReason::Missing { thing: entity };
                 self.refuse(path, reason);
-            } else if let Some(by) = self.next.user_of(&thing) {
+            } else if let Some(by) = self.next.referrer_of(&entity) {
                 self.refuse(path, RefusalReason::StillUsed { by });
             }
         }
     }
 
-    /// A service may be without servers while it is being set up, but a
-    /// change may not leave it with servers none of which may own a key.
+    /// Refuses a change that leaves a service with servers, but none that may
+    /// own keys. A service may have no servers while it is being set up.
     ///
-    /// A domain that is declared lost is not counted against it: the
-    /// capacity is gone already, and the ticket only says so.
+    /// Declaring a domain lost is never refused for this: its capacity is lost
+    /// already, and the ticket only records that.
     fn capacity(&mut self) {
         let mut refusals = Vec::new();
         for (path, service) in self.touched_services() {
-            let of_it = |s: &&ServerRules| s.service == service.name;
-            let had = self.state.servers.iter().any(|s| of_it(&s));
-            let has = self.next.servers.iter().any(|s| of_it(&s));
+            let belongs = |s: &&ServerRules| s.service == service.name;
+            let had = self.state.servers.iter().any(|s| belongs(&s));
+            let has = self.next.servers.iter().any(|s| belongs(&s));
             let mut servers = self.next.servers.iter();
             if (had || has) && !servers.any(|s| self.next.may_own(service, s))
             {
@@ -186,9 +190,9 @@
         let mut seen = FastSet::default();
         let all = named.chain(changed).chain(removed);
         all.filter_map(move |(name, path)| {
-            let fresh = seen.insert(name);
+            let first_seen = seen.insert(name);
             let service = self.next.service(name)?;
-            fresh.then_some((path, service))
+            first_seen.then_some((path, service))
         })
     }
 
--- a/goldcrestramp-config/src/ticket/entity.rs
+++ b/goldcrestramp-config/src/ticket/entity.rs
@@ -1,4 +1,5 @@
-//! The kinds of things that tickets touch, seen alike.
+//! The entities that tickets change: failure domains, services, servers
+//! and callers.
 
 use std::{fmt, sync::Arc};
 
@@ -6,7 +7,7 @@
 
 use crate::deployment::{CallerRules, DomainRules, ServerRules, ServiceRules};
 
-/// A kind of thing.
+/// A kind of entity.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum EntityKind {
     /// A failure domain.
@@ -23,7 +24,7 @@
     const ALL: [Self; 4] =
         [Self::Domain, Self::Service, Self::Server, Self::Caller];
 
-    /// The stable code in marks and messages.
+    /// Returns the stable code used in entity ids and messages.
     #[must_use]
     pub const fn code(self) -> &'static str {
         match self {
@@ -34,7 +35,7 @@
         }
     }
 
-    /// The name of the ticket's list of such things.
+    /// Returns the name of the ticket's list of such entities.
     pub(crate) const fn plural(self) -> &'static str {
         match self {
             Self::Domain => "domains",
@@ -45,7 +46,7 @@
     }
 }
 
-/// One thing by kind and name; as text `server/NAME`.
+/// Identifies an entity by kind and name; its text form is `server/NAME`.
 #[derive(
     Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize,
 )]
@@ -58,7 +59,7 @@
 }
 
 impl EntityId {
-    /// Names a thing.
+    /// Creates the id of the entity of this kind and name.
     #[must_use]
     pub fn new(kind: EntityKind, name: &str) -> Self {
         Self { kind, name: Arc::from(name) }
@@ -81,16 +82,17 @@
     type Error = &'static str;
 
     fn try_from(text: String) -> Result<Self, Self::Error> {
-        let (code, name) = text.split_once('/').ok_or("no kind/name")?;
+        let (code, name) =
+            text.split_once('/').ok_or("expected `kind/name`")?;
         let mut kinds = EntityKind::ALL.into_iter();
         let kind = kinds.find(|kind| kind.code() == code);
-        Ok(Self::new(kind.ok_or("no such kind of thing")?, name))
+        Ok(Self::new(kind.ok_or("unknown kind of entity")?, name))
     }
 }
 
-/// What the four kinds have in common.
+/// Implemented by the rules of all four kinds of entity.
 pub(crate) trait ConfiguredEntity: Clone {
-    /// The thing's kind and name.
+    /// Returns the entity's kind and name.
     fn id(&self) -> EntityId;
 }
 
--- a/goldcrestramp-config/src/ticket/history.rs
+++ b/goldcrestramp-config/src/ticket/history.rs
@@ -1,4 +1,4 @@
-//! Which tickets have been accepted, and what each touched last.
+//! The accepted tickets, and the last one that changed each entity.
 
 use std::collections::BTreeMap;
 
@@ -6,26 +6,27 @@
 
 use super::entity::EntityId;
 
-/// Accepted tickets that are remembered by number.
+/// The maximum number of accepted tickets that are kept by number.
 ///
-/// At 3,700 tickets a day this answers resends for six hours and takes
-/// some 50 kB of the value; an older resend is refused, never run twice.
-const RECENT_TICKETS: usize = 1_024;
+/// At 3,700 tickets a day this recognizes resends for six hours and takes
+/// some 50 kB of the value. An older resend is refused, never applied twice.
+const MAX_RECENT_TICKETS: usize = 1_024;
 
-/// Removed things whose last number is remembered, about 50 kB.
-const REMOVED_THINGS: usize = 1_024;
+/// The maximum number of removed entities whose last ticket is kept, about
+/// 50 kB.
+const MAX_REMOVED_ENTITIES: usize = 1_024;
 
 /// An accepted ticket.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct AcceptedTicket {
-    /// The digest of what it said.
+    /// The digest of the ticket's content.
     pub digest: u64,
-    /// The state's version that it made.
+    /// The version of the state that it created.
     pub version: u64,
 }
 
-/// The ticket that touched a thing last: its number, then the upper half
-/// of its digest, which orders two tickets of one number.
+/// The ticket that last changed an entity: its number, then the upper half
+/// of its digest, which orders two tickets with the same number.
 #[derive(
     Clone,
     Copy,
@@ -41,7 +42,7 @@
 pub struct EntityRevision(pub u64, pub u32);
 
 impl EntityRevision {
-    /// The mark of the ticket with this number and digest.
+    /// Creates the revision for the ticket with this number and digest.
     #[must_use]
     pub fn new(number: u64, digest: u64) -> Self {
         let upper = u32::try_from(digest >> u32::BITS);
@@ -49,62 +50,64 @@
     }
 }
 
-/// The memory of accepted tickets, kept with the state they made.
+/// The history of accepted tickets, stored with the state they created.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TicketHistory {
-    /// For a thing without a mark the last number counts as this.
+    /// The last ticket number of entities that `last` doesn't list.
     #[serde(default)]
     pub floor: u64,
-    /// The last ticket that touched each thing, removed ones among them.
+    /// The last ticket that changed each entity, including removed ones.
     #[serde(default)]
     pub last: BTreeMap<EntityId, EntityRevision>,
-    /// The accepted tickets with the highest numbers, sorted by digest.
+    /// The accepted tickets with the highest numbers; those of one number
+    /// are sorted by digest.
     ///
     /// A number has one ticket, unless the store was restored from older
-    /// data and its operators used the number again; then each counts.
+    /// data and its operators used the number again; then all are kept.
     #[serde(default)]
     pub recent: BTreeMap<u64, Vec<AcceptedTicket>>,
 }
 
 impl TicketHistory {
-    /// The last ticket that touched `thing`.
+    /// Returns the last ticket that changed `entity`.
     #[must_use]
-    pub fn last_for(&self, thing: &EntityId) -> EntityRevision {
+    pub fn last_for(&self, entity: &EntityId) -> EntityRevision {
         let unknown = EntityRevision(self.floor, 0);
-        self.last.get(thing).copied().unwrap_or(unknown)
+        self.last.get(entity).copied().unwrap_or(unknown)
     }
 
-    /// Notes an accepted ticket; the same one again changes nothing but
-    /// that the higher version counts.
-    pub(super) fn note(&mut self, number: u64, mark: AcceptedTicket) {
-        let marks = self.recent.entry(number).or_default();
-        match marks.binary_search_by_key(&mark.digest, |m| m.digest) {
-            Ok(place) => {
-                let known = &mut marks[place];
-                known.version = known.version.max(mark.version);
+    /// Records an accepted ticket. Recording it again only raises its version
+    /// to the higher one.
+    pub(super) fn record(&mut self, number: u64, ticket: AcceptedTicket) {
+        let tickets = self.recent.entry(number).or_default();
+        match tickets.binary_search_by_key(&ticket.digest, |t| t.digest) {
+            Ok(index) => {
+                let known = &mut tickets[index];
+                known.version = known.version.max(ticket.version);
             }
-            Err(place) => marks.insert(place, mark),
+            Err(index) => tickets.insert(index, ticket),
         }
     }
 
-    /// Forgets what is beyond the bounds; `present` tells what exists.
+    /// Evicts the oldest entries beyond the limits; `present` returns whether
+    /// an entity exists.
     ///
-    /// A removed thing must not come back by an old ticket that was
-    /// delayed. Forgetting its mark raises the floor to its number, which
-    /// refuses that ticket as before, and with it any other new thing with
-    /// so low a number.
+    /// A delayed old ticket must not restore a removed entity. Evicting its
+    /// revision raises the floor to its number. That still refuses the old
+    /// ticket, and also any ticket with a number that low for a new entity.
     pub(crate) fn trim(&mut self, present: impl Fn(&EntityId) -> bool) {
-        while self.recent.len() > RECENT_TICKETS {
+        while self.recent.len() > MAX_RECENT_TICKETS {
             self.recent.pop_first();
         }
-        let removed = self.last.iter().filter(|(thing, _)| !present(thing));
-        let mut removed: Vec<_> =
-            removed.map(|(thing, mark)| (mark.0, thing.clone())).collect();
+        let removed = self.last.iter().filter(|(entity, _)| !present(entity));
+        let mut removed: Vec<_> = removed
+            .map(|(entity, revision)| (revision.0, entity.clone()))
+            .collect();
         removed.sort_unstable();
-        let excess = removed.len().saturating_sub(REMOVED_THINGS);
-        for (number, thing) in removed.into_iter().take(excess) {
-            self.last.remove(&thing);
+        let excess = removed.len().saturating_sub(MAX_REMOVED_ENTITIES);
+        for (number, entity) in removed.into_iter().take(excess) {
+            self.last.remove(&entity);
             self.floor = self.floor.max(number);
         }
     }
--- a/goldcrestramp-config/src/ticket/merge.rs
+++ b/goldcrestramp-config/src/ticket/merge.rs
@@ -1,27 +1,26 @@
-//! Joins two states that grew apart.
+//! Merges two states that have diverged.
 
 use std::collections::BTreeSet;
 
 use super::{
-    accept::put_all,
+    accept::upsert_all,
     entity::{ConfiguredEntity, EntityId},
     history::TicketHistory,
 };
 use crate::deployment::DeploymentState;
 
-/// Joins two states of one deployment; each thing is as the ticket with
-/// the higher number left it.
+/// Merges two states of one deployment; for each entity, the ticket with the
+/// higher number wins.
 ///
-/// A store that was restored from older data lacks accepted tickets, and
-/// may have been given new ones since. A node that still holds the newer
-/// state joins both and writes the result back, so no accepted ticket is
-/// lost. Taking each thing from the higher number gives the same state as
-/// accepting all tickets in the order of their numbers, so no ticket is in
-/// force by half. Should both sides have accepted one number for different
-/// tickets, their digests decide their order.
+/// A store that was restored from older data lacks accepted tickets, and may
+/// have accepted new ones since. A node that still has the newer state merges
+/// both and writes the result back, so no accepted ticket is lost. The result
+/// is the same as accepting all tickets in the order of their numbers, so no
+/// ticket is applied in part. If the two sides have accepted different
+/// tickets with the same number, the digests determine their order.
 ///
-/// The result does not depend on the order of the arguments. Its version
-/// is above that of every state that differs from it.
+/// The result does not depend on the order of the arguments. Its version is
+/// above that of each argument that differs from it.
 ///
 /// # Example
 ///
@@ -38,62 +37,65 @@
     right: &DeploymentState,
 ) -> DeploymentState {
     let mut merged = left.clone();
-    for thing in taken_from_right(&left.tickets, &right.tickets) {
-        merged.remove(&thing);
-        let found = |id: EntityId| id == thing;
-        copy_found(&mut merged.domains, &right.domains, &found);
-        copy_found(&mut merged.services, &right.services, &found);
-        copy_found(&mut merged.servers, &right.servers, &found);
-        copy_found(&mut merged.callers, &right.callers, &found);
+    for entity in newer_on_right(&left.tickets, &right.tickets) {
+        merged.remove(&entity);
+        let matches = |id: EntityId| id == entity;
+        copy_matching(&mut merged.domains, &right.domains, &matches);
+        copy_matching(&mut merged.services, &right.services, &matches);
+        copy_matching(&mut merged.servers, &right.servers, &matches);
+        copy_matching(&mut merged.callers, &right.callers, &matches);
     }
-    merged.tickets = merge_marks(&left.tickets, &right.tickets);
-    merged.trim_marks();
+    merged.tickets = merge_histories(&left.tickets, &right.tickets);
+    merged.trim_history();
     merged.version = merged_version(left, right, &merged);
     merged
 }
 
-fn copy_found<T: ConfiguredEntity>(
+fn copy_matching<T: ConfiguredEntity>(
     list: &mut Vec<T>,
     from: &[T],
-    found: &impl Fn(EntityId) -> bool,
+    matches: &impl Fn(EntityId) -> bool,
 ) {
     let new: Vec<T> =
-        from.iter().filter(|thing| found(thing.id())).cloned().collect();
+        from.iter().filter(|entity| matches(entity.id())).cloned().collect();
     if !new.is_empty() {
-        put_all(list, &new);
+        upsert_all(list, &new);
     }
 }
 
-/// The things that the right state knows better.
-fn taken_from_right(
+/// Returns the entities whose last ticket is newer in the right state.
+fn newer_on_right(
     left: &TicketHistory,
     right: &TicketHistory,
 ) -> Vec<EntityId> {
-    let things: BTreeSet<&EntityId> =
+    let entities: BTreeSet<&EntityId> =
         left.last.keys().chain(right.last.keys()).collect();
-    let better = things
+    let newer = entities
         .into_iter()
-        .filter(|thing| right.last_for(thing) > left.last_for(thing));
-    better.cloned().collect()
+        .filter(|entity| right.last_for(entity) > left.last_for(entity));
+    newer.cloned().collect()
 }
 
-fn merge_marks(left: &TicketHistory, right: &TicketHistory) -> TicketHistory {
+fn merge_histories(
+    left: &TicketHistory,
+    right: &TicketHistory,
+) -> TicketHistory {
     let mut merged = left.clone();
     merged.floor = left.floor.max(right.floor);
-    for (thing, mark) in &right.last {
-        let last = merged.last.entry(thing.clone()).or_insert(*mark);
-        *last = (*last).max(*mark);
+    for (entity, revision) in &right.last {
+        let last = merged.last.entry(entity.clone()).or_insert(*revision);
+        *last = (*last).max(*revision);
     }
-    for (number, marks) in &right.recent {
-        for mark in marks {
-            merged.note(*number, *mark);
+    for (number, tickets) in &right.recent {
+        for ticket in tickets {
+            merged.record(*number, *ticket);
         }
     }
     merged
 }
 
-/// Nodes take only rising versions, so a state that is new to a side must
-/// have a version above that side's.
+/// Returns the version of the merged state. Nodes accept only increasing
+/// versions, so it must be above the version of a side that differs.
 fn merged_version(
     left: &DeploymentState,
     right: &DeploymentState,
@@ -105,7 +107,7 @@
         probe == *side
     };
     let highest = left.version.max(right.version);
-    let behind = [left, right].into_iter().filter(|side| !same(side));
-    let behind = behind.map(|side| side.version + 1).max().unwrap_or(0);
-    highest.max(behind)
+    let outdated = [left, right].into_iter().filter(|side| !same(side));
+    let outdated = outdated.map(|side| side.version + 1).max().unwrap_or(0);
+    highest.max(outdated)
 }
--- a/goldcrestramp-config/src/ticket/mod.rs
+++ b/goldcrestramp-config/src/ticket/mod.rs
@@ -1,9 +1,10 @@
-//! Change tickets: a number and the whole new state of what they touch.
+//! Change tickets: a number and the complete new rules of the entities they
+//! change.
 //!
 //! Acceptance is a pure function, [`accept_ticket`], so every node and the
-//! operators' command judge a ticket alike. Things are ordered by the
-//! number of the last ticket that touched them; that order makes
-//! [`merge_states`] possible when a store comes back with older data.
+//! operators' command give the same result. The changes of an entity are
+//! ordered by ticket number; that order makes [`merge_states`] possible after
+//! a store was restored from older data.
 
 mod accept;
 mod change;
@@ -37,26 +38,27 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ChangeTicket {
-    /// The operator's number; above the last for everything it touches.
+    /// The number that the operator chose, above the last ticket number of
+    /// each entity that the ticket changes.
     pub ticket: u64,
-    /// Failure domains, each as it shall be.
+    /// Failure domains to add or replace.
     #[serde(default)]
     pub domains: Vec<DomainRules>,
-    /// Services, each as it shall be.
+    /// Services to add or replace.
     #[serde(default)]
     pub services: Vec<ServiceRules>,
-    /// Backend servers, each as it shall be.
+    /// Backend servers to add or replace.
     #[serde(default)]
     pub servers: Vec<ServerRules>,
-    /// Callers' shares, each as it shall be.
+    /// Callers' shares to add or replace.
     #[serde(default)]
     pub callers: Vec<CallerRules>,
-    /// What shall no longer be there.
+    /// The entities to remove.
     #[serde(default)]
     pub remove: RemovalList,
 }
 
-/// The things that a ticket removes.
+/// The entities that a ticket removes.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RemovalList {
@@ -69,39 +71,40 @@
     /// Backend servers.
     #[serde(default)]
     pub servers: Vec<ServerName>,
-    /// Callers, who then have the default share.
+    /// Callers, which then get the default share.
     #[serde(default)]
     pub callers: Vec<CallerName>,
 }
 
 impl ChangeTicket {
-    /// A digest of all that the ticket says; comments, spaces and the
-    /// order of fields in the text make no difference.
+    /// Returns a digest of the ticket's content; comments, whitespace and the
+    /// order of fields in the text don't affect it.
     ///
     /// # Panics
     ///
-    /// Never: a ticket can always be written as JSON.
+    /// Never, since a ticket can always be encoded as JSON.
     #[must_use]
     pub fn digest(&self) -> u64 {
-        let text = serde_json::to_vec(self).expect("a ticket is JSON");
+        let text = serde_json::to_vec(self).expect("ticket encodes as JSON");
         xxhash_rust::xxh3::xxh3_64(&text)
     }
 
-    /// Everything that the ticket touches, each with its path in the text.
+    /// Returns the entities that the ticket changes or removes, each with its
+    /// path in the text.
     #[must_use]
-    pub fn things(&self) -> Vec<(String, EntityId)> {
-        let mut things = Vec::new();
-        push_things(&mut things, "domains", &self.domains);
-        push_things(&mut things, "services", &self.services);
-        push_things(&mut things, "servers", &self.servers);
-        push_things(&mut things, "callers", &self.callers);
-        things.extend(self.remove.things());
-        things
+    pub fn entities(&self) -> Vec<(String, EntityId)> {
+        let mut entities = Vec::new();
+        push_entities(&mut entities, "domains", &self.domains);
+        push_entities(&mut entities, "services", &self.services);
+        push_entities(&mut entities, "servers", &self.servers);
+        push_entities(&mut entities, "callers", &self.callers);
+        entities.extend(self.remove.entities());
+        entities
     }
 }
 
 impl RemovalList {
-    fn things(&self) -> Vec<(String, EntityId)> {
+    fn entities(&self) -> Vec<(String, EntityId)> {
         let domains = self.domains.iter().map(DomainName::as_str);
         let services = self.services.iter().map(ServiceName::as_str);
         let servers = self.servers.iter().map(ServerName::as_str);
@@ -121,12 +124,12 @@
     }
 }
 
-fn push_things<T: ConfiguredEntity>(
-    things: &mut Vec<(String, EntityId)>,
+fn push_entities<T: ConfiguredEntity>(
+    entities: &mut Vec<(String, EntityId)>,
     field: &str,
     list: &[T],
 ) {
-    for (index, thing) in list.iter().enumerate() {
-        things.push((format!("{field}[{index}].name"), thing.id()));
+    for (index, entity) in list.iter().enumerate() {
+        entities.push((format!("{field}[{index}].name"), entity.id()));
     }
 }
--- a/goldcrestramp-config/src/ticket/preview.rs
+++ b/goldcrestramp-config/src/ticket/preview.rs
@@ -1,4 +1,4 @@
-//! What a ticket will move, and what capacity it leaves.
+//! Previews the slices that a ticket moves and the capacity that remains.
 
 use std::collections::BTreeMap;
 
@@ -7,40 +7,41 @@
 
 use crate::deployment::{DeploymentState, ServiceRules};
 
-/// What operators are told of a ticket before they apply it.
+/// The effects of a ticket, shown to operators before they apply it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct TicketPreview {
-    /// Slots in each failure domain, over all services.
+    /// The slots of each failure domain, over all services.
     pub domains: Vec<CapacityPreview>,
-    /// Each service whose capacity or placement changes.
+    /// The services whose capacity or placement changes.
     pub services: Vec<ServicePreview>,
-    /// Short sentences about what the operator may not want.
+    /// Short sentences about effects that the operator may not intend.
     pub warnings: Vec<String>,
 }
 
-/// Slots that may own keys, in one failure domain.
+/// The slots that may own keys in one failure domain.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct CapacityPreview {
     /// The failure domain.
     pub domain: DomainName,
-    /// Slots before the ticket.
+    /// The number of slots before the ticket.
     pub slots_before: u64,
-    /// Slots after it.
+    /// The number of slots after the ticket.
     pub slots_after: u64,
 }
 
-/// What changes for one service.
+/// The effects on one service.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ServicePreview {
     /// The service.
     pub service: ServiceName,
-    /// Slots that may own its keys, before the ticket.
+    /// The number of slots that may own its keys before the ticket.
     pub slots_before: u64,
-    /// Slots that may own its keys, after it.
+    /// The number of slots that may own its keys after the ticket.
     pub slots_after: u64,
-    /// Slices that change their server if shares follow slots.
+    /// The number of slices that move to another server, if each server's
+    /// share is proportional to its slots.
     pub slices_moved: u64,
-    /// Of these, slices that change their failure domain.
+    /// The number of these that move to another failure domain.
     pub slices_between_domains: u64,
     /// The service's slots in each failure domain.
     pub domains: Vec<CapacityPreview>,
@@ -71,19 +72,21 @@
 
 type ServerSlots = BTreeMap<ServerName, (DomainName, u64)>;
 
-/// The slots of each server that may own keys and is not declared lost.
+/// Returns the slots of each server that may own keys and whose domain is
+/// not declared lost.
 fn slots_by_server(
     state: &DeploymentState,
-    wanted: impl Fn(&ServiceRules) -> bool,
+    matches: impl Fn(&ServiceRules) -> bool,
 ) -> ServerSlots {
     let servers = state.servers.iter().filter(|server| {
         let service = state.service(&server.service);
         let lost = state.domain(&server.domain).is_none_or(|d| d.lost);
-        service.is_some_and(|s| wanted(s) && state.may_own(s, server)) && !lost
+        service.is_some_and(|s| matches(s) && state.may_own(s, server))
+            && !lost
     });
     let slots = servers.map(|server| {
-        let place = (server.domain.clone(), u64::from(server.slots));
-        (server.name.clone(), place)
+        let capacity = (server.domain.clone(), u64::from(server.slots));
+        (server.name.clone(), capacity)
     });
     slots.collect()
 }
@@ -127,22 +130,28 @@
     let slices = after.service(service).or_else(|| before.service(service));
     let slices = slices.map_or(0, |rules| u64::from(rules.slices.get()));
     let slots = |side: &ServerSlots| -> BTreeMap<ServerName, u64> {
-        side.iter().map(|(name, place)| (name.clone(), place.1)).collect()
+        side.iter()
+            .map(|(name, capacity)| (name.clone(), capacity.1))
+            .collect()
     };
     let (old_domains, new_domains) = (by_domain(&old), by_domain(&new));
     Some(ServicePreview {
         service: service.clone(),
         slots_before: old_domains.values().sum(),
         slots_after: new_domains.values().sum(),
-        slices_moved: moved(slices, &slots(&old), &slots(&new)),
-        slices_between_domains: moved(slices, &old_domains, &new_domains),
+        slices_moved: moved_slices(slices, &slots(&old), &slots(&new)),
+        slices_between_domains: moved_slices(
+            slices,
+            &old_domains,
+            &new_domains,
+        ),
         domains: capacities(&old_domains, &new_domains),
     })
 }
 
-/// How many slices leave their place when each place's share of `slices`
-/// follows its slots; nothing moves into or out of an empty side.
-fn moved<T: Ord>(
+/// Returns how many slices change their owner if each owner's share of
+/// `slices` is proportional to its slots; 0 if either side has no slots.
+fn moved_slices<T: Ord>(
     slices: u64,
     before: &BTreeMap<T, u64>,
     after: &BTreeMap<T, u64>,
@@ -152,9 +161,9 @@
     if sum_before == 0 || sum_after == 0 {
         return 0;
     }
-    let left = before.iter().map(|(place, slots)| {
+    let left = before.iter().map(|(owner, slots)| {
         let had = slices * slots / sum_before;
-        let has = after.get(place).copied().unwrap_or(0);
+        let has = after.get(owner).copied().unwrap_or(0);
         had.saturating_sub(slices * has / sum_after)
     });
     left.sum()
@@ -173,14 +182,14 @@
     for service in services {
         let name = &service.service;
         let (was, is) = (service.slots_before, service.slots_after);
-        let homes =
+        let used_domains =
             service.domains.iter().filter(|d| d.slots_after > 0).count();
         if is == 0 {
             warnings.push(format!("{name} is left without a slot"));
         } else if is < was {
             warnings.push(format!("{name} goes from {was} to {is} slots"));
         }
-        if homes == 1 {
+        if used_domains == 1 {
             let note = "stands in one failure domain only";
             warnings.push(format!("{name} {note}"));
         }
@@ -195,13 +204,13 @@
     after: &DeploymentState,
 ) -> impl Iterator<Item = String> {
     let lost = after.domains.iter().filter(|domain| {
-        let former = before.domain(&domain.name);
-        domain.lost && !former.is_some_and(|former| former.lost)
+        let previous = before.domain(&domain.name);
+        domain.lost && !previous.is_some_and(|previous| previous.lost)
     });
     lost.map(|domain| {
         let name = &domain.name;
         format!(
-            "{name} is declared lost: its slices go to other domains; if \
+            "{name} is declared lost: its slices move to other domains; if \
              its servers still run, a key can have two owners"
         )
     })
@@ -214,6 +223,6 @@
     });
     idle.map(|server| {
         let (name, service) = (&server.name, &server.service);
-        format!("{name} may own no key by the rules of {service}")
+        format!("{name} may not own keys under the rules of {service}")
     })
 }
--- a/goldcrestramp-config/src/ticket/reader.rs
+++ b/goldcrestramp-config/src/ticket/reader.rs
@@ -1,4 +1,4 @@
-//! Reads tickets, and finds the place of a path in one.
+//! Reads tickets and finds the positions of their values.
 
 use std::path::Path;
 
@@ -8,47 +8,47 @@
 use crate::{
     deployment::{CallerRules, DomainRules, ServerRules, ServiceRules},
     document::{
-        DocumentNode, FaultList, FieldReader, PlaceIndex, SourcePosition,
-        leaf, open_document,
+        DocumentNode, FaultList, FieldReader, PositionIndex, SourcePosition,
+        open_document, parse_value,
     },
 };
 
-/// Numbers stay exact in every JSON reader up to 2^53 - 1.
+/// Every JSON parser represents numbers up to 2^53 - 1 exactly.
 const TICKET_NUMBER: std::ops::RangeInclusive<u64> = 1..=9_007_199_254_740_991;
-/// Far above any server's slots or connections; catches a slip.
+/// Far above any server's slots or connections; catches typing errors.
 const SERVER_COUNT: std::ops::RangeInclusive<u32> = 1..=65_536;
 const CALLER_WEIGHT: std::ops::RangeInclusive<u32> = 1..=1_000;
 
-/// A ticket with the place of each of its values.
+/// A ticket with the position of each of its values.
 #[derive(Clone, Debug)]
 pub struct TicketDocument {
     /// The ticket.
     pub ticket: ChangeTicket,
     file: String,
     text: String,
-    places: PlaceIndex,
+    positions: PositionIndex,
 }
 
 impl TicketDocument {
-    /// The text that the ticket was read from.
+    /// Returns the text that the ticket was read from.
     #[must_use]
     pub fn text(&self) -> &str {
         &self.text
     }
 
-    /// Where a value stands, as `file:line:column`.
+    /// Returns the position of a value as `file:line:column`.
     #[must_use]
     pub fn place(&self, path: &str) -> String {
-        let SourcePosition { line, column } = self.places.find(path);
+        let SourcePosition { line, column } = self.positions.find(path);
         format!("{}:{line}:{column}", self.file)
     }
 
-    /// Places refusals in the text that the ticket was read from.
+    /// Converts refusals to faults at positions in the ticket's text.
     #[must_use]
     pub fn locate(&self, refusals: &[TicketRefusal]) -> FaultList {
         let mut faults = FaultList::new(&self.file);
         for refusal in refusals {
-            let position = self.places.find(&refusal.path);
+            let position = self.positions.find(&refusal.path);
             let message = refusal.reason.to_string();
             faults.add(position, &refusal.path, message);
         }
@@ -60,7 +60,7 @@
 ///
 /// # Errors
 ///
-/// Every fault of the file at once, each with its place.
+/// Returns all faults of the file, each with its position.
 pub fn read_ticket(file: &Path) -> Result<TicketDocument, FaultList> {
     let name = file.display().to_string();
     match std::fs::read_to_string(file) {
@@ -73,8 +73,8 @@
 ///
 /// # Errors
 ///
-/// Every fault of the text at once, each with its place. References to
-/// other things are judged by [`accept_ticket`](super::accept_ticket).
+/// Returns all faults of the text, each with its position. References to
+/// other entities are checked by [`accept_ticket`](super::accept_ticket).
 pub fn parse_ticket(
     file: &str,
     text: &str,
@@ -82,14 +82,14 @@
     let mut faults = FaultList::new(file);
     let document = open_document(text, &mut faults).and_then(|node| {
         let ticket = ticket_from_node(&node, &mut faults)?;
-        let places = PlaceIndex::new(&node);
+        let positions = PositionIndex::new(&node);
         let (file, text) = (file.to_owned(), text.to_owned());
-        Some(TicketDocument { ticket, file, text, places })
+        Some(TicketDocument { ticket, file, text, positions })
     });
-    faults.or_value(document)
+    faults.into_result(document)
 }
 
-/// Reads a ticket that stands at `node` of a larger document.
+/// Reads a ticket from `node`, which may be part of a larger document.
 pub(crate) fn ticket_from_node(
     node: &DocumentNode,
     faults: &mut FaultList,
@@ -134,8 +134,8 @@
     let mut fields = FieldReader::open(node, faults)?;
     let name = fields.required("name", faults);
     let slices = fields.or_default("slices", SliceCount::DEFAULT, faults);
-    let domains = fields.list("domains", faults, leaf);
-    let regions = fields.list("regions", faults, leaf);
+    let domains = fields.list("domains", faults, parse_value);
+    let regions = fields.list("regions", faults, parse_value);
     fields.close(faults);
     Some(ServiceRules { name: name?, slices: slices?, domains, regions })
 }
@@ -183,10 +183,10 @@
     faults: &mut FaultList,
 ) -> Option<RemovalList> {
     let mut fields = FieldReader::open(node, faults)?;
-    let domains = fields.list("domains", faults, leaf);
-    let services = fields.list("services", faults, leaf);
-    let servers = fields.list("servers", faults, leaf);
-    let callers = fields.list("callers", faults, leaf);
+    let domains = fields.list("domains", faults, parse_value);
+    let services = fields.list("services", faults, parse_value);
+    let servers = fields.list("servers", faults, parse_value);
+    let callers = fields.list("callers", faults, parse_value);
     fields.close(faults);
     Some(RemovalList { domains, services, servers, callers })
 }
--- a/goldcrestramp-config/src/ticket/refusal.rs
+++ b/goldcrestramp-config/src/ticket/refusal.rs
@@ -1,4 +1,4 @@
-//! Why a ticket is refused.
+//! The reasons to refuse a ticket.
 
 use std::fmt;
 
@@ -7,7 +7,7 @@
 
 use super::entity::EntityId;
 
-/// One reason to refuse a ticket, and which of its values it is about.
+/// One reason to refuse a ticket, with the path of the value concerned.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct TicketRefusal {
     /// The value's path in the ticket, such as `servers[3].service`.
@@ -22,70 +22,70 @@
     }
 }
 
-/// What is wrong with a ticket, given the state that it would change.
+/// A reason to refuse a ticket, given the state that it would change.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "reason")]
 pub enum RefusalReason {
-    /// It touches nothing.
+    /// The ticket changes nothing.
     Empty,
-    /// The number belongs to an accepted ticket that says something else.
+    /// An accepted ticket with other content has the same number.
     NumberReused,
-    /// A ticket with this number or a higher one touched the thing.
+    /// A ticket with this number or a higher one has changed the entity.
     NumberTooLow {
-        /// The thing.
+        /// The entity.
         thing: EntityId,
-        /// The last ticket that touched it.
+        /// The number of the last ticket that changed it.
         last: u64,
     },
-    /// The ticket says two things of one.
+    /// The ticket lists an entity twice.
     TouchedTwice {
-        /// The thing.
+        /// The entity.
         thing: EntityId,
     },
-    /// A thing that it refers to, or removes, does not exist.
+    /// An entity that the ticket refers to or removes does not exist.
     Missing {
-        /// The thing.
+        /// The entity.
         thing: EntityId,
     },
-    /// No failure domain stands in the region.
+    /// The region has no failure domain.
     EmptyRegion {
         /// The region.
         region: RegionName,
     },
-    /// A thing that it removes is still referred to.
+    /// Another entity still refers to one that the ticket removes.
     StillUsed {
-        /// The thing that refers to it.
+        /// The entity that refers to it.
         by: EntityId,
     },
     /// A service's number of slices is fixed when it is created.
     SlicesFixed,
-    /// A server keeps its service and failure domain for life.
+    /// A server's service and failure domain are fixed when it is created.
     PlaceFixed,
-    /// A failure domain keeps its region for life.
+    /// A failure domain's region is fixed when it is created.
     RegionFixed,
-    /// Another server listens there.
+    /// Another server has the same address.
     AddressTaken {
         /// The other server.
         by: EntityId,
     },
     /// A server with fewer connections than slots can't fill its slots.
     TooFewConnections,
-    /// The service would be left with servers, but none that may own keys.
+    /// The service would have servers, but none that may own keys.
     NoCapacity {
         /// The service.
         service: ServiceName,
     },
     /// The state would no longer fit into one value of the store.
     TooLarge {
-        /// Its size in bytes.
+        /// The size of the state, in bytes.
         bytes: usize,
-        /// The most that fits.
+        /// The maximum size, in bytes.
         limit: usize,
     },
 }
 
 impl RefusalReason {
-    /// The stable code in counters and answers.
+    /// Returns the stable code used in counters and responses.
     #[must_use]
     pub const fn code(&self) -> &'static str {
         match self {
@@ -110,7 +110,7 @@
 impl fmt::Display for RefusalReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Empty => write!(f, "the ticket touches nothing"),
+            Self::Empty => write!(f, "the ticket changes nothing"),
             Self::NumberReused => {
                 write!(f, "this number was accepted with another text")
             }
@@ -118,11 +118,11 @@
                 write!(f, "{thing} was last touched by ticket {last}")
             }
             Self::TouchedTwice { thing } => {
-                write!(f, "{thing} stands twice in the ticket")
+                write!(f, "{thing} is listed twice in the ticket")
             }
             Self::Missing { thing } => write!(f, "{thing} does not exist"),
             Self::EmptyRegion { region } => {
-                write!(f, "no failure domain stands in region {region}")
+                write!(f, "no failure domain is in region {region}")
             }
             Self::StillUsed { by } => write!(f, "{by} still refers to it"),
             Self::SlicesFixed => {
@@ -141,7 +141,7 @@
                 write!(f, "fewer connections than slots")
             }
             Self::NoCapacity { service } => {
-                write!(f, "no server of {service} could own keys any more")
+                write!(f, "no server of {service} could own keys any longer")
             }
             Self::TooLarge { bytes, limit } => write!(
                 f,
