--- a/goldcrestramp-wire/src/delta.rs
+++ b/goldcrestramp-wire/src/delta.rs
@@ -1,21 +1,21 @@
-//! Messages of a permit stream, each as its change from the one before.
+//! Delta encoding of the messages of a permit stream.
 //!
-//! A failure domain's steward hears from every keeper several times in each
-//! lease, and nearly always nothing has changed. Sent whole, the reports of
-//! 64 keepers would cost it more bytes than a node may spend on control.
-//! The stream is ordered and loses nothing, so both ends can keep the last
-//! message; a new stream starts from nothing.
+//! Every keeper reports to its failure domain's steward several times per
+//! lease, and nearly always nothing has changed. Full reports of 64 keepers
+//! would exceed a node's bandwidth for control messages. The stream is ordered
+//! and lossless, so both ends can keep the last message; a new stream starts
+//! without one.
 
 use crate::peer::{PermitReply, PermitRequest, ServerOrder, ServerReport};
 use goldcrestramp_types::{FastMap, FastSet};
 
-/// The most servers in one message: a peer could otherwise make this VM
-/// keep ever more of them. A failure domain has some hundreds.
-const SERVERS_MOST: usize = 4_096;
+/// The maximum number of servers of one stream. Without it, a peer could make
+/// this VM store an unbounded number. A failure domain has some hundreds.
+const MAX_SERVERS: usize = 4_096;
 
-/// A part of a message that is about one server.
+/// The part of a message for one server.
 pub trait ServerItem: Clone + PartialEq {
-    /// The server's name.
+    /// Returns the server's name.
     fn server(&self) -> &str;
 }
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// The parts of the last message, by server.
+/// The parts of the last message, by server name.
 #[derive(Debug)]
 struct ItemMap<T> {
     items: FastMap<String, T>,
@@ -44,10 +44,11 @@
 }
 
 impl<T: ServerItem> ItemMap<T> {
-    /// Keeps `whole` and returns what changed, and what is gone.
-    fn change(&mut self, whole: Vec<T>) -> (Vec<T>, Vec<String>) {
+    /// Stores `full` and returns the changed items and the names of removed
+    /// ones.
+    fn change(&mut self, full: Vec<T>) -> (Vec<T>, Vec<String>) {
         let names: FastSet<&str> =
-            whole.iter().map(ServerItem::server).collect();
+            full.iter().map(ServerItem::server).collect();
         let kept = self.items.keys();
         let gone = kept.filter(|name| !names.contains(name.as_str()));
         let gone: Vec<String> = gone.cloned().collect();
@@ -55,7 +56,7 @@
             self.items.remove(name);
         }
         let mut changed = Vec::new();
-        for item in whole {
+        for item in full {
             if self.items.get(item.server()) == Some(&item) {
                 continue;
             }
@@ -65,7 +66,8 @@
         (changed, gone)
     }
 
-    /// Applies a change and returns the whole; `None`: it is too large.
+    /// Applies a change and returns all items, or `None` if there are too
+    /// many.
     fn apply(&mut self, changed: Vec<T>, gone: &[String]) -> Option<Vec<T>> {
         for name in gone {
             self.items.remove(name);
@@ -73,15 +75,16 @@
         for item in changed {
             self.items.insert(item.server().to_owned(), item);
         }
-        if self.items.len() > SERVERS_MOST {
+        if self.items.len() > MAX_SERVERS {
             return None;
         }
         Some(self.items.values().cloned().collect())
     }
 }
 
-/// The part of a report that says whose it is.
-fn identity(request: &PermitRequest) -> PermitRequest {
+/// Returns the fields of a report that identify its sender and what it knows,
+/// without the servers.
+fn without_servers(request: &PermitRequest) -> PermitRequest {
     PermitRequest {
         vm: request.vm.clone(),
         address: request.address.clone(),
@@ -93,7 +96,7 @@
     }
 }
 
-/// The sending end of a stream.
+/// Encodes the messages that one end of a stream sends.
 #[derive(Debug, Default)]
 pub struct DeltaEncoder {
     last: PermitRequest,
@@ -102,11 +105,11 @@
 }
 
 impl DeltaEncoder {
-    /// Leaves out of a report what the one before it said.
-    pub fn request(&mut self, whole: PermitRequest) -> PermitRequest {
-        let (servers, gone) = self.reports.change(whole.servers);
-        let mut delta = PermitRequest { servers, gone, ..whole };
-        let last = std::mem::replace(&mut self.last, identity(&delta));
+    /// Returns the report without what the previous one contained.
+    pub fn request(&mut self, full: PermitRequest) -> PermitRequest {
+        let (servers, gone) = self.reports.change(full.servers);
+        let mut delta = PermitRequest { servers, gone, ..full };
+        let last = std::mem::replace(&mut self.last, without_servers(&delta));
         if last.start == delta.start && last.vm == delta.vm {
             delta.vm.clear();
             delta.address.clear();
@@ -122,17 +125,17 @@
         delta
     }
 
-    /// Leaves out of a reply what the one before it said.
-    pub fn reply(&mut self, whole: PermitReply) -> PermitReply {
-        if !whole.permitted {
-            return whole;
+    /// Returns the reply without what the previous one contained.
+    pub fn reply(&mut self, full: PermitReply) -> PermitReply {
+        if !full.permitted {
+            return full;
         }
-        let (orders, gone) = self.orders.change(whole.orders);
-        PermitReply { orders, gone, ..whole }
+        let (orders, gone) = self.orders.change(full.orders);
+        PermitReply { orders, gone, ..full }
     }
 }
 
-/// The receiving end of a stream.
+/// Decodes the messages that one end of a stream receives.
 #[derive(Debug, Default)]
 pub struct DeltaDecoder {
     last: PermitRequest,
@@ -141,25 +144,25 @@
 }
 
 impl DeltaDecoder {
-    /// The whole report; `None`: it has too many servers.
+    /// Restores the full report, or returns `None` if it has too many servers.
     pub fn request(&mut self, delta: PermitRequest) -> Option<PermitRequest> {
         let servers = self.reports.apply(delta.servers, &delta.gone)?;
-        let mut whole = PermitRequest { servers, gone: Vec::new(), ..delta };
-        if whole.vm.is_empty() {
-            whole.vm.clone_from(&self.last.vm);
-            whole.address.clone_from(&self.last.address);
-            whole.domain.clone_from(&self.last.domain);
-            whole.start = self.last.start;
+        let mut full = PermitRequest { servers, gone: Vec::new(), ..delta };
+        if full.vm.is_empty() {
+            full.vm.clone_from(&self.last.vm);
+            full.address.clone_from(&self.last.address);
+            full.domain.clone_from(&self.last.domain);
+            full.start = self.last.start;
         }
-        if whole.config_version == 0 {
-            whole.config_version = self.last.config_version;
+        if full.config_version == 0 {
+            full.config_version = self.last.config_version;
         }
-        whole.table = whole.table.or(self.last.table);
-        self.last = identity(&whole);
-        Some(whole)
+        full.table = full.table.or(self.last.table);
+        self.last = without_servers(&full);
+        Some(full)
     }
 
-    /// The whole reply; `None`: it has too many servers.
+    /// Restores the full reply, or returns `None` if it has too many servers.
     pub fn reply(&mut self, delta: PermitReply) -> Option<PermitReply> {
         if !delta.permitted {
             return Some(delta);
--- a/goldcrestramp-wire/src/lib.rs
+++ b/goldcrestramp-wire/src/lib.rs
@@ -1,10 +1,10 @@
 /*!
-The protocol between nodes, and the one towards backend servers.
+The protocol between nodes and the protocol with backend servers.
 
-[`peer`] is what daemons speak with each other: protocol buffers over gRPC,
-generated from `proto/peer.proto` and committed. [`delta`] keeps its most
-frequent messages small. [`server`] is what a keeper
-speaks with a backend server: JSON and plain bodies over HTTP.
+[`peer`] is the protocol between daemons: protocol buffers over gRPC. Its code
+is generated from `proto/peer.proto` and committed. [`delta`] reduces the size
+of its most frequent messages. [`server`] is the protocol between a keeper and
+a backend server: JSON and plain bodies over HTTP.
 */
 
 pub mod delta;
@@ -21,7 +21,7 @@
 #[rustfmt::skip]
 mod generated;
 
-/// Messages, client and server of the protocol between daemons.
+/// The messages, client and server of the protocol between daemons.
 pub mod peer {
     pub use crate::generated::*;
 }
--- a/goldcrestramp-wire/src/server.rs
+++ b/goldcrestramp-wire/src/server.rs
@@ -1,22 +1,22 @@
-//! What a keeper and a backend server say to each other over HTTP.
+//! The protocol between a keeper and a backend server over HTTP.
 //!
 //! | call | body | reply |
 //! | --- | --- | --- |
 //! | `POST /grant` | [`GrantOrder`] | [`GrantReply`] |
-//! | `POST /run` | the request's body | the answer, streamed |
+//! | `POST /run` | the request's body | the response, streamed |
 //! | `POST /cancel/{request}` | none | [`RequestState`] |
 //! | `GET /request/{request}` | none | [`RequestState`] |
-//! | `GET /answer/{request}` | none | the kept answer, if any |
+//! | `GET /answer/{request}` | none | the stored response, if any |
 //!
-//! Every reply that carries a clock reading is also an acknowledgement of
-//! the order that it answers.
+//! Every reply that contains a clock reading also acknowledges the order that
+//! it replies to.
 
 use goldcrestramp_types::{
     FenceToken, ServerTime, ServiceName, SliceSet, TimeSpan,
 };
 use serde::{Deserialize, Serialize};
 
-/// Header: the request's id, `caller/request`, in and out.
+/// Header of requests and responses: the request's id, `caller/request`.
 pub const HEADER_REQUEST: &str = "x-goldcrestramp-request";
 /// Header: the key, percent-encoded.
 pub const HEADER_KEY: &str = "x-goldcrestramp-key";
@@ -26,128 +26,130 @@
 pub const HEADER_SERVICE: &str = "x-goldcrestramp-service";
 /// Header: the fencing token, see [`encode_token`].
 pub const HEADER_TOKEN: &str = "x-goldcrestramp-token";
-/// Header: the last moment at which work may start, in the server's clock.
+/// Header: the latest time at which work may start, by the server's clock.
 pub const HEADER_START_BY: &str = "x-goldcrestramp-start-by";
-/// Header: the deadline of the answer, in the server's clock.
+/// Header: the deadline of the response, by the server's clock.
 pub const HEADER_DEADLINE: &str = "x-goldcrestramp-deadline";
 /// Header: the class: `lookup`, `order` or `long`.
 pub const HEADER_CLASS: &str = "x-goldcrestramp-class";
-/// Header of an answer: `not-started` when the server refused to start.
+/// Header of a response: `not-started` if the server refused to start.
 pub const HEADER_STARTED: &str = "x-goldcrestramp-started";
 
-/// What a keeper tells a server to hold.
+/// A keeper's order that sets the slices which a server holds.
 ///
-/// Three forms:
+/// It has three forms:
 ///
-/// * a question (`slices` and `accept_by` absent): the server replies with
-///   its state and changes nothing;
-/// * an extension (`slices` absent): it goes on with what it holds then;
-/// * a grant (`slices` present): it holds these from now on.
+/// * a query (`slices` and `accept_by` absent): the server replies with its
+///   state and changes nothing;
+/// * an extension (`slices` absent): the server keeps the slices that it
+///   holds at that time;
+/// * a grant (`slices` present): the server holds these from now on.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GrantOrder {
-    /// The service whose slices these are.
+    /// The service that the slices belong to.
     pub service: Option<ServiceName>,
     /// The fencing token of the order.
     pub token: FenceToken,
     /// The slices to hold from now on; absent in an extension.
     pub slices: Option<SliceSet>,
-    /// The slices to give up: nothing new may start on them.
+    /// The slices to release: no new work may start on them.
     pub release: SliceSet,
-    /// When the grant ends.
+    /// The time at which the grant expires.
     pub deadline: ServerTime,
-    /// Present in an extension: the deadline of the grant it extends.
+    /// In an extension, the deadline of the grant that it extends.
     ///
-    /// Present in a grant that only names what the server holds already.
+    /// Also present in a grant that lists only slices which the server holds
+    /// already.
     ///
-    /// An extension that arrives later than this is void, so a late message
-    /// cannot bring a lapsed grant back to life.
+    /// An extension that arrives later than this is rejected, so a late
+    /// message cannot renew an expired grant.
     pub accept_by: Option<ServerTime>,
     /// The lowest token with which a request may start from now on.
     ///
-    /// It rises with a change of keeper, not with every order, so that
-    /// requests under way are not refused for each slice that moves.
+    /// It increases with a change of keeper, not with every order, so that
+    /// requests in flight are not rejected for each slice that moves.
     #[serde(default)]
     pub admits: FenceToken,
-    /// The run of the server that the deadlines were reckoned for.
+    /// The server instance whose clock the deadlines refer to.
     pub run: u64,
 }
 
-/// What a server says of itself after an order or a question.
+/// A server's state after an order or a query.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GrantReply {
-    /// Whether the order was carried out.
+    /// Whether the order was applied.
     pub accepted: bool,
-    /// Why not, for logs.
+    /// The reason why it was not applied, for logs.
     pub refusal: Option<GrantRefusal>,
     /// The server's clock when it replied.
     pub clock: ServerTime,
-    /// A random number drawn when the server started.
+    /// The server's instance: a random number chosen at its start.
     pub run: u64,
-    /// The token of the grant that it holds.
+    /// The token of the current grant.
     pub token: FenceToken,
-    /// The lowest token that it still accepts.
+    /// The lowest token that the server accepts.
     pub fence: FenceToken,
-    /// The slices it holds; empty once the grant has lapsed.
+    /// The slices that the server holds; empty after the grant has expired.
     ///
-    /// Absent, like `last`, after an extension that changed no token: a
-    /// renewal every 300 ms is not to carry thousands of slices.
+    /// Absent, like `last`, after an extension that changed no token, so that
+    /// a renewal every 300 ms doesn't contain thousands of slices.
     pub held: Option<SliceSet>,
-    /// The slices it held last, also when the grant has lapsed since.
+    /// The slices that the server held last, even if the grant has expired.
     ///
-    /// A failure domain that starts while the store is away learns from
-    /// this which slices are its own.
+    /// A failure domain that starts while the store is unavailable determines
+    /// its own slices from this.
     pub last: Option<SliceSet>,
-    /// The slices on which non-idempotent work is still under way though
-    /// they were given up.
+    /// The released slices on which non-idempotent work is still in
+    /// progress.
     pub busy: SliceSet,
-    /// The end of its grant.
+    /// The time at which the server's grant expires.
     pub deadline: ServerTime,
 }
 
-/// Why a server did not carry out an order.
+/// The reason why a server did not apply an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum GrantRefusal {
     /// The order's token is below the fence.
     OldToken,
-    /// The extension came after its *accept by*.
+    /// The extension arrived later than its `accept_by`.
     Lapsed,
     /// The order's own deadline has passed.
     Late,
-    /// The order was reckoned for another run of the server.
+    /// The order was made for another instance of the server.
     OtherRun,
 }
 
-/// What a server knows of a request.
+/// The state of a request on a server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RequestState {
-    /// It never reached the server, or not in this run.
+    /// It has not reached this instance of the server.
     NotSeen,
-    /// It was cancelled before it started; it never will.
+    /// It was cancelled before it started and never starts.
     NotStarted,
-    /// It is under way.
+    /// It is in progress.
     Running,
-    /// It ended; the answer may still be kept.
+    /// It has completed; the response may still be stored.
     Ended,
 }
 
-/// The answer to a question about a request.
+/// The reply to a query about a request.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RequestReport {
-    /// What the server knows.
+    /// The state of the request.
     pub state: RequestState,
-    /// The server's run; another run than expected proves nothing.
+    /// The server's instance; a reply from an unexpected one proves nothing.
     pub run: u64,
-    /// How long this run has lasted: one that is younger than a request
-    /// may have replaced the run that executed it.
+    /// The age of this instance: one that is younger than a request may have
+    /// replaced the instance that executed it.
     #[serde(default)]
     pub age: TimeSpan,
 }
 
-/// Writes a token as it stands in [`HEADER_TOKEN`].
+/// Encodes a token for [`HEADER_TOKEN`].
 #[must_use]
 pub fn encode_token(token: FenceToken) -> String {
     let term = token.term;
@@ -157,7 +159,7 @@
     )
 }
 
-/// Reads a token from [`HEADER_TOKEN`]; `None` if it is malformed.
+/// Decodes a token from [`HEADER_TOKEN`]; `None` if it is malformed.
 #[must_use]
 pub fn decode_token(text: &str) -> Option<FenceToken> {
     let mut parts = text.split('.');
--- a/goldcrestramp-wire/tests/delta.rs
+++ b/goldcrestramp-wire/tests/delta.rs
@@ -1,4 +1,4 @@
-//! What is left out of a stream's messages is put back at the other end.
+//! The decoder restores what the encoder leaves out of a stream's messages.
 
 use goldcrestramp_wire::{
     delta::{DeltaDecoder, DeltaEncoder},
@@ -6,7 +6,7 @@
 };
 use proptest::prelude::*;
 
-/// A few servers, each at one of a few versions.
+/// Generates up to five servers, each with one of three versions.
 fn servers() -> impl Strategy<Value = Vec<(u8, u64)>> {
     prop::collection::btree_map(0_u8..6, 0_u64..3, 0..6)
         .prop_map(|servers| servers.into_iter().collect())
@@ -24,14 +24,14 @@
 
 proptest! {
     #[test]
-    fn every_report_arrives_whole(
+    fn every_report_is_restored(
         states in prop::collection::vec((servers(), 1_u64..3), 1..20),
     ) {
         let mut encoder = DeltaEncoder::default();
         let mut decoder = DeltaDecoder::default();
         for (sequence, (servers, start)) in (1..).zip(states) {
             let servers = servers.into_iter().map(|(n, v)| report(n, v));
-            let whole = PermitRequest {
+            let full = PermitRequest {
                 vm: "vm-1".to_owned(),
                 address: "127.0.0.1:1".to_owned(),
                 domain: "sierra-a".to_owned(),
@@ -45,15 +45,15 @@
                 servers: servers.collect(),
                 ..PermitRequest::default()
             };
-            let delta = encoder.request(whole.clone());
-            let mut back = decoder.request(delta).expect("few servers");
-            back.servers.sort_by(|a, b| a.server.cmp(&b.server));
-            prop_assert_eq!(back, whole);
+            let delta = encoder.request(full.clone());
+            let mut decoded = decoder.request(delta).expect("server count is within the limit");
+            decoded.servers.sort_by(|a, b| a.server.cmp(&b.server));
+            prop_assert_eq!(decoded, full);
         }
     }
 
     #[test]
-    fn every_reply_arrives_whole(
+    fn every_reply_is_restored(
         states in prop::collection::vec((servers(), any::<bool>()), 1..20),
     ) {
         let mut encoder = DeltaEncoder::default();
@@ -61,28 +61,28 @@
         for (servers, permitted) in states {
             let orders = servers.into_iter().filter(|_| permitted);
             let orders = orders.map(|(n, v)| order(n, v)).collect();
-            let whole =
+            let full =
                 PermitReply { permitted, orders, ..PermitReply::default() };
-            let delta = encoder.reply(whole.clone());
-            let mut back = decoder.reply(delta).expect("few servers");
-            back.orders.sort_by(|a, b| a.server.cmp(&b.server));
-            prop_assert_eq!(back, whole);
+            let delta = encoder.reply(full.clone());
+            let mut decoded = decoder.reply(delta).expect("server count is within the limit");
+            decoded.orders.sort_by(|a, b| a.server.cmp(&b.server));
+            prop_assert_eq!(decoded, full);
         }
     }
 }
 
 #[test]
-fn an_unchanged_report_is_a_few_bytes() {
+fn an_unchanged_report_omits_its_fields() {
     let mut encoder = DeltaEncoder::default();
-    let whole = PermitRequest {
+    let full = PermitRequest {
         vm: "vm-1".to_owned(),
         start: 7,
         servers: (0..8).map(|number| report(number, 1)).collect(),
         ..PermitRequest::default()
     };
 
-    let first = encoder.request(whole.clone());
-    let second = encoder.request(PermitRequest { sequence: 2, ..whole });
+    let first = encoder.request(full.clone());
+    let second = encoder.request(PermitRequest { sequence: 2, ..full });
 
     assert_eq!(first.servers.len(), 8);
     let expected = PermitRequest { sequence: 2, ..PermitRequest::default() };
--- a/goldcrestramp-wire/tests/fuzz.rs
+++ b/goldcrestramp-wire/tests/fuzz.rs
@@ -1,4 +1,4 @@
-//! Any bytes from a peer or a server are read or refused, never a panic.
+//! Any bytes from a peer or a server decode or are rejected, without a panic.
 
 use std::{fmt::Debug, ops::Range};
 
@@ -32,26 +32,31 @@
     }
 }
 
-/// Fields and lengths of messages are small numbers: such bytes get further
-/// than others.
+/// Generates mostly small byte values. Field numbers and lengths are small,
+/// so such bytes reach deeper into the decoder.
 fn message_bytes() -> impl Strategy<Value = Vec<u8>> {
     let byte = prop_oneof![3 => 0_u8..0x30, 1 => any::<u8>()];
     prop::collection::vec(byte, LENGTH)
 }
 
-/// What can be read is the same when it is written and read again.
-fn read_message<T: Message + Default + PartialEq + Debug>(bytes: &[u8]) {
-    if let Ok(read) = T::decode(bytes) {
-        let again = T::decode(&*read.encode_to_vec()).expect("its own bytes");
-        assert_eq!(again, read);
+/// Checks that a decoded message is equal after encoding and decoding it.
+fn check_message<T: Message + Default + PartialEq + Debug>(bytes: &[u8]) {
+    if let Ok(decoded) = T::decode(bytes) {
+        let again = T::decode(&*decoded.encode_to_vec())
+            .expect("encoded message decodes");
+        assert_eq!(again, decoded);
     }
 }
 
-fn read_json<T: DeserializeOwned + Serialize + PartialEq + Debug>(text: &str) {
-    if let Ok(read) = serde_json::from_str::<T>(text) {
-        let written = serde_json::to_string(&read).expect("text");
-        let again: T = serde_json::from_str(&written).expect("its own text");
-        assert_eq!(again, read);
+fn check_json<T: DeserializeOwned + Serialize + PartialEq + Debug>(
+    text: &str,
+) {
+    if let Ok(decoded) = serde_json::from_str::<T>(text) {
+        let encoded =
+            serde_json::to_string(&decoded).expect("message encodes as JSON");
+        let again: T =
+            serde_json::from_str(&encoded).expect("encoded message decodes");
+        assert_eq!(again, decoded);
     }
 }
 
@@ -59,20 +64,20 @@
     #![proptest_config(config())]
 
     #[test]
-    fn any_message_is_read_or_refused(bytes in message_bytes()) {
-        read_message::<RouteRequest>(&bytes);
-        read_message::<RouteFrame>(&bytes);
-        read_message::<ConfirmRequest>(&bytes);
-        read_message::<ConfirmReply>(&bytes);
-        read_message::<PermitRequest>(&bytes);
-        read_message::<PermitReply>(&bytes);
-        read_message::<TablesRequest>(&bytes);
-        read_message::<TableUpdate>(&bytes);
-        read_message::<OrderParcel>(&bytes);
+    fn any_message_decodes_or_is_rejected(bytes in message_bytes()) {
+        check_message::<RouteRequest>(&bytes);
+        check_message::<RouteFrame>(&bytes);
+        check_message::<ConfirmRequest>(&bytes);
+        check_message::<ConfirmReply>(&bytes);
+        check_message::<PermitRequest>(&bytes);
+        check_message::<PermitReply>(&bytes);
+        check_message::<TablesRequest>(&bytes);
+        check_message::<TableUpdate>(&bytes);
+        check_message::<OrderParcel>(&bytes);
     }
 
     #[test]
-    fn any_stream_of_changes_is_put_together_or_refused(
+    fn any_stream_of_deltas_decodes_or_is_rejected(
         messages in prop::collection::vec(message_bytes(), 1..6),
     ) {
         let mut decoder = DeltaDecoder::default();
@@ -81,27 +86,27 @@
                 let gone = delta.gone.clone();
                 let named: Vec<_> =
                     delta.servers.iter().map(|s| s.server.clone()).collect();
-                let whole = decoder.request(delta).expect("few servers");
-                let mut known = whole.servers.iter().map(|s| &s.server);
+                let full = decoder.request(delta).expect("server count is within the limit");
+                let mut known = full.servers.iter().map(|s| &s.server);
                 prop_assert!(
                     known.all(|s| named.contains(s) || !gone.contains(s))
                 );
             }
             if let Ok(delta) = PermitReply::decode(&**bytes) {
-                prop_assert!(decoder.reply(delta).is_some(), "few servers");
+                prop_assert!(decoder.reply(delta).is_some(), "too many servers");
             }
         }
     }
 
     #[test]
-    fn any_token_is_read_or_refused(text in "[0-9a-fx.+ -]{0,60}|.{0,40}") {
+    fn any_token_decodes_or_is_rejected(text in "[0-9a-fx.+ -]{0,60}|.{0,40}") {
         if let Some(token) = decode_token(&text) {
             prop_assert_eq!(decode_token(&encode_token(token)), Some(token));
         }
     }
 
     #[test]
-    fn every_token_arrives(
+    fn every_encoded_token_decodes(
         (number, vm, start, sequence) in any::<(u64, u64, u64, u64)>(),
     ) {
         let term = TermId { number, vm, start };
@@ -111,14 +116,14 @@
     }
 
     #[test]
-    fn any_server_message_is_read_or_refused(
+    fn any_server_message_decodes_or_is_rejected(
         text in "\\{(\"(service|token|slices|release|deadline|run|accepted|\
                  held|busy|state|age|clock|fence)\":\
                  (null|true|-?[0-9]{1,20}|\"[a-z.0-9-]{0,9}\"|\
                  \\[\\[?[0-9]{0,6},?[0-9]{0,6}\\]?\\]),?){0,9}\\}",
     ) {
-        read_json::<GrantOrder>(&text);
-        read_json::<GrantReply>(&text);
-        read_json::<RequestReport>(&text);
+        check_json::<GrantOrder>(&text);
+        check_json::<GrantReply>(&text);
+        check_json::<RequestReport>(&text);
     }
 }
