--- a/goldcrestramp-config/tests/change.rs
+++ b/goldcrestramp-config/tests/change.rs
@@ -1,5 +1,4 @@
-//! A change sent in place of the whole state, against the states
-//! themselves.
+//! Compares the result of applying changes with the full states.
 
 use std::collections::BTreeMap;
 
@@ -10,23 +9,23 @@
 use goldcrestramp_types::{CallerName, DomainName, RegionName};
 use proptest::prelude::*;
 
-/// What a ticket does to callers (weight 0: removed) and failure domains
-/// (`None`: removed).
+/// The callers of a ticket with their weights (0 removes one), and its
+/// failure domains with `lost` (`None` removes one).
 #[derive(Clone, Debug)]
-struct Plan {
+struct TicketPlan {
     callers: BTreeMap<u8, u32>,
     domains: BTreeMap<u8, Option<bool>>,
 }
 
 fn caller(number: u8) -> CallerName {
-    CallerName::new(&format!("caller-{number}")).expect("a name")
+    CallerName::new(&format!("caller-{number}")).expect("name is valid")
 }
 
 fn domain(number: u8) -> DomainName {
-    DomainName::new(&format!("domain-{number}")).expect("a name")
+    DomainName::new(&format!("domain-{number}")).expect("name is valid")
 }
 
-fn ticket(number: u64, plan: &Plan) -> ChangeTicket {
+fn ticket(number: u64, plan: &TicketPlan) -> ChangeTicket {
     let mut ticket =
         ChangeTicket { ticket: number, ..ChangeTicket::default() };
     let mut remove = RemovalList::default();
@@ -37,7 +36,7 @@
             _ => ticket.callers.push(CallerRules { name, weight }),
         }
     }
-    let region = RegionName::new("sierra").expect("a name");
+    let region = RegionName::new("sierra").expect("name is valid");
     for (name, lost) in &plan.domains {
         let (name, region) = (domain(*name), region.clone());
         match *lost {
@@ -50,14 +49,14 @@
     ChangeTicket { remove, ..ticket }
 }
 
-/// Every state of a run of tickets, the first among them.
+/// Returns the states after each accepted ticket, beginning with `base`.
 fn history(
     base: DeploymentState,
-    plans: &[(u64, Plan)],
+    plans: &[(u64, TicketPlan)],
 ) -> Vec<DeploymentState> {
     let mut states = vec![base];
     for (number, plan) in plans {
-        let last = states.last().expect("the first state");
+        let last = states.last().expect("history is not empty");
         let outcome = accept_ticket(last, &ticket(*number, plan));
         if let AcceptOutcome::Accepted(next) = outcome {
             states.push(*next);
@@ -66,12 +65,12 @@
     states
 }
 
-fn plans() -> impl Strategy<Value = Vec<(u64, Plan)>> {
+fn plans() -> impl Strategy<Value = Vec<(u64, TicketPlan)>> {
     let callers = prop::collection::btree_map(0_u8..5, 0_u32..4, 0..4);
     let lost = prop::option::of(any::<bool>());
     let domains = prop::collection::btree_map(0_u8..4, lost, 0..3);
     let plan = (callers, domains)
-        .prop_map(|(callers, domains)| Plan { callers, domains });
+        .prop_map(|(callers, domains)| TicketPlan { callers, domains });
     prop::collection::vec(plan, 0..8)
         .prop_map(|plans| (1_u64..).zip(plans).collect())
 }
@@ -84,46 +83,50 @@
         ..ProptestConfig::default()
     })]
 
+    /// A lossy change would leave a VM with rules that differ from the store.
     #[test]
-    fn a_state_and_its_change_make_the_next_state(plans in plans()) {
+    fn applying_a_change_gives_the_next_state(plans in plans()) {
         let states = history(DeploymentState::default(), &plans);
-        for (place, old) in states.iter().enumerate() {
-            for new in &states[place + 1..] {
-                let change = StateChange::between(old, new).expect("small");
-                let text = serde_json::to_vec(&change).expect("JSON");
+        for (index, old) in states.iter().enumerate() {
+            for new in &states[index + 1..] {
+                let change = StateChange::between(old, new).expect("change is small");
+                let text = serde_json::to_vec(&change).expect("change encodes as JSON");
                 let change: StateChange =
-                    serde_json::from_slice(&text).expect("a change");
+                    serde_json::from_slice(&text).expect("change decodes");
 
                 prop_assert_eq!(&change.apply(old), &Some(new.clone()));
             }
         }
     }
 
+    /// A VM that missed a ticket must detect the gap and ask for the full
+    /// state.
     #[test]
-    fn a_change_of_a_state_that_is_not_there_is_a_gap(plans in plans()) {
+    fn a_change_does_not_apply_to_other_states(plans in plans()) {
         let states = history(DeploymentState::default(), &plans);
         for pair in states.windows(2) {
             let change = StateChange::between(&pair[0], &pair[1]);
-            let change = change.expect("small");
+            let change = change.expect("change is small");
             for other in states.iter().filter(|state| **state != pair[0]) {
                 prop_assert_eq!(change.apply(other), None);
             }
         }
     }
 
-    /// A store came back with older data and took other tickets: two states
-    /// have one version, and only one of them may be changed.
+    /// A store that was restored from older data accepts other tickets, so two
+    /// states have the same version. A change applied to the wrong one would
+    /// create a state that no operator has accepted.
     #[test]
-    fn no_fork_is_changed_into_a_state_that_nobody_accepted(
+    fn a_change_never_turns_a_fork_into_an_unaccepted_state(
         shared in plans(), lost in plans(), fresh in plans(),
     ) {
-        let later = |plans: Vec<(u64, Plan)>, offset| {
+        let later = |plans: Vec<(u64, TicketPlan)>, offset| {
             let plans = plans.into_iter();
             plans.map(|(n, plan)| (100 + 2 * n + offset, plan))
                 .collect::<Vec<_>>()
         };
         let base = history(DeploymentState::default(), &shared).pop();
-        let base = base.expect("the first state");
+        let base = base.expect("history is not empty");
         let left = history(base.clone(), &later(lost, 0));
         let right = history(base, &later(fresh, 1));
         let merged =
@@ -133,19 +136,21 @@
                 continue;
             };
             for other in &right {
-                let made = change.apply(other);
+                let result = change.apply(other);
 
-                prop_assert!(made.is_none() || made == Some(merged.clone()));
+                prop_assert!(result.is_none() || result == Some(merged.clone()));
             }
         }
     }
 }
 
+/// Without the limit, a large change would cost more than the full state.
 #[test]
-fn a_change_of_very_much_is_sent_whole() {
+fn large_changes_are_sent_as_full_states() {
     let callers = |count: u32| {
         let callers = (0..count).map(|number| CallerRules {
-            name: CallerName::new(&format!("c{number:05}")).expect("a name"),
+            name: CallerName::new(&format!("c{number:05}"))
+                .expect("name is valid"),
             weight: 2,
         });
         callers.collect()
--- a/goldcrestramp-config/tests/examples.rs
+++ b/goldcrestramp-config/tests/examples.rs
@@ -1,4 +1,4 @@
-//! The files in `examples/` are read whole and are what they say.
+//! The files in `examples/` parse and contain the expected deployments.
 
 use std::path::PathBuf;
 
@@ -14,7 +14,7 @@
 }
 
 fn example(name: &str) -> ExampleDeployment {
-    read_example(&example_file(name)).expect("a deployment without faults")
+    read_example(&example_file(name)).expect("deployment parses")
 }
 
 fn state_of(example: &ExampleDeployment) -> DeploymentState {
@@ -25,7 +25,8 @@
     }
 }
 
-/// The servers of each service, in the order of the services.
+/// Returns the number of servers of each service, in the order of the
+/// services.
 fn server_counts(example: &ExampleDeployment) -> Vec<usize> {
     let servers = &example.ticket.servers;
     let services = example.ticket.services.iter();
@@ -36,7 +37,7 @@
 }
 
 #[test]
-fn the_settings_of_each_kind_of_node_are_read() {
+fn the_settings_of_all_node_kinds_parse() {
     for name in ["node-single.jsonc", "node-entry.jsonc"] {
         let settings = read_settings(&example_file(name));
 
@@ -45,7 +46,7 @@
 }
 
 #[test]
-fn the_deployments_have_their_sizes() {
+fn the_deployments_have_the_expected_sizes() {
     let cases = [
         ("tiendalista.jsonc", vec![18, 10, 8], 11, 4),
         ("ferraris.jsonc", vec![20, 11, 8], 10, 2),
@@ -62,10 +63,11 @@
 }
 
 #[test]
-fn the_tickets_are_accepted_after_the_first() {
+fn the_example_tickets_apply_to_the_example_deployment() {
     let mut state = state_of(&example("tiendalista.jsonc"));
     for name in ["ticket-drain.jsonc", "ticket-domain-lost.jsonc"] {
-        let document = read_ticket(&example_file(name)).expect("a ticket");
+        let document =
+            read_ticket(&example_file(name)).expect("ticket parses");
 
         let outcome = accept_ticket(&state, &document.ticket);
 
@@ -78,15 +80,15 @@
 }
 
 #[test]
-fn faults_of_a_deployment_are_told_at_once() {
+fn all_faults_of_a_deployment_are_reported() {
     let file = example_file("ferraris.jsonc");
-    let text = std::fs::read_to_string(file).expect("the file");
+    let text = std::fs::read_to_string(file).expect("file is readable");
     let text = text
         .replace("\"store_region\": \"piemonte\"", "\"store_region\": \"x\"")
         .replace("\"vm-torino-a-2\"", "\"vm-torino-a-1\"")
         .replace("\"downloads\", \"class\"", "\"uploads\", \"class\"");
 
-    let faults = parse_example("f.jsonc", &text).expect_err("faults");
+    let faults = parse_example("f.jsonc", &text).expect_err("text has faults");
 
     let paths: Vec<_> = faults.faults().iter().map(|f| &*f.path).collect();
     assert_eq!(paths, ["store_region", "vms[1].name", "traffic[2].service"]);
--- a/goldcrestramp-config/tests/fuzz.rs
+++ b/goldcrestramp-config/tests/fuzz.rs
@@ -1,4 +1,4 @@
-//! Any text is read or refused with every fault located, never a panic.
+//! Any text parses or is rejected with positioned faults, without a panic.
 
 use std::path::PathBuf;
 
@@ -11,7 +11,8 @@
     test_runner::{RngAlgorithm, RngSeed},
 };
 
-/// One change of a text: where, how much is cut, what is put in.
+/// One edit of a text: its index, the characters to remove and the text to
+/// insert.
 type TextEdit = (Index, usize, String);
 
 fn config() -> ProptestConfig {
@@ -27,27 +28,28 @@
 fn example(name: &str) -> String {
     let package = PathBuf::from(env!("CARGO_MANIFEST_DIR"));
     let file = package.join("../examples").join(name);
-    std::fs::read_to_string(file).expect("an example")
+    std::fs::read_to_string(file).expect("example is readable")
 }
 
 fn edits() -> impl Strategy<Value = Vec<TextEdit>> {
-    let put = "[\\[\\]{}\",:/*\\\\]|-?[0-9]{1,21}|null|\"[a-z]{0,9}\"|\n|é";
-    prop::collection::vec((any::<Index>(), 0_usize..9, put), 1..5)
+    let inserted =
+        "[\\[\\]{}\",:/*\\\\]|-?[0-9]{1,21}|null|\"[a-z]{0,9}\"|\n|é";
+    prop::collection::vec((any::<Index>(), 0_usize..9, inserted), 1..5)
 }
 
 fn edited(text: &str, edits: Vec<TextEdit>) -> String {
     let mut chars: Vec<char> = text.chars().collect();
-    for (at, cut, put) in edits {
-        let from = at.index(chars.len() + 1);
-        let to = chars.len().min(from + cut);
-        chars.splice(from..to, put.chars());
+    for (index, removed, inserted) in edits {
+        let from = index.index(chars.len() + 1);
+        let to = chars.len().min(from + removed);
+        chars.splice(from..to, inserted.chars());
     }
     chars.into_iter().collect()
 }
 
-/// Every fault stands in the text and says something.
+/// Checks that every fault has a position in the text and a message.
 fn check_faults(text: &str, faults: &FaultList) {
-    assert!(!faults.is_empty(), "refused without a fault");
+    assert!(!faults.is_empty(), "rejected without a fault");
     let lines = text.split('\n').count();
     for fault in faults.faults() {
         let line = fault.position.line;
@@ -72,12 +74,12 @@
     #![proptest_config(config())]
 
     #[test]
-    fn any_text_is_read_or_refused(text in "\\PC{0,200}|[\\[{\",:0-9}\\]]{0,90}") {
+    fn any_text_parses_or_is_rejected(text in "\\PC{0,200}|[\\[{\",:0-9}\\]]{0,90}") {
         check_all(&text);
     }
 
     #[test]
-    fn edited_settings_are_read_or_refused(edits in edits()) {
+    fn edited_settings_parse_or_are_rejected(edits in edits()) {
         check_all(&edited(&example("node-entry.jsonc"), edits));
     }
 }
@@ -86,7 +88,7 @@
     #![proptest_config(ProptestConfig { cases: 150, ..config() })]
 
     #[test]
-    fn an_edited_deployment_is_read_or_refused(edits in edits()) {
+    fn an_edited_deployment_parses_or_is_rejected(edits in edits()) {
         check_all(&edited(&example("tiendalista.jsonc"), edits));
     }
 }
--- a/goldcrestramp-config/tests/settings.rs
+++ b/goldcrestramp-config/tests/settings.rs
@@ -1,8 +1,8 @@
-//! Settings files: what is read, and every fault told at once.
+//! Settings files: defaults, and the report of all faults at once.
 
 use goldcrestramp_config::{FaultList, parse_settings};
 
-const GOOD: &str = r#"{
+const VALID: &str = r#"{
   // who this daemon is
   "deployment": "tiendalista",
   "vm": "vm-1",
@@ -15,19 +15,20 @@
   "operators": { "listen": "127.0.0.1:8082" }
 }"#;
 
-/// `GOOD` with one text put in place of another.
-fn changed(from: &str, to: &str) -> String {
-    assert!(GOOD.contains(from), "{from} stands in the fixture");
-    GOOD.replacen(from, to, 1)
+/// Returns `VALID` with the first occurrence of `from` replaced by `to`.
+fn replaced(from: &str, to: &str) -> String {
+    assert!(VALID.contains(from), "fixture contains {from}");
+    VALID.replacen(from, to, 1)
 }
 
 fn faults_of(text: &str) -> FaultList {
-    parse_settings("node.jsonc", text).expect_err("a fault")
+    parse_settings("node.jsonc", text).expect_err("text has a fault")
 }
 
 #[test]
 fn absent_fields_get_their_defaults() {
-    let settings = parse_settings("node.jsonc", GOOD).expect("good settings");
+    let settings =
+        parse_settings("node.jsonc", VALID).expect("settings parse");
 
     assert_eq!(settings.gateway_requests, 4_096);
     assert_eq!(settings.body_bytes, 1_048_576);
@@ -36,7 +37,7 @@
 }
 
 #[test]
-fn all_faults_are_told_at_once_each_at_its_place() {
+fn all_faults_are_reported_with_their_positions() {
     let text = r#"{
   /* two lines
      of comment */ "deployment": "x",
@@ -71,19 +72,19 @@
 }
 
 #[test]
-fn each_single_fault_is_found_at_its_path() {
+fn each_single_fault_has_its_path() {
     let cases = [
-        (changed("\"vm\"", "\"vm\" \"x\""), ""),
-        (changed("8081", "8080"), "peers_listen"),
-        (changed("127.0.0.1:8082", "127.0.0.1:8080"), "operators.listen"),
-        (changed("127.0.0.1:8082", "0.0.0.0:1"), "operators.token_file"),
-        (changed("127.0.0.1:8083", "127.0.0.1:8081"), "control_listen"),
-        (changed("127.0.0.1:8081", "10.0.0.1:8081"), "peers_listen"),
-        (changed("http://", "https://"), "platform_url"),
-        (changed("\"tiendalista\"", "\"\""), "deployment"),
-        (changed("{\n", "{ \"gateway_requests\": 0,\n"), "gateway_requests"),
-        (changed("{\n", "{ \"gateway_requests\": -1,\n"), "gateway_requests"),
-        (changed("{\n", "{ \"peer_tls\": [],\n"), "peer_tls"),
+        (replaced("\"vm\"", "\"vm\" \"x\""), ""),
+        (replaced("8081", "8080"), "peers_listen"),
+        (replaced("127.0.0.1:8082", "127.0.0.1:8080"), "operators.listen"),
+        (replaced("127.0.0.1:8082", "0.0.0.0:1"), "operators.token_file"),
+        (replaced("127.0.0.1:8083", "127.0.0.1:8081"), "control_listen"),
+        (replaced("127.0.0.1:8081", "10.0.0.1:8081"), "peers_listen"),
+        (replaced("http://", "https://"), "platform_url"),
+        (replaced("\"tiendalista\"", "\"\""), "deployment"),
+        (replaced("{\n", "{ \"gateway_requests\": 0,\n"), "gateway_requests"),
+        (replaced("{\n", "{ \"gateway_requests\": -1,\n"), "gateway_requests"),
+        (replaced("{\n", "{ \"peer_tls\": [],\n"), "peer_tls"),
     ];
     for (text, path) in cases {
         let faults = faults_of(&text);
@@ -94,10 +95,10 @@
 }
 
 #[test]
-fn names_that_no_certificate_can_hold_are_refused_with_tls() {
+fn names_that_are_no_dns_labels_are_rejected_with_tls() {
     let tls = r#"{ "peer_tls": { "authority_file": "a",
         "certificate_file": "b", "key_file": "c" },"#;
-    let text = changed("{\n", tls).replace("sierra-a", "sierra.a");
+    let text = replaced("{\n", tls).replace("sierra-a", "sierra.a");
 
     let faults = faults_of(&text);
 
@@ -109,7 +110,7 @@
 fn a_peers_address_must_be_reachable() {
     let tls = r#"{ "peer_tls": { "authority_file": "a",
         "certificate_file": "b", "key_file": "c" },"#;
-    let text = changed("{\n", tls).replace("127.0.0.1:8081", "0.0.0.0:8081");
+    let text = replaced("{\n", tls).replace("127.0.0.1:8081", "0.0.0.0:8081");
 
     let faults = faults_of(&text);
 
--- a/goldcrestramp-config/tests/tickets.rs
+++ b/goldcrestramp-config/tests/tickets.rs
@@ -1,4 +1,4 @@
-//! Change tickets: acceptance, every refusal at its place, the preview.
+//! Change tickets: acceptance, refusals with their paths, and the preview.
 
 use std::fmt::Write;
 
@@ -27,13 +27,13 @@
   "address": "10.0.0.2:80", "slots": 4, "connections": 120,
   "checks_fence": false }"#;
 
-fn judge(state: &DeploymentState, text: &str) -> AcceptOutcome {
-    let document = parse_ticket("t.jsonc", text).expect("a ticket");
+fn submit(state: &DeploymentState, text: &str) -> AcceptOutcome {
+    let document = parse_ticket("t.jsonc", text).expect("ticket parses");
     accept_ticket(state, &document.ticket)
 }
 
 fn accepted(state: &DeploymentState, text: &str) -> DeploymentState {
-    match judge(state, text) {
+    match submit(state, text) {
         AcceptOutcome::Accepted(next) => *next,
         other => panic!("{other:?}"),
     }
@@ -43,34 +43,34 @@
     accepted(&DeploymentState::default(), FIRST)
 }
 
-/// The refusals as `path code`, in order.
+/// Returns the refusals as `path code`, in order.
 fn refusals(text: &str) -> Vec<String> {
-    let AcceptOutcome::Refused(refusals) = judge(&first_state(), text) else {
-        panic!("{text} is refused");
+    let AcceptOutcome::Refused(refusals) = submit(&first_state(), text) else {
+        panic!("{text} was not refused");
     };
     let lines = refusals.iter();
     lines.map(|r| format!("{} {}", r.path, r.reason.code())).collect()
 }
 
 fn with_s2(number: u64, from: &str, to: &str) -> String {
-    assert!(S2.contains(from), "{from} stands in the fixture");
+    assert!(S2.contains(from), "fixture contains {from}");
     let server = S2.replacen(from, to, 1);
     format!("{{ \"ticket\": {number}, \"servers\": [{server}] }}")
 }
 
 #[test]
-fn the_same_ticket_again_changes_nothing() {
+fn a_repeated_ticket_changes_nothing() {
     let state = first_state();
-    let spaced = FIRST.replace(',', " , // again\n");
+    let reformatted = FIRST.replace(',', " , // again\n");
 
-    let outcome = judge(&state, &spaced);
+    let outcome = submit(&state, &reformatted);
 
     assert_eq!(outcome, AcceptOutcome::AcceptedAlready { version: 1 });
 }
 
 #[test]
-fn each_refusal_names_its_value() {
-    let more = r#", "domains": [{ "name": "sierra-a", "region": "costa" }],
+fn each_refusal_has_the_path_of_its_value() {
+    let invalid = r#", "domains": [{ "name": "sierra-a", "region": "costa" }],
         "services": [{ "name": "stock", "slices": 128,
           "domains": ["oriente"], "regions": ["oriente"] }] }"#;
     let cases = [
@@ -98,7 +98,7 @@
             "remove.servers[0] no-capacity",
         ),
         (
-            format!("{{ \"ticket\": 11{more}"),
+            format!("{{ \"ticket\": 11{invalid}"),
             "domains[0].region region-fixed|services[0].slices slices-fixed|\
              services[0].domains[0] missing|\
              services[0].regions[0] empty-region|\
@@ -117,16 +117,16 @@
 }
 
 #[test]
-fn refusals_are_placed_in_the_text() {
+fn refusals_have_positions_in_the_text() {
     let text = "// swap\n{ \"ticket\": 10,\n  \"servers\": [\n".to_owned()
         + &S2.replace("\"stock\"", "\"stick\"")
         + "] }";
-    let document = parse_ticket("t.jsonc", &text).expect("a ticket");
+    let document = parse_ticket("t.jsonc", &text).expect("ticket parses");
     let state = DeploymentState::default();
     let AcceptOutcome::Refused(refusals) =
         accept_ticket(&state, &document.ticket)
     else {
-        panic!("refused");
+        panic!("ticket was not refused");
     };
 
     let faults = document.locate(&refusals).to_string();
@@ -138,13 +138,13 @@
 }
 
 #[test]
-fn a_malformed_ticket_is_refused_with_all_its_faults() {
+fn all_faults_of_a_malformed_ticket_are_reported() {
     let text = r#"{ "ticket": 0, "servers": [
   { "name": "s1", "slots": 0, "weight": 2, "address": "here" }],
   "services": [{ "name": "x", "slices": 100 }],
   "callers": { }, "remove": { "vms": [] } }"#;
 
-    let faults = parse_ticket("t.jsonc", text).expect_err("faults");
+    let faults = parse_ticket("t.jsonc", text).expect_err("text has faults");
 
     insta::assert_snapshot!(faults.to_string(), @"
     t.jsonc:1:13: ticket: 0 is not within 1 to 9007199254740991
@@ -161,12 +161,13 @@
     ");
 }
 
+/// A ticket that was delayed in flight must not undo a later removal.
 #[test]
-fn a_removed_server_does_not_come_back_by_an_old_ticket() {
+fn an_old_ticket_does_not_restore_a_removed_server() {
     let remove = r#"{ "ticket": 12, "remove": { "servers": ["s2"] } }"#;
     let state = accepted(&first_state(), remove);
 
-    let outcome = judge(&state, &with_s2(11, "4", "4"));
+    let outcome = submit(&state, &with_s2(11, "4", "4"));
 
     let AcceptOutcome::Refused(refusals) = outcome else {
         panic!("{outcome:?}");
@@ -175,7 +176,7 @@
 }
 
 #[test]
-fn tickets_of_different_things_need_no_common_order() {
+fn tickets_of_different_entities_may_arrive_out_of_order() {
     let caller = |number| {
         format!(
             "{{ \"ticket\": {number}, \"callers\": \
@@ -190,7 +191,7 @@
 }
 
 #[test]
-fn the_preview_tells_what_moves_and_what_is_left() {
+fn the_preview_reports_moves_and_remaining_capacity() {
     let before = first_state();
     let drain =
         with_s2(11, "\"checks_fence\"", "\"drain\":true,\"checks_fence\"");
@@ -209,8 +210,8 @@
     ");
 }
 
-/// `servers` servers on 10 failure domains, as one ticket.
-fn fleet(servers: usize) -> String {
+/// Returns a ticket with `servers` servers in 10 failure domains.
+fn ticket_with_servers(servers: usize) -> String {
     let mut text = "{ \"ticket\": 1, \"domains\": [".to_owned();
     for n in 0..10 {
         let comma = if n == 0 { "" } else { "," };
@@ -219,7 +220,7 @@
             "{comma}{{\"name\":\"domain-{n}\",\"region\":\"r{}\"}}",
             n % 3
         )
-        .expect("a text");
+        .expect("write to a string succeeds");
     }
     text.push_str(
         "], \"services\": [{\"name\":\"stock-lookup\"}], \"servers\": [",
@@ -234,38 +235,43 @@
              \"address\":\"10.200.{high}.{low}:9000\",\"slots\":4,\
              \"connections\":120,\"checks_fence\":false}}"
         )
-        .expect("a text");
+        .expect("write to a string succeeds");
     }
     text + "] }"
 }
 
 #[test]
 fn the_servers_of_640_nodes_fit_the_store() {
-    // 37 servers on 11 VMs today: 640 VMs stand before some 2,200 servers.
-    let state = accepted(&DeploymentState::default(), &fleet(2_200));
+    // At today's ratio of 37 servers to 11 VMs, 640 VMs serve some 2,200
+    // servers.
+    let state =
+        accepted(&DeploymentState::default(), &ticket_with_servers(2_200));
 
-    let text = serde_json::to_vec(&state).expect("JSON");
+    let text = serde_json::to_vec(&state).expect("state encodes as JSON");
 
     assert!(text.len() < MAX_STATE_BYTES / 2, "{} bytes", text.len());
-    let back: DeploymentState = serde_json::from_slice(&text).expect("back");
-    assert_eq!(back, state);
+    let decoded: DeploymentState =
+        serde_json::from_slice(&text).expect("state decodes");
+    assert_eq!(decoded, state);
 }
 
 #[test]
-fn twice_that_many_servers_are_still_accepted() {
-    let state = accepted(&DeploymentState::default(), &fleet(4_500));
+fn twice_the_servers_of_640_nodes_are_accepted() {
+    let state =
+        accepted(&DeploymentState::default(), &ticket_with_servers(4_500));
 
-    let text = serde_json::to_vec(&state).expect("JSON");
+    let text = serde_json::to_vec(&state).expect("state encodes as JSON");
 
     assert!(text.len() <= MAX_STATE_BYTES, "{} bytes", text.len());
 }
 
 #[test]
-fn what_does_not_fit_the_store_is_refused_with_its_size() {
-    let outcome = judge(&DeploymentState::default(), &fleet(6_000));
+fn a_state_that_exceeds_the_store_is_refused_with_its_size() {
+    let outcome =
+        submit(&DeploymentState::default(), &ticket_with_servers(6_000));
 
     let AcceptOutcome::Refused(refusals) = outcome else {
-        panic!("refused");
+        panic!("ticket was not refused");
     };
     let RefusalReason::TooLarge { bytes, limit } = refusals[0].reason else {
         panic!("{refusals:?}");
