--- a/goldcrestramp-config/src/ticket/accept.rs
+++ b/goldcrestramp-config/src/ticket/accept.rs
@@ -39,7 +39,9 @@
 ///
 /// let text = r#"{ "ticket": 1,
 ///     "domains": [{ "name": "sierra-a", "region": "sierra" }] }"#;
-/// let ticket = parse_ticket("one.jsonc", text).expect("ticket parses").ticket;
+/// let ticket = parse_ticket("one.jsonc", text)
+///     .expect("ticket parses")
+///     .ticket;
 /// let empty = DeploymentState::default();
 /// let AcceptOutcome::Accepted(state) = accept_ticket(&empty, &ticket)
 /// else {
@@ -87,12 +89,12 @@
     ticket: &ChangeTicket,
 ) -> Vec<TicketRefusal> {
     let entities = ticket.entities().into_iter();
-    let stale = entities.filter_map(|(path, entity)| {
+    let outdated = entities.filter_map(|(path, entity)| {
         let last = state.tickets.last_for(&entity).0;
         let reason = RefusalReason::NumberTooLow { thing: entity, last };
         (ticket.ticket <= last).then_some(TicketRefusal { path, reason })
     });
-    stale.collect()
+    outdated.collect()
 }
 
 /// Returns the state with the complete ticket applied.
--- a/goldcrestramp-config/src/ticket/change.rs
+++ b/goldcrestramp-config/src/ticket/change.rs
@@ -104,7 +104,8 @@
     ///
     /// let old = DeploymentState { version: 7, ..Default::default() };
     /// let new = DeploymentState { version: 8, ..Default::default() };
-    /// let change = StateChange::between(&old, &new).expect("change is small");
+    /// let change =
+    ///     StateChange::between(&old, &new).expect("change is small");
     /// assert_eq!(change.apply(&old), Some(new.clone()));
     /// assert_eq!(change.apply(&new), None);
     /// ```
--- a/goldcrestramp-config/tests/change.rs
+++ b/goldcrestramp-config/tests/change.rs
@@ -89,8 +89,10 @@
         let states = history(DeploymentState::default(), &plans);
         for (index, old) in states.iter().enumerate() {
             for new in &states[index + 1..] {
-                let change = StateChange::between(old, new).expect("change is small");
-                let text = serde_json::to_vec(&change).expect("change encodes as JSON");
+                let change = StateChange::between(old, new)
+                    .expect("change is small");
+                let text = serde_json::to_vec(&change)
+                    .expect("change encodes as JSON");
                 let change: StateChange =
                     serde_json::from_slice(&text).expect("change decodes");
 
@@ -138,7 +140,9 @@
             for other in &right {
                 let result = change.apply(other);
 
-                prop_assert!(result.is_none() || result == Some(merged.clone()));
+                prop_assert!(
+                    result.is_none() || result == Some(merged.clone())
+                );
             }
         }
     }
--- a/goldcrestramp-wire/tests/delta.rs
+++ b/goldcrestramp-wire/tests/delta.rs
@@ -46,7 +46,9 @@
                 ..PermitRequest::default()
             };
             let delta = encoder.request(full.clone());
-            let mut decoded = decoder.request(delta).expect("server count is within the limit");
+            let mut decoded = decoder
+                .request(delta)
+                .expect("server count is within the limit");
             decoded.servers.sort_by(|a, b| a.server.cmp(&b.server));
             prop_assert_eq!(decoded, full);
         }
@@ -64,7 +66,9 @@
             let full =
                 PermitReply { permitted, orders, ..PermitReply::default() };
             let delta = encoder.reply(full.clone());
-            let mut decoded = decoder.reply(delta).expect("server count is within the limit");
+            let mut decoded = decoder
+                .reply(delta)
+                .expect("server count is within the limit");
             decoded.orders.sort_by(|a, b| a.server.cmp(&b.server));
             prop_assert_eq!(decoded, full);
         }
--- a/goldcrestramp-wire/tests/fuzz.rs
+++ b/goldcrestramp-wire/tests/fuzz.rs
@@ -86,20 +86,25 @@
                 let gone = delta.gone.clone();
                 let named: Vec<_> =
                     delta.servers.iter().map(|s| s.server.clone()).collect();
-                let full = decoder.request(delta).expect("server count is within the limit");
+                let full = decoder
+                    .request(delta)
+                    .expect("server count is within the limit");
                 let mut known = full.servers.iter().map(|s| &s.server);
                 prop_assert!(
                     known.all(|s| named.contains(s) || !gone.contains(s))
                 );
             }
             if let Ok(delta) = PermitReply::decode(&**bytes) {
-                prop_assert!(decoder.reply(delta).is_some(), "too many servers");
+                prop_assert!(
+                    decoder.reply(delta).is_some(),
+                    "too many servers"
+                );
             }
         }
     }
 
     #[test]
-    fn any_token_decodes_or_is_rejected(text in "[0-9a-fx.+ -]{0,60}|.{0,40}") {
+    fn tokens_decode_or_are_rejected(text in "[0-9a-fx.+ -]{0,60}|.{0,40}") {
         if let Some(token) = decode_token(&text) {
             prop_assert_eq!(decode_token(&encode_token(token)), Some(token));
         }
