--- a/goldcrestramp-config/src/ticket/thing.rs
+++ b/goldcrestramp-config/src/ticket/entity.rs
@@ -1,4 +1,5 @@
-//! The kinds of things that tickets touch, seen alike.
+//! The entities that tickets change: failure domains, services, servers
+//! and callers.
 
 use std::{fmt, sync::Arc};
 
@@ -6,9 +7,9 @@
 
 use crate::deployment::{CallerRules, DomainRules, ServerRules, ServiceRules};
 
-/// A kind of thing.
+/// A kind of entity.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub enum ThingKind {
+pub enum EntityKind {
     /// A failure domain.
     Domain,
     /// A service.
@@ -19,11 +20,11 @@
     Caller,
 }
 
-impl ThingKind {
+impl EntityKind {
     const ALL: [Self; 4] =
         [Self::Domain, Self::Service, Self::Server, Self::Caller];
 
-    /// The stable code in marks and messages.
+    /// Returns the stable code used in entity ids and messages.
     #[must_use]
     pub const fn code(self) -> &'static str {
         match self {
@@ -34,7 +35,7 @@
         }
     }
 
-    /// The name of the ticket's list of such things.
+    /// Returns the name of the ticket's list of such entities.
     pub(crate) const fn plural(self) -> &'static str {
         match self {
             Self::Domain => "domains",
@@ -45,75 +46,76 @@
     }
 }
 
-/// One thing by kind and name; as text `server/NAME`.
+/// Identifies an entity by kind and name; its text form is `server/NAME`.
 #[derive(
     Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize,
 )]
 #[serde(try_from = "String", into = "String")]
-pub struct ThingId {
+pub struct EntityId {
     /// Its kind.
-    pub kind: ThingKind,
+    pub kind: EntityKind,
     /// Its name.
     pub name: Arc<str>,
 }
 
-impl ThingId {
-    /// Names a thing.
+impl EntityId {
+    /// Creates the id of the entity of this kind and name.
     #[must_use]
-    pub fn new(kind: ThingKind, name: &str) -> Self {
+    pub fn new(kind: EntityKind, name: &str) -> Self {
         Self { kind, name: Arc::from(name) }
     }
 }
 
-impl fmt::Display for ThingId {
+impl fmt::Display for EntityId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}/{}", self.kind.code(), self.name)
     }
 }
 
-impl From<ThingId> for String {
-    fn from(id: ThingId) -> Self {
+impl From<EntityId> for String {
+    fn from(id: EntityId) -> Self {
         id.to_string()
     }
 }
 
-impl TryFrom<String> for ThingId {
+impl TryFrom<String> for EntityId {
     type Error = &'static str;
 
     fn try_from(text: String) -> Result<Self, Self::Error> {
-        let (code, name) = text.split_once('/').ok_or("no kind/name")?;
-        let mut kinds = ThingKind::ALL.into_iter();
+        let (code, name) =
+            text.split_once('/').ok_or("expected `kind/name`")?;
+        let mut kinds = EntityKind::ALL.into_iter();
         let kind = kinds.find(|kind| kind.code() == code);
-        Ok(Self::new(kind.ok_or("no such kind of thing")?, name))
+        Ok(Self::new(kind.ok_or("unknown kind of entity")?, name))
     }
 }
 
-/// What the four kinds have in common.
-pub(crate) trait ConfiguredThing: Clone {
-    /// The thing's kind and name.
-    fn id(&self) -> ThingId;
+/// Implemented by the rules of all four kinds of entity.
+pub(crate) trait ConfiguredEntity: Clone {
+    /// Returns the entity's kind and name.
+    fn id(&self) -> EntityId;
 }
 
-impl ConfiguredThing for DomainRules {
-    fn id(&self) -> ThingId {
-        ThingId::new(ThingKind::Domain, self.name.as_str())
+impl ConfiguredEntity for DomainRules {
+    fn id(&self) -> EntityId {
+        EntityId::new(EntityKind::Domain, self.name.as_str())
     }
 }
 
-impl ConfiguredThing for ServiceRules {
-    fn id(&self) -> ThingId {
-        ThingId::new(ThingKind::Service, self.name.as_str())
+impl ConfiguredEntity for ServiceRules {
+    fn id(&self) -> EntityId {
+        EntityId::new(EntityKind::Service, self.name.as_str())
     }
 }
 
-impl ConfiguredThing for ServerRules {
-    fn id(&self) -> ThingId {
-        ThingId::new(ThingKind::Server, self.name.as_str())
+impl ConfiguredEntity for ServerRules {
+    fn id(&self) -> EntityId {
+        EntityId::new(EntityKind::Server, self.name.as_str())
     }
 }
 
-impl ConfiguredThing for CallerRules {
-    fn id(&self) -> ThingId {
-        ThingId::new(ThingKind::Caller, self.name.as_str())
+impl ConfiguredEntity for CallerRules {
+    fn id(&self) -> EntityId {
+        EntityId::new(EntityKind::Caller, self.name.as_str())
     }
 }
