--- a/goldcrestramp-node/tests/planted.rs
+++ b/goldcrestramp-node/tests/planted.rs
@@ -10,7 +10,7 @@
 
 use goldcrestramp_node::PlantedFault;
 use goldcrestramp_standins::{
-    checker::{PromiseFigures, unlinearizable_keys},
+    checker::{GuaranteeViolations, unlinearizable_keys},
     load::{LoadPlan, LoadStream, run_load},
     server::{ServerBehaviour, ServerFaults, ServerLog, WorkTimes},
 };
@@ -32,13 +32,13 @@
 /// What the checks say of a run.
 #[derive(Clone, Copy, Debug)]
 struct RunFigures {
-    promises: PromiseFigures,
+    promises: GuaranteeViolations,
     broken_histories: usize,
 }
 
 impl RunFigures {
     fn kept(&self) -> bool {
-        self.promises.kept() && self.broken_histories == 0
+        self.promises.is_empty() && self.broken_histories == 0
     }
 }
 
@@ -73,7 +73,7 @@
         log.append(server.log());
     }
     RunFigures {
-        promises: PromiseFigures::judge(&log, &calls),
+        promises: GuaranteeViolations::count(&log, &calls),
         broken_histories: unlinearizable_keys(&calls).len(),
     }
 }
--- a/goldcrestramp-node/tests/two_domains/mod.rs
+++ b/goldcrestramp-node/tests/two_domains/mod.rs
@@ -11,7 +11,7 @@
     records::{DomainHead, DomainShard, StoreRecord, keys},
 };
 use goldcrestramp_standins::{
-    HoldEntry,
+    GrantEntry,
     platform::{PlatformStandin, live_entry},
     server::{ServerBehaviour, ServerStandin},
 };
@@ -215,7 +215,7 @@
             left.iter().flat_map(|l| right.iter().map(move |r| (l, r)));
         let same = pairs.filter(|(l, r)| l.slices.overlaps(&r.slices));
         let same: Vec<_> = same.collect();
-        let apart = |l: &HoldEntry, r: &HoldEntry| {
+        let apart = |l: &GrantEntry, r: &GrantEntry| {
             l.until <= r.from || r.until <= l.from
         };
         !same.is_empty() && same.iter().all(|(l, r)| apart(l, r))
--- a/goldcrestramp-standins/src/checker/availability.rs
+++ b/goldcrestramp-standins/src/checker/availability.rs
@@ -1,27 +1,27 @@
-//! How long a slice was served by nobody.
+//! Computes how long keys were unavailable.
 
 use goldcrestramp_types::FastMap;
 use serde::{Deserialize, Serialize};
 
 use crate::records::{AnswerCheck, CallEntry, CallOutcome, MachineTime};
 
-/// How long keys were not served, in milliseconds.
+/// How long keys were unavailable, in milliseconds.
 #[derive(
     Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize,
 )]
 pub struct UnavailableTime {
-    /// The longest single time, over all keys.
+    /// The longest single gap, over all keys.
     pub longest: u64,
-    /// The sum of such times, over all keys.
+    /// The sum of the gaps, over all keys.
     pub total: u64,
 }
 
-/// Finds how long each key was not served, from what callers received.
+/// Computes how long each key was unavailable, from the callers' records.
 ///
-/// A key is unavailable from when a caller meant to send a request that
-/// then failed, until the next answer for that key came whole, or until
-/// the last that was heard of it. Requests that were refused because the
-/// system was full or because they were malformed are none of this.
+/// A key becomes unavailable when a caller intended to send a request that
+/// then failed. It stays so until the next complete response for that key, or
+/// until the last record of the key. Requests that were refused as malformed
+/// or because of overload don't count.
 #[must_use]
 pub fn unavailable_time(calls: &[CallEntry]) -> UnavailableTime {
     let mut by_key: FastMap<(&str, &str), Vec<&CallEntry>> =
@@ -40,29 +40,29 @@
     time
 }
 
-/// The times in which one key was not served, in milliseconds.
+/// The gaps of one key, in milliseconds.
 fn gaps(calls: &[&CallEntry]) -> Vec<u64> {
     let mut gaps = Vec::new();
     let mut since: Option<MachineTime> = None;
     for call in calls {
-        let began = since.unwrap_or(call.intended).min(call.intended);
-        match judge(&call.outcome) {
-            CallVerdict::Failed => since = Some(began),
+        let start = since.unwrap_or(call.intended).min(call.intended);
+        match classify(&call.outcome) {
+            CallVerdict::Failed => since = Some(start),
             CallVerdict::Served => {
-                let began = since.take();
-                gaps.extend(began.map(|began| call.ended.millis_since(began)));
+                let start = since.take();
+                gaps.extend(start.map(|start| call.ended.millis_since(start)));
             }
             CallVerdict::Neither => {}
         }
     }
     let last = calls.last().map(|call| call.ended);
-    if let (Some(began), Some(last)) = (since, last) {
-        gaps.push(last.millis_since(began));
+    if let (Some(start), Some(last)) = (since, last) {
+        gaps.push(last.millis_since(start));
     }
     gaps
 }
 
-/// What one call says of its key.
+/// What one call shows about its key.
 #[derive(Clone, Copy, Debug)]
 enum CallVerdict {
     Served,
@@ -70,7 +70,7 @@
     Neither,
 }
 
-/// Reasons that say nothing of whether the key's owner is there.
+/// Reasons that don't show whether the key's owner is available.
 const LOAD_REASONS: [&str; 7] = [
     "bad-request",
     "unknown-service",
@@ -81,7 +81,7 @@
     "link-full",
 ];
 
-fn judge(outcome: &CallOutcome) -> CallVerdict {
+fn classify(outcome: &CallOutcome) -> CallVerdict {
     match outcome {
         CallOutcome::Done { answer: AnswerCheck::Whole { .. } } => {
             CallVerdict::Served
--- a/goldcrestramp-standins/src/checker/history.rs
+++ b/goldcrestramp-standins/src/checker/history.rs
@@ -1,10 +1,10 @@
-//! Whether each key's history could be that of one register.
+//! Checks that each key's history is linearizable as a register.
 //!
-//! An order adds one and tells the result, a lookup reads. So the moments at
-//! which the value rose follow each other, and each lies between bounds that
-//! the calls give. Taking each as early as it can be finds in one pass what
-//! a search over all orders of the calls finds in exponential time; a broken
-//! history would keep such a search busy for hours.
+//! An order adds one and returns the result; a lookup reads. The times at
+//! which the value increased are therefore ordered, and each lies between
+//! bounds that the calls give. Choosing each time as early as possible decides
+//! in one pass what a search over all orders of the calls decides in
+//! exponential time; a broken history would keep such a search busy for hours.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -12,17 +12,17 @@
 
 use crate::records::{AnswerCheck, CallEntry, CallOutcome, MachineTime};
 
-/// The time over which one operation may have taken effect.
+/// The interval in which one operation may have taken effect.
 #[derive(Clone, Copy, Debug)]
 struct EffectTime {
     sent: MachineTime,
     ended: MachineTime,
 }
 
-/// What the calls tell of one value of a key.
+/// What the calls report of one value of a key.
 #[derive(Clone, Debug, Default)]
 struct ValueClaims {
-    /// Orders that were told this result.
+    /// Orders that returned this value.
     added: Vec<EffectTime>,
     /// Lookups that read it.
     read: Vec<EffectTime>,
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug, Default)]
 struct KeyHistory {
     values: BTreeMap<u64, ValueClaims>,
-    /// When orders were sent of which no caller knows whether they ran.
+    /// Send times of the orders whose outcome no caller knows.
     open: Vec<MachineTime>,
 }
 
@@ -40,18 +40,18 @@
 #[derive(Clone, Copy, Debug)]
 struct OrderAttempts {
     sent: MachineTime,
-    /// The result, and when its caller was told.
-    told: Option<(u64, MachineTime)>,
-    /// Whether it ran for all its caller knows.
+    /// The result, and when the caller received it.
+    reported: Option<(u64, MachineTime)>,
+    /// Whether it may have run, as far as its caller knows.
     may_have_run: bool,
 }
 
-/// The keys whose history no single owner could have produced.
+/// Returns the keys whose history no single owner could have produced.
 ///
 /// All attempts of an order are one operation: it takes effect once, between
-/// the first sending and the answer, or at any later time if there was none.
-/// Requests that were told "not run" have no place in a history, so one that
-/// ran shows as a value that nobody wrote.
+/// the first send and the response, or at any later time if there was no
+/// response. Requests that were denied with "not run" are not part of a
+/// history, so one that ran shows up as a value that nobody wrote.
 #[must_use]
 pub fn unlinearizable_keys(calls: &[CallEntry]) -> Vec<String> {
     let mut by_key: FastMap<(&str, &str), Vec<&CallEntry>> =
@@ -73,8 +73,8 @@
     for call in calls {
         if call.class == RequestClass::Order {
             let order = orders.entry(&call.request);
-            order.or_insert_with(|| OrderAttempts::new(call)).note(call);
-        } else if let Some(value) = told_value(call) {
+            order.or_insert_with(|| OrderAttempts::new(call)).record(call);
+        } else if let Some(value) = reported_value(call) {
             let (sent, ended) = (call.sent, call.ended);
             let claims = history.values.entry(value).or_default();
             claims.read.push(EffectTime { sent, ended });
@@ -87,8 +87,8 @@
     history
 }
 
-/// The value that a whole answer tells.
-const fn told_value(call: &CallEntry) -> Option<u64> {
+/// The value that a complete response reports.
+const fn reported_value(call: &CallEntry) -> Option<u64> {
     match call.outcome {
         CallOutcome::Done { answer: AnswerCheck::Whole { value } } => {
             Some(value)
@@ -99,13 +99,13 @@
 
 impl OrderAttempts {
     const fn new(call: &CallEntry) -> Self {
-        Self { sent: call.sent, told: None, may_have_run: false }
+        Self { sent: call.sent, reported: None, may_have_run: false }
     }
 
-    fn note(&mut self, call: &CallEntry) {
+    fn record(&mut self, call: &CallEntry) {
         self.sent = self.sent.min(call.sent);
-        if let Some(value) = told_value(call) {
-            self.told = Some((value, call.ended));
+        if let Some(value) = reported_value(call) {
+            self.reported = Some((value, call.ended));
         }
         let denied = matches!(call.outcome, CallOutcome::NotRun { .. });
         self.may_have_run |= !denied;
@@ -115,7 +115,7 @@
 impl KeyHistory {
     fn add(&mut self, order: &OrderAttempts) {
         let sent = order.sent;
-        match order.told {
+        match order.reported {
             Some((value, ended)) => {
                 let claims = self.values.entry(value).or_default();
                 claims.added.push(EffectTime { sent, ended });
@@ -125,10 +125,10 @@
         }
     }
 
-    /// Takes each rise of the value as early as the calls allow.
+    /// Assigns each increment the earliest time that the calls allow.
     ///
-    /// Open orders differ in nothing but when they were sent, so the one
-    /// that was sent first is used first.
+    /// Open orders differ only in their send time, so the earliest is used
+    /// first.
     fn is_linearizable(&self) -> bool {
         let last = self.values.keys().next_back().copied().unwrap_or(0);
         if !self.is_possible(last) {
@@ -136,19 +136,21 @@
         }
         let mut open: VecDeque<MachineTime> =
             self.open.iter().copied().collect();
-        let mut risen = MachineTime::default();
+        let mut previous_at = MachineTime::default();
         for value in 1..=last {
-            let Some(at) = self.rise(value, risen, &mut open) else {
+            let Some(at) =
+                self.earliest_increment(value, previous_at, &mut open)
+            else {
                 return false;
             };
-            risen = at;
+            previous_at = at;
         }
         true
     }
 
-    /// Whether the value can have risen as often as the calls tell.
+    /// Whether enough orders exist for the reported values.
     ///
-    /// The first value is zero, and no two orders have the same result.
+    /// The initial value is zero, and no two orders have the same result.
     fn is_possible(&self, last: u64) -> bool {
         let added = self.values.values().map(|claims| claims.added.len());
         let unique = added.clone().all(|orders| orders <= 1);
@@ -158,11 +160,11 @@
         unique && !zero_added && last <= orders as u64
     }
 
-    /// The earliest moment at which the value can have risen to `value`.
-    fn rise(
+    /// The earliest time at which the value can have become `value`.
+    fn earliest_increment(
         &self,
         value: u64,
-        risen: MachineTime,
+        previous_at: MachineTime,
         open: &mut VecDeque<MachineTime>,
     ) -> Option<MachineTime> {
         let empty = ValueClaims::default();
@@ -172,11 +174,11 @@
             Some(order) => order.sent,
             None => open.pop_front()?,
         };
-        // What read the value before had been sent before it rose.
+        // Lookups that read the previous value were sent before the increment.
         let reads = before.read.iter().map(|read| read.sent);
-        let at = reads.fold(risen.max(sent), MachineTime::max);
-        // What was told the new value was told so after it had risen.
-        let mut told = claims.added.iter().chain(&claims.read);
-        told.all(|told| at <= told.ended).then_some(at)
+        let at = reads.fold(previous_at.max(sent), MachineTime::max);
+        // Calls that returned the new value ended after the increment.
+        let mut reported = claims.added.iter().chain(&claims.read);
+        reported.all(|reported| at <= reported.ended).then_some(at)
     }
 }
--- a/goldcrestramp-standins/src/checker/mod.rs
+++ b/goldcrestramp-standins/src/checker/mod.rs
@@ -1,7 +1,7 @@
-//! Checks after a run, from the logs of servers and callers alone.
+//! Checks after a run, based only on the logs of servers and callers.
 //!
-//! Nothing here shares code with the router: what it promised is judged by
-//! what servers executed and callers received.
+//! Nothing here shares code with the router: its guarantees are checked
+//! against what servers executed and callers received.
 
 mod availability;
 mod history;
@@ -18,27 +18,28 @@
 };
 use crate::{records::CallEntry, server::ServerLog};
 
-/// The figures of the promises; each must be zero.
+/// Counts of violated guarantees; each must be zero.
 #[derive(
     Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize,
 )]
-pub struct PromiseFigures {
+pub struct GuaranteeViolations {
     /// Non-idempotent requests that were executed more than once.
     pub doubled: u64,
-    /// Requests whose caller was told "not run" though they ran.
+    /// Requests whose caller received "not run" though they ran.
     pub not_run_but_ran: u64,
-    /// Times that two servers owned, or worked on, a slice at once.
+    /// Times when two servers owned, or worked on, a slice at once.
     pub owner_overlaps: u64,
-    /// Answers that belong to another request or key, or are corrupt.
+    /// Responses that belong to another request or key, or are corrupt.
     pub wrong_answers: u64,
-    /// Answers that were presented as whole and are not.
+    /// Responses that were delivered as complete but are truncated.
     pub cut_answers: u64,
 }
 
-impl PromiseFigures {
-    /// Judges a run by all that its servers and callers wrote down.
+impl GuaranteeViolations {
+    /// Counts the violations of a run from the records of its servers and
+    /// callers.
     #[must_use]
-    pub fn judge(servers: &ServerLog, calls: &[CallEntry]) -> Self {
+    pub fn count(servers: &ServerLog, calls: &[CallEntry]) -> Self {
         let executions = &servers.executions;
         let answers = promises::count_answers(calls);
         Self {
@@ -54,33 +55,33 @@
         }
     }
 
-    /// Whether every promise was kept.
+    /// Whether no guarantee was violated.
     #[must_use]
-    pub fn kept(&self) -> bool {
+    pub fn is_empty(&self) -> bool {
         *self == Self::default()
     }
 }
 
-/// What was written down of the requests that ran though they were denied:
-/// each call and each execution on a line, for whoever looks for the cause.
+/// Lists the records of requests that ran though they were denied: one line
+/// for each call and execution, for debugging.
 #[must_use]
 pub fn trace_denied(servers: &ServerLog, calls: &[CallEntry]) -> String {
     let denied = promises::false_not_run(&servers.executions, calls);
     let mut lines = Vec::new();
     for id in denied {
-        let told = calls.iter().filter(|call| &*call.request == id);
-        lines.extend(told.map(|call| format!("{call:?}")));
-        let ran = servers.executions.iter().filter(|e| &*e.request == id);
-        lines.extend(ran.map(|execution| format!("{execution:?}")));
+        let attempts = calls.iter().filter(|call| &*call.request == id);
+        lines.extend(attempts.map(|call| format!("{call:?}")));
+        let runs = servers.executions.iter().filter(|e| &*e.request == id);
+        lines.extend(runs.map(|execution| format!("{execution:?}")));
     }
     lines.join("\n")
 }
 
-/// Tells of every moment at which a slice had two owners, which; for
-/// finding the cause.
+/// Lists the times at which a slice had two owners, one a line, for debugging.
 #[must_use]
 pub fn trace_overlaps(servers: &ServerLog) -> String {
     let found = ownership::overlaps(servers);
-    let lines: Vec<_> = found.iter().map(|one| format!("{one:?}")).collect();
+    let lines: Vec<_> =
+        found.iter().map(|overlap| format!("{overlap:?}")).collect();
     lines.join("\n")
 }
--- a/goldcrestramp-standins/src/checker/moves.rs
+++ b/goldcrestramp-standins/src/checker/moves.rs
@@ -1,4 +1,4 @@
-//! How often slices moved, and how evenly servers worked.
+//! Counts moves of slices and measures how evenly servers worked.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    records::{ExecutionEntry, HoldEntry, MachineTime},
+    records::{ExecutionEntry, GrantEntry, MachineTime},
     server::ServerLog,
 };
 
@@ -23,7 +23,7 @@
 }
 
 /// Counts the moves after `since`; `leaving` names the servers that had a
-/// reason to give slices up.
+/// reason to release slices.
 #[must_use]
 pub fn count_moves(
     log: &ServerLog,
@@ -33,31 +33,31 @@
     let mut owners: FastMap<(&str, SliceIndex), Vec<&str>> =
         FastMap::default();
     let mut count = MoveCount::default();
-    let mut holds: Vec<&HoldEntry> = log.holds.iter().collect();
-    holds.sort_by_key(|hold| hold.from);
-    for hold in holds {
-        for slice in hold.slices.iter() {
-            let key = (&*hold.service, slice);
-            let former = owners.entry(key).or_default();
-            if former.last() == Some(&&*hold.server) {
+    let mut grants: Vec<&GrantEntry> = log.holds.iter().collect();
+    grants.sort_by_key(|grant| grant.from);
+    for grant in grants {
+        for slice in grant.slices.iter() {
+            let key = (&*grant.service, slice);
+            let previous = owners.entry(key).or_default();
+            if previous.last() == Some(&&*grant.server) {
                 continue;
             }
-            let moved = hold.from > since && !former.is_empty();
+            let moved = grant.from > since && !previous.is_empty();
             count.moved += u64::from(moved);
-            let back = former.contains(&&*hold.server);
-            let reason = former.iter().any(|name| leaving.contains(*name));
-            count.needless += u64::from(moved && back && !reason);
-            former.push(&hold.server);
+            let returned = previous.contains(&&*grant.server);
+            let reason = previous.iter().any(|name| leaving.contains(*name));
+            count.needless += u64::from(moved && returned && !reason);
+            previous.push(&grant.server);
         }
     }
     count
 }
 
-/// The work of the busiest server of a service over the mean of that
-/// service's servers, the highest over all services; 1 is even.
+/// The work of a service's busiest server divided by the mean of its servers,
+/// maximized over all services; 1 is perfectly even.
 ///
-/// Work is the time from start to end of what a server executed.
-/// `servers` tells how many there are of each service, idle ones included.
+/// Work is the time from start to end of each execution. `servers` holds the
+/// number of servers of each service, idle ones included.
 #[must_use]
 #[expect(
     clippy::cast_precision_loss,
--- a/goldcrestramp-standins/src/checker/ownership.rs
+++ b/goldcrestramp-standins/src/checker/ownership.rs
@@ -1,39 +1,39 @@
-//! One owner for each slice at any moment.
+//! Checks that each slice has at most one owner at any time.
 
 use goldcrestramp_types::{FastMap, SliceIndex};
 
 use crate::{
-    records::{ExecutionEntry, HoldEntry, MachineTime},
+    records::{ExecutionEntry, GrantEntry, MachineTime},
     server::ServerLog,
 };
 
-/// One service's slice.
+/// A service's name and one of its slices.
 type SliceKey<'a> = (&'a str, SliceIndex);
 
-/// A time over which one server held a slice.
+/// An interval in which one server held a slice.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct HeldTime<'a> {
+pub(super) struct HeldInterval<'a> {
     server: &'a str,
     from: MachineTime,
     until: MachineTime,
 }
 
-/// A moment at which a slice had two owners.
+/// A time at which a slice had two owners.
 #[expect(dead_code, reason = "its parts are read by its debug output")]
 #[derive(Clone, Copy, Debug)]
 pub(super) enum OwnerOverlap<'a> {
-    /// The second server held the slice before the first's time had ended.
-    Held(SliceIndex, HeldTime<'a>, HeldTime<'a>),
-    /// A server started work while another held the slice.
-    Foreign(&'a ExecutionEntry, HeldTime<'a>),
-    /// A server started the first work under a token that is older than
-    /// that of the second, which another server had already started.
+    /// The second server held the slice before the first's interval had ended.
+    Held(SliceIndex, HeldInterval<'a>, HeldInterval<'a>),
+    /// A server started work while another server held the slice.
+    Foreign(&'a ExecutionEntry, HeldInterval<'a>),
+    /// A server started the first execution under a token older than that of
+    /// the second, which another server had already started.
     Stale(&'a ExecutionEntry, &'a ExecutionEntry),
 }
 
 /// Finds the overlaps of ownership.
 pub(super) fn overlaps(log: &ServerLog) -> Vec<OwnerOverlap<'_>> {
-    let held = held_times(&log.holds);
+    let held = held_intervals(&log.holds);
     let worked = executions_by_slice(&log.executions);
     let mut found = Vec::new();
     for ((_, slice), times) in &held {
@@ -47,14 +47,14 @@
     found
 }
 
-/// The times of holding of each slice, in the order of their beginnings.
-fn held_times(
-    holds: &[HoldEntry],
-) -> FastMap<SliceKey<'_>, Vec<HeldTime<'_>>> {
+/// The intervals of each slice, ordered by their start.
+fn held_intervals(
+    holds: &[GrantEntry],
+) -> FastMap<SliceKey<'_>, Vec<HeldInterval<'_>>> {
     let mut held: FastMap<_, Vec<_>> = FastMap::default();
     for hold in holds {
         let server = &*hold.server;
-        let time = HeldTime { server, from: hold.from, until: hold.until };
+        let time = HeldInterval { server, from: hold.from, until: hold.until };
         for slice in hold.slices.iter() {
             held.entry((&*hold.service, slice)).or_default().push(time);
         }
@@ -65,13 +65,13 @@
     held
 }
 
-/// The times that begin before another server's have ended.
+/// The intervals that begin before another server's interval has ended.
 fn overlapping<'a>(
     slice: SliceIndex,
-    times: &[HeldTime<'a>],
+    times: &[HeldInterval<'a>],
 ) -> Vec<OwnerOverlap<'a>> {
     let mut found = Vec::new();
-    let mut latest: FastMap<&str, HeldTime<'_>> = FastMap::default();
+    let mut latest: FastMap<&str, HeldInterval<'_>> = FastMap::default();
     for time in times {
         let mut others = latest.values().filter(|o| o.server != time.server);
         let before = others.find(|other| other.until > time.from);
@@ -84,11 +84,11 @@
     found
 }
 
-/// Another server that held the slice just when this work started.
+/// Another server that held the slice when this execution started.
 fn other_holder<'a>(
-    held: &FastMap<SliceKey<'a>, Vec<HeldTime<'a>>>,
+    held: &FastMap<SliceKey<'a>, Vec<HeldInterval<'a>>>,
     entry: &ExecutionEntry,
-) -> Option<HeldTime<'a>> {
+) -> Option<HeldInterval<'a>> {
     let times = held.get(&(&*entry.service, entry.slice))?;
     let at = entry.started;
     let known = times.partition_point(|time| time.from <= at);
@@ -98,7 +98,7 @@
     other.copied()
 }
 
-/// The executions of each slice, in the order of their starts.
+/// The executions of each slice, ordered by their start.
 fn executions_by_slice(
     executions: &[ExecutionEntry],
 ) -> FastMap<SliceKey<'_>, Vec<&ExecutionEntry>> {
@@ -113,12 +113,13 @@
     worked
 }
 
-/// The starts under a token below one that another server has used.
+/// The executions under a token below one that another server has used.
 ///
-/// Tokens are compared within a failure domain, whose stewards' terms rise.
-/// Those of two domains begin at 1 each; after a move between them the
-/// times of holding tell, which was traced: the former owner's last work
-/// ended 4.2 s before the new one's first, under an equal term number.
+/// Tokens are compared within a failure domain, where the stewards' terms
+/// increase. Each domain's terms start at 1, so tokens of two domains aren't
+/// comparable; a move between domains is checked by the intervals instead. A
+/// trace confirmed this: the previous owner's last work ended 4.2 s before the
+/// new owner's first, under an equal term number.
 fn stale_tokens<'a>(
     executions: &[&'a ExecutionEntry],
 ) -> Vec<OwnerOverlap<'a>> {
--- a/goldcrestramp-standins/src/checker/promises.rs
+++ b/goldcrestramp-standins/src/checker/promises.rs
@@ -1,5 +1,5 @@
-//! Promises about single requests: at most once, true refusals, whole
-//! answers.
+//! Guarantees about single requests: at most one execution, correct denials,
+//! complete responses.
 
 use goldcrestramp_types::{FastMap, FastSet, RequestClass};
 
@@ -7,9 +7,9 @@
     AnswerCheck, CallEntry, CallOutcome, ExecutionEntry, MachineTime,
 };
 
-/// Answers that broke a promise.
+/// Counts of responses that violate a guarantee.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct BadAnswers {
+pub(super) struct BadResponses {
     pub(super) wrong: u64,
     pub(super) cut: u64,
 }
@@ -25,49 +25,50 @@
     to_count(times.values().filter(|times| **times > 1).count())
 }
 
-/// What callers were told of one request under its id.
+/// The outcomes that callers received for one request id.
 #[derive(Clone, Copy, Debug)]
-struct ToldRequest {
-    /// When an attempt was last told "not run".
+struct RequestOutcomes {
+    /// When an attempt last ended with "not run".
     denied_at: Option<MachineTime>,
-    /// Whether an attempt ended otherwise.
-    is_open: bool,
+    /// Whether an attempt ended with another outcome.
+    was_not_denied: bool,
 }
 
-/// The requests that ran though their caller was told they had not.
+/// The requests that ran though their caller received "not run".
 ///
-/// Any that started before the caller was told makes the answer false, also
-/// when it was another attempt's: the caller of a resend asks what became
-/// of its order. One that starts later may belong to an attempt that was
-/// not denied, if there was one.
+/// An execution that started before the caller received "not run" makes that
+/// outcome false, even if it belongs to another attempt: the caller of a
+/// resend asks for the outcome of its order. An execution that starts later
+/// may belong to an attempt that was not denied, if there was one.
 pub(super) fn false_not_run<'a>(
     executions: &'a [ExecutionEntry],
     calls: &[CallEntry],
 ) -> FastSet<&'a str> {
-    let mut requests: FastMap<&str, ToldRequest> = FastMap::default();
+    let mut requests: FastMap<&str, RequestOutcomes> = FastMap::default();
     for call in calls {
-        let new = ToldRequest { denied_at: None, is_open: false };
-        let told = requests.entry(&call.request).or_insert(new);
+        let new = RequestOutcomes { denied_at: None, was_not_denied: false };
+        let outcomes = requests.entry(&call.request).or_insert(new);
         if matches!(call.outcome, CallOutcome::NotRun { .. }) {
-            told.denied_at = told.denied_at.max(Some(call.ended));
+            outcomes.denied_at = outcomes.denied_at.max(Some(call.ended));
         } else {
-            told.is_open = true;
+            outcomes.was_not_denied = true;
         }
     }
     let denied = executions.iter().filter(|entry| {
-        let told = requests.get(&*entry.request);
-        told.is_some_and(|told| {
-            let before = told.denied_at.is_some_and(|at| entry.started < at);
-            before || !told.is_open
+        let outcomes = requests.get(&*entry.request);
+        outcomes.is_some_and(|outcomes| {
+            let before =
+                outcomes.denied_at.is_some_and(|at| entry.started < at);
+            before || !outcomes.was_not_denied
         })
     });
     denied.map(|entry| &*entry.request).collect()
 }
 
-/// Counts the answers that were presented as whole and are not the whole
-/// answer to the request.
-pub(super) fn count_answers(calls: &[CallEntry]) -> BadAnswers {
-    let mut bad = BadAnswers::default();
+/// Counts the responses that were delivered as complete but are not the
+/// complete response to the request.
+pub(super) fn count_answers(calls: &[CallEntry]) -> BadResponses {
+    let mut bad = BadResponses::default();
     for call in calls {
         match call.outcome {
             CallOutcome::Done { answer: AnswerCheck::Wrong } => bad.wrong += 1,
--- a/goldcrestramp-standins/src/lib.rs
+++ b/goldcrestramp-standins/src/lib.rs
@@ -1,9 +1,9 @@
 /*!
-Small stand-ins for the platform, backend servers and callers.
+In-memory stand-ins for the platform, backend servers and callers.
 
-They speak the published protocols that `goldcrestramp-platform` and
-`goldcrestramp-wire` describe, and can be made to fail. Nothing here is part
-of the product; the demo, the load tool and the tests use it.
+They implement the protocols that `goldcrestramp-platform` and
+`goldcrestramp-wire` define, and can inject faults. Nothing here is part of
+the product; the demo, the load generator and the tests use it.
 */
 
 mod answer;
@@ -18,7 +18,7 @@
     answer::{AnswerPattern, check_answer},
     listener::ListenerHandle,
     records::{
-        AnswerCheck, CallEntry, CallOutcome, ExecutionEntry, HoldEntry,
+        AnswerCheck, CallEntry, CallOutcome, ExecutionEntry, GrantEntry,
         MachineTime,
     },
 };
--- a/goldcrestramp-standins/src/listener.rs
+++ b/goldcrestramp-standins/src/listener.rs
@@ -1,11 +1,11 @@
-//! A running HTTP listener that ends when its handle is dropped.
+//! An HTTP listener that stops when its handle is dropped.
 
 use std::net::SocketAddr;
 
 use tokio::{net::TcpListener, task::JoinHandle};
 use warp::{Filter, Rejection, Reply};
 
-/// A running listener; dropping it ends the listener.
+/// A running listener; dropping it stops the listener.
 #[derive(Debug)]
 pub struct ListenerHandle {
     address: SocketAddr,
@@ -33,7 +33,7 @@
         Ok(Self { address, task })
     }
 
-    /// Where it listens.
+    /// The address that the listener is bound to.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.address
--- a/goldcrestramp-standins/src/load/call.rs
+++ b/goldcrestramp-standins/src/load/call.rs
@@ -1,4 +1,4 @@
-//! One call of a caller, from sending to outcome.
+//! One attempt of a caller, from send to outcome.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -11,16 +11,16 @@
     records::{CallEntry, CallOutcome, MachineTime},
 };
 
-/// How much longer than its deadline a caller waits for an outcome.
-const PATIENCE: Duration = Duration::from_secs(3);
+/// How long after its deadline a caller still waits for an outcome.
+const RESPONSE_GRACE: Duration = Duration::from_secs(3);
 
-/// One request as its caller wants it.
+/// One request, as its caller issues it.
 #[derive(Clone, Debug)]
-pub(super) struct CallOrder {
+pub(super) struct CallRequest {
     pub(super) service: Arc<str>,
     pub(super) class: RequestClass,
     pub(super) caller: String,
-    /// The caller's own id of the request.
+    /// The request's id, unique for its caller.
     pub(super) id: String,
     pub(super) key: Arc<str>,
     pub(super) body_bytes: usize,
@@ -29,13 +29,13 @@
     pub(super) resend: bool,
 }
 
-impl CallOrder {
-    /// The id under which servers know the request.
+impl CallRequest {
+    /// The id that servers see.
     pub(super) fn request(&self) -> String {
         format!("{}/{}", self.caller, self.id)
     }
 
-    /// The entry of an attempt that ends now.
+    /// Creates the record of an attempt that ends now.
     pub(super) fn entry(
         &self,
         sent: MachineTime,
@@ -54,70 +54,70 @@
     }
 }
 
-/// The body of an answer that is not the server's own.
+/// The body of a response that the router wrote itself.
 #[derive(Debug, Deserialize)]
 struct ProblemBody {
     reason: String,
 }
 
-/// Sends a request to the first of `targets` that takes a connection.
+/// Sends a request to the first of `targets` that accepts a connection.
 pub(super) async fn send_call(
     http: &Client,
     targets: &[SocketAddr],
-    order: &CallOrder,
+    call: &CallRequest,
 ) -> CallEntry {
     let sent = MachineTime::now();
     for target in targets {
-        match request(http, *target, order).send().await {
+        match request(http, *target, call).send().await {
             Ok(response) => {
-                let outcome = read_outcome(response, order).await;
-                return order.entry(sent, outcome);
+                let outcome = read_outcome(response, call).await;
+                return call.entry(sent, outcome);
             }
             Err(error) if error.is_connect() => {}
             Err(error) => {
                 let reason =
                     if error.is_timeout() { "silence" } else { "broken-off" };
-                return order.entry(sent, unknown(reason));
+                return call.entry(sent, unknown(reason));
             }
         }
     }
     let reason = Arc::from("no-gateway");
-    order.entry(sent, CallOutcome::NotRun { reason })
+    call.entry(sent, CallOutcome::NotRun { reason })
 }
 
 fn request(
     http: &Client,
     target: SocketAddr,
-    order: &CallOrder,
+    call: &CallRequest,
 ) -> reqwest::RequestBuilder {
-    let method = match order.class {
+    let method = match call.class {
         RequestClass::Order => Method::POST,
         RequestClass::Lookup | RequestClass::Long => Method::GET,
     };
-    let url = format!("http://{target}/v1/{}/{}", order.service, order.key);
-    let patience = Duration::from_millis(order.deadline_ms) + PATIENCE;
+    let url = format!("http://{target}/v1/{}/{}", call.service, call.key);
+    let timeout = Duration::from_millis(call.deadline_ms) + RESPONSE_GRACE;
     let mut request = http
         .request(method, url)
-        .timeout(patience)
-        .header("goldcrestramp-caller", &order.caller)
-        .header("goldcrestramp-request", &order.id)
-        .header("goldcrestramp-class", order.class.code())
-        .header("goldcrestramp-deadline-ms", order.deadline_ms);
-    if order.resend {
+        .timeout(timeout)
+        .header("goldcrestramp-caller", &call.caller)
+        .header("goldcrestramp-request", &call.id)
+        .header("goldcrestramp-class", call.class.code())
+        .header("goldcrestramp-deadline-ms", call.deadline_ms);
+    if call.resend {
         request = request.header("goldcrestramp-resend", "true");
     }
-    if order.class == RequestClass::Order {
-        request = request.body(vec![b'x'; order.body_bytes]);
+    if call.class == RequestClass::Order {
+        request = request.body(vec![b'x'; call.body_bytes]);
     }
     request
 }
 
-/// Reads what an answer says of the request.
-async fn read_outcome(response: Response, order: &CallOrder) -> CallOutcome {
+/// Reads the outcome from a response.
+async fn read_outcome(response: Response, call: &CallRequest) -> CallOutcome {
     let outcome = response.headers().get("goldcrestramp-outcome");
     let outcome = outcome.and_then(|value| value.to_str().ok());
     match outcome.map(str::to_owned).as_deref() {
-        Some("done") => read_answer(response, order).await,
+        Some("done") => read_answer(response, call).await,
         Some("not-run") => {
             CallOutcome::NotRun { reason: read_reason(response).await }
         }
@@ -128,11 +128,11 @@
     }
 }
 
-/// Reads and checks the server's answer.
-async fn read_answer(response: Response, order: &CallOrder) -> CallOutcome {
+/// Reads and checks the server's response body.
+async fn read_answer(response: Response, call: &CallRequest) -> CallOutcome {
     match response.bytes().await {
         Ok(body) => {
-            let answer = check_answer(&body, &order.request(), &order.key);
+            let answer = check_answer(&body, &call.request(), &call.key);
             CallOutcome::Done { answer }
         }
         Err(_broken) => unknown("answer-broken-off"),
--- a/goldcrestramp-standins/src/load/compare.rs
+++ b/goldcrestramp-standins/src/load/compare.rs
@@ -1,10 +1,10 @@
-//! Two saved runs side by side.
+//! Compares two saved runs.
 
 use std::{collections::BTreeSet, fmt::Write};
 
 use crate::load::report::LoadReport;
 
-/// A table of the figures of two runs, for people.
+/// Formats the figures of two runs as a table for people.
 #[must_use]
 pub fn compare_reports(before: &LoadReport, after: &LoadReport) -> String {
     let mut table = String::new();
@@ -44,7 +44,7 @@
 }
 
 fn line(table: &mut String, name: &str, one: &str, two: &str, three: &str) {
-    // Writing to a text cannot fail.
+    // Writing to a `String` cannot fail.
     let _written = writeln!(table, "{name:32} {one:>12} {two:>12} {three:>9}");
 }
 
--- a/goldcrestramp-standins/src/load/draw.rs
+++ b/goldcrestramp-standins/src/load/draw.rs
@@ -6,25 +6,26 @@
 
 use crate::load::plan::LoadStream;
 
-/// How long the hot keys stay the same.
+/// How long the set of hot keys stays the same.
 const HOT_PERIOD: Duration = Duration::from_secs(10);
 
-/// One request that is to be sent.
+/// One request to send.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) struct DrawnRequest {
-    /// When, from the start of the run.
+    /// Its time, from the start of the run.
     pub(super) at: Duration,
-    /// Which caller.
+    /// The caller's number.
     pub(super) caller: usize,
-    /// Which key.
+    /// The key's number.
     pub(super) key: usize,
 }
 
-/// Draws the requests of one stream, in the order of their arrivals.
+/// Draws the requests of one stream, in order of arrival.
 #[derive(Debug)]
 pub(super) struct StreamDraw {
     source: StdRng,
-    /// The chance of each rank or a hotter one, rising to 1.
+    /// The cumulative probability of each rank, up to 1; rank 0 is the
+    /// hottest.
     ranks: Vec<f64>,
     callers: usize,
     hot_keys: usize,
@@ -44,7 +45,7 @@
         }
     }
 
-    /// The next request; arrivals are a Poisson process.
+    /// Draws the next request; arrivals are a Poisson process.
     pub(super) fn next(&mut self) -> DrawnRequest {
         let uniform: f64 = self.source.random_range(f64::MIN_POSITIVE..1.0);
         self.at += Duration::from_secs_f64(-uniform.ln() / self.rate);
@@ -55,10 +56,10 @@
         DrawnRequest { at: self.at, caller, key: self.key_of(rank) }
     }
 
-    /// The key that has this rank at present.
+    /// Returns the key that has this rank now.
     ///
-    /// The hottest ranks go to other keys every ten seconds, as when
-    /// another shop opens or a new title arrives.
+    /// The hottest ranks move to other keys every ten seconds, as when another
+    /// shop opens or a new title arrives.
     fn key_of(&self, rank: usize) -> usize {
         if rank >= self.hot_keys {
             return rank;
@@ -69,7 +70,7 @@
     }
 }
 
-/// The cumulative chances of `count` ranks under Zipf's law.
+/// The cumulative probabilities of `count` ranks under Zipf's law.
 #[expect(
     clippy::cast_precision_loss,
     reason = "there are at most a million ranks"
--- a/goldcrestramp-standins/src/load/mod.rs
+++ b/goldcrestramp-standins/src/load/mod.rs
@@ -1,9 +1,8 @@
-//! Open-loop load: requests arrive when they arrive, however slow the
-//! answers are.
+//! An open-loop load generator: arrivals don't wait for responses.
 //!
-//! Arrivals, callers and keys follow from a seed. A latency counts from the
-//! moment at which the caller meant to send, so that a stall shows in every
-//! request that it held up.
+//! Arrivals, callers and keys are drawn from a seed. Latency is measured from
+//! the time at which the caller intended to send, so that a stall shows in
+//! every request that it delayed.
 
 mod call;
 mod compare;
--- a/goldcrestramp-standins/src/load/plot.rs
+++ b/goldcrestramp-standins/src/load/plot.rs
@@ -1,4 +1,4 @@
-//! A run over time, as an SVG picture with its faults marked.
+//! Draws a run over time as an SVG picture, with its faults marked.
 
 use plotters::prelude::*;
 
@@ -6,15 +6,15 @@
 
 /// The picture's width and height, in pixels.
 const PICTURE_SIZE: (u32, u32) = (960, 540);
-/// Room for the figures beside the axes, in pixels.
-const LABEL_ROOM: u32 = 56;
+/// Space for the labels of the axes, in pixels.
+const LABEL_AREA_SIZE: u32 = 56;
 
-/// Draws answers and other outcomes a second, and the 99th percentile of
-/// latency below; a red line marks where a fault began.
+/// Draws done and other outcomes a second, and below them the 99th percentile
+/// of latency; a red line marks the start of a fault.
 ///
 /// # Errors
 ///
-/// What the drawing library says, as text.
+/// The error of the drawing library, as text.
 pub fn plot_report(report: &LoadReport) -> Result<String, String> {
     let mut picture = String::new();
     draw_picture(&mut picture, report).map_err(|error| error.to_string())?;
@@ -40,7 +40,7 @@
     area.present()
 }
 
-/// What can go wrong while a picture is drawn.
+/// An error of the drawing library.
 type PictureError =
     DrawingAreaErrorKind<<SVGBackend<'static> as DrawingBackend>::ErrorType>;
 
@@ -72,8 +72,8 @@
     let mut chart = ChartBuilder::on(area)
         .caption(caption, ("sans-serif", 16))
         .margin(8)
-        .x_label_area_size(LABEL_ROOM / 2)
-        .y_label_area_size(LABEL_ROOM)
+        .x_label_area_size(LABEL_AREA_SIZE / 2)
+        .y_label_area_size(LABEL_AREA_SIZE)
         .build_cartesian_2d(0.0..width, 0.0..top)?;
     chart.configure_mesh().x_desc("seconds").draw()?;
     for curve in curves {
--- a/goldcrestramp-standins/src/load/report.rs
+++ b/goldcrestramp-standins/src/load/report.rs
@@ -1,4 +1,4 @@
-//! What a load run came to.
+//! The results of a load run.
 
 use std::collections::BTreeMap;
 
@@ -7,34 +7,34 @@
 
 use crate::records::{CallEntry, CallOutcome, MachineTime};
 
-/// The digits to which latencies are kept.
+/// Significant digits of recorded latencies.
 const LATENCY_DIGITS: u8 = 3;
 
-/// The longest latency that is told apart, in microseconds.
-const LATENCY_LIMIT: u64 = 3_600_000_000;
+/// The longest latency that is recorded exactly, in microseconds.
+const MAX_LATENCY_US: u64 = 3_600_000_000;
 
-/// Latencies of answered requests, in milliseconds from when the caller
-/// meant to send.
+/// Latencies of completed requests, in milliseconds from the intended send
+/// time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LatencyFigures {
-    /// Half of the requests were answered within this.
+    /// The median.
     pub p50: f64,
-    /// 99 of 100 were.
+    /// The 99th percentile.
     pub p99: f64,
-    /// 999 of 1,000 were.
+    /// The 99.9th percentile.
     pub p999: f64,
-    /// All were.
+    /// The maximum.
     pub max: f64,
 }
 
 /// One second of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SecondFigures {
-    /// Requests that were meant to be sent in it and got their answer.
+    /// Requests due in this second that completed.
     pub done: u64,
-    /// Requests that were meant to be sent in it and got another outcome.
+    /// Requests due in this second with another outcome.
     pub other: u64,
-    /// The latency of 99 of 100 answers, in milliseconds.
+    /// The 99th percentile of latency, in milliseconds.
     pub p99: f64,
 }
 
@@ -47,16 +47,16 @@
     pub second: u64,
 }
 
-/// A whole run, as it is saved.
+/// A complete run, as it is saved.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
     /// Attempts, resends included.
     pub requests: u64,
-    /// Attempts that got their answer.
+    /// Attempts that received a response.
     pub done: u64,
-    /// Attempts that were told "not run", by reason.
+    /// Attempts that ended with "not run", by reason.
     pub not_run: BTreeMap<String, u64>,
-    /// Attempts whose outcome was left open, by reason.
+    /// Attempts whose outcome is unknown, by reason.
     pub unknown: BTreeMap<String, u64>,
     /// Latencies by service.
     pub latency_ms: BTreeMap<String, LatencyFigures>,
@@ -67,7 +67,7 @@
 }
 
 impl LoadReport {
-    /// Sums up the attempts of a run.
+    /// Summarizes the attempts of a run.
     #[must_use]
     pub fn new(calls: &[CallEntry], faults: Vec<FaultMark>) -> Self {
         let mut report = Self { faults, ..Self::default() };
@@ -88,7 +88,7 @@
         report
     }
 
-    /// The share of attempts that got their answer, 0 to 1.
+    /// The share of attempts that received a response, 0 to 1.
     #[must_use]
     #[expect(clippy::cast_precision_loss, reason = "counts are small")]
     pub fn done_share(&self) -> f64 {
@@ -109,7 +109,7 @@
     }
 }
 
-/// Sums the run up by the second in which requests were meant to be sent.
+/// Groups a run by the second in which requests were due.
 fn by_second(calls: &[CallEntry]) -> Vec<SecondFigures> {
     let start = calls.iter().map(|call| call.intended).min();
     let start = start.unwrap_or_default();
@@ -140,19 +140,20 @@
     usize::try_from(at.millis_since(start) / 1_000).unwrap_or(0)
 }
 
-/// Microseconds from when a caller meant to send to the outcome.
+/// Microseconds from the intended send time to the outcome.
 const fn latency(call: &CallEntry) -> u64 {
     call.ended.as_micros().saturating_sub(call.intended.as_micros())
 }
 
-/// An empty histogram; what is above its limit is kept as the limit.
+/// Creates an empty histogram; values above its maximum are recorded as the
+/// maximum.
 ///
 /// # Panics
 ///
-/// Never: the bounds are constants that are allowed.
+/// Never: the bounds are valid constants.
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, LATENCY_LIMIT, LATENCY_DIGITS)
-        .expect("allowed bounds")
+    Histogram::new_with_bounds(1, MAX_LATENCY_US, LATENCY_DIGITS)
+        .expect("bounds are valid")
 }
 
 fn figures_of(histogram: &Histogram<u64>) -> LatencyFigures {
--- a/goldcrestramp-standins/src/load/run.rs
+++ b/goldcrestramp-standins/src/load/run.rs
@@ -1,4 +1,4 @@
-//! Carries a load plan out.
+//! Executes a load plan.
 
 use std::{
     net::SocketAddr,
@@ -19,27 +19,26 @@
 
 use crate::{
     load::{
-        call::{CallOrder, send_call},
+        call::{CallRequest, send_call},
         draw::StreamDraw,
         plan::{LoadPlan, LoadStream, PlanError},
     },
     records::{CallEntry, CallOutcome, MachineTime},
 };
 
-/// How long a caller waits before it sends an order again whose outcome it
-/// was not told.
-const RESEND_PAUSE: Duration = Duration::from_millis(500);
-/// Unused connections that are kept open to each gateway.
-const IDLE_CONNECTIONS: usize = 256;
+/// How long a caller waits before it resends an order with an unknown outcome.
+const RESEND_DELAY: Duration = Duration::from_millis(500);
+/// Idle connections that are kept open to each gateway.
+const MAX_IDLE_CONNECTIONS: usize = 256;
 
-/// Counts that change while a run goes on.
+/// Live counts of a run.
 #[derive(Debug, Default)]
 pub struct LoadProgress {
     /// Requests sent so far.
     pub sent: AtomicU64,
-    /// Of them, those that got their whole answer.
+    /// Requests that received a complete response.
     pub done: AtomicU64,
-    /// Those that got another outcome.
+    /// Requests with another outcome.
     pub other: AtomicU64,
 }
 
@@ -53,33 +52,34 @@
     }
 }
 
-/// What the tasks of one run share.
+/// State that the tasks of one run share.
 #[derive(Debug)]
 struct RunContext {
     http: Client,
     targets: Vec<SocketAddr>,
-    room: Arc<Semaphore>,
+    permits: Arc<Semaphore>,
     progress: Arc<LoadProgress>,
     calls: mpsc::UnboundedSender<CallEntry>,
 }
 
-/// Sends what the plan says; returns every attempt when all have ended.
+/// Sends the plan's requests; returns all attempts when the last has ended.
 ///
 /// # Errors
 ///
-/// A [`PlanError`] when the plan is not bounded or goes off loopback.
+/// A [`PlanError`] when the plan is not bounded or has a remote target without
+/// permission.
 pub async fn run_load(
     plan: &LoadPlan,
     progress: Arc<LoadProgress>,
 ) -> Result<Vec<CallEntry>, PlanError> {
     plan.check()?;
-    let http = Client::builder().pool_max_idle_per_host(IDLE_CONNECTIONS);
+    let http = Client::builder().pool_max_idle_per_host(MAX_IDLE_CONNECTIONS);
     let http = http.build().unwrap_or_default();
     let (calls, mut ended) = mpsc::unbounded_channel();
     let context = Arc::new(RunContext {
         http,
         targets: plan.targets.clone(),
-        room: Arc::new(Semaphore::new(plan.under_way)),
+        permits: Arc::new(Semaphore::new(plan.under_way)),
         progress,
         calls,
     });
@@ -117,7 +117,7 @@
             return;
         }
         tokio::time::sleep_until(start + drawn.at).await;
-        let order = CallOrder {
+        let call = CallRequest {
             service: Arc::clone(&service),
             class: stream.class,
             caller: format!("caller-{}", drawn.caller),
@@ -129,48 +129,48 @@
             resend: false,
         };
         let first = source.random_range(0..context.targets.len());
-        send_one(&context, order, first);
+        send_one(&context, call, first);
     }
 }
 
-/// Sends one request in a task of its own, if there is room for it.
-fn send_one(context: &Arc<RunContext>, order: CallOrder, first: usize) {
+/// Sends one request in its own task, unless too many are in flight.
+fn send_one(context: &Arc<RunContext>, call: CallRequest, first: usize) {
     context.progress.sent.fetch_add(1, Ordering::Relaxed);
-    let Ok(place) = Arc::clone(&context.room).try_acquire_owned() else {
+    let Ok(permit) = Arc::clone(&context.permits).try_acquire_owned() else {
         let reason = Arc::from("load-full");
         let outcome = CallOutcome::NotRun { reason };
-        context.note(order.entry(MachineTime::now(), outcome));
+        context.record(call.entry(MachineTime::now(), outcome));
         return;
     };
     let context = Arc::clone(context);
     tokio::spawn(async move {
-        let _place = place;
+        let _permit = permit;
         let mut targets = context.targets.clone();
         targets.rotate_left(first);
-        let entry = send_call(&context.http, &targets, &order).await;
+        let entry = send_call(&context.http, &targets, &call).await;
         let resend = wants_resend(&entry);
-        context.note(entry);
+        context.record(entry);
         if resend {
-            tokio::time::sleep(RESEND_PAUSE).await;
+            tokio::time::sleep(RESEND_DELAY).await;
             targets.rotate_left(1);
-            let order = CallOrder { resend: true, ..order };
-            let entry = send_call(&context.http, &targets, &order).await;
-            context.note(entry);
+            let call = CallRequest { resend: true, ..call };
+            let entry = send_call(&context.http, &targets, &call).await;
+            context.record(entry);
         }
     });
 }
 
-/// A caller that was not told what became of its order asks once more.
+/// Whether a caller resends: once, after an order with an unknown outcome.
 fn wants_resend(entry: &CallEntry) -> bool {
     entry.class == RequestClass::Order
         && matches!(entry.outcome, CallOutcome::Unknown { .. })
 }
 
 impl RunContext {
-    fn note(&self, entry: CallEntry) {
+    fn record(&self, entry: CallEntry) {
         self.progress.count(&entry.outcome);
         if self.calls.send(entry).is_err() {
-            log::error!("load: nobody takes the outcomes any more.");
+            log::error!("load: the receiver of outcomes is closed.");
         }
     }
 }
--- a/goldcrestramp-standins/src/platform/admin.rs
+++ b/goldcrestramp-standins/src/platform/admin.rs
@@ -1,4 +1,4 @@
-//! Calls that make the platform fail, and show what it has counted.
+//! Admin calls, which inject faults into the platform and read its counters.
 
 use goldcrestramp_platform::VmEntry;
 use warp::{Reply, http::StatusCode, reply::Response as WarpResponse};
@@ -28,13 +28,13 @@
     StatusCode::OK.into_response()
 }
 
-/// `POST /snapshot`: keeps a copy of all values.
+/// `POST /snapshot`: saves a copy of all values.
 pub(super) fn save(shared: &PlatformShared) -> WarpResponse {
     shared.state().save();
     StatusCode::OK.into_response()
 }
 
-/// `POST /restore`: puts the kept copy back.
+/// `POST /restore`: restores the saved copy.
 pub(super) fn restore(shared: &PlatformShared) -> WarpResponse {
     shared.restore();
     StatusCode::OK.into_response()
--- a/goldcrestramp-standins/src/platform/faults.rs
+++ b/goldcrestramp-standins/src/platform/faults.rs
@@ -1,10 +1,10 @@
-//! How a stand-in platform fails.
+//! The faults of a stand-in platform.
 
 use goldcrestramp_platform::VmEntry;
 use goldcrestramp_types::VmName;
 use serde::{Deserialize, Serialize};
 
-/// What the platform does with connections.
+/// How the platform treats connections.
 #[derive(
     Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize,
 )]
@@ -13,26 +13,26 @@
     /// It serves them.
     #[default]
     None,
-    /// It refuses new ones and cuts those that stand.
+    /// It refuses new ones and closes open ones.
     Refuse,
-    /// It takes them and answers nothing.
+    /// It accepts them and never responds.
     Hang,
 }
 
-/// What becomes of an answer that is lost.
+/// How the response to a write is lost.
 #[derive(
     Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum LossKind {
-    /// The connection is cut after the write took effect.
+    /// The connection is closed after the write took effect.
     #[default]
     Cut,
-    /// An intermediary answers 502 after the write took effect.
+    /// An intermediary responds with 502 after the write took effect.
     BadGateway,
 }
 
-/// Everything that is wrong with a platform at the moment.
+/// All faults of a platform that are active now.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PlatformFaults {
@@ -40,25 +40,25 @@
     pub writes_per_second: u32,
     /// Reads, watches and list calls a second; more are refused with 429.
     pub reads_per_second: u32,
-    /// How much later than usual each answer comes, in milliseconds.
+    /// The added latency of each response, in milliseconds.
     pub latency_ms: u64,
-    /// What becomes of connections.
+    /// How connections are treated.
     pub outage: OutageKind,
-    /// The answers of so many next writes are lost.
+    /// The number of next writes whose responses are lost.
     pub lose_answers: u32,
     /// How they are lost.
     pub loss: LossKind,
-    /// By how much the VM list lags, in milliseconds.
+    /// The lag of the VM list, in milliseconds.
     pub vm_lag_ms: u64,
-    /// Entries that the VM list has wrong, or that do not exist.
+    /// Entries that are wrong in the VM list, or whose VMs do not exist.
     pub vm_wrong: Vec<VmEntry>,
-    /// VMs that the list leaves out.
+    /// VMs that are missing from the list.
     pub vm_hidden: Vec<VmName>,
 }
 
 impl Default for PlatformFaults {
-    /// The service as its users have it: several hundred writes and about
-    /// two thousand reads a second, answered in milliseconds.
+    /// The service as its users know it: several hundred writes and about two
+    /// thousand reads a second, with responses within milliseconds.
     fn default() -> Self {
         Self {
             writes_per_second: 400,
--- a/goldcrestramp-standins/src/platform/listing.rs
+++ b/goldcrestramp-standins/src/platform/listing.rs
@@ -1,9 +1,9 @@
-//! The VM list's entry of a daemon.
+//! The entry of a daemon in the VM list.
 
 use goldcrestramp_config::NodeSettings;
 use goldcrestramp_platform::{VmEntry, VmState};
 
-/// The entry of a live VM whose daemon has these settings.
+/// Returns the entry of a live VM whose daemon has these settings.
 #[must_use]
 pub fn live_entry(settings: &NodeSettings) -> VmEntry {
     VmEntry {
--- a/goldcrestramp-standins/src/platform/mod.rs
+++ b/goldcrestramp-standins/src/platform/mod.rs
@@ -1,23 +1,23 @@
-//! A stand-in of the platform: key-value service and VM list, in memory.
+//! A stand-in of the platform: an in-memory key-value service and VM list.
 //!
-//! It can be made to fail in process, by the methods of
-//! [`PlatformStandin`], or over HTTP:
+//! Faults are injected in process, by the methods of [`PlatformStandin`], or
+//! over HTTP:
 //!
 //! | call | meaning |
 //! | --- | --- |
 //! | `GET /faults`, `POST /faults` | the [`PlatformFaults`] as JSON |
-//! | `POST /snapshot` | keeps a copy of all values |
-//! | `POST /restore` | puts the copy back, versions too |
+//! | `POST /snapshot` | saves a copy of all values |
+//! | `POST /restore` | restores the copy, including versions |
 //! | `GET /counts` | the [`CallTally`] as JSON |
 //! | `PUT /vms` | replaces the true VM list |
 //!
-//! These calls go to [`PlatformStandin::admin_address`], which no outage
-//! reaches.
+//! These calls are served at [`PlatformStandin::admin_address`], which no
+//! outage affects.
 
 mod admin;
 mod faults;
-mod front;
 mod listing;
+mod proxy;
 mod rates;
 mod routes;
 mod serve;
@@ -36,20 +36,19 @@
     listing::live_entry,
     rates::CallTally,
 };
-use self::{front::FrontHandle, routes::routes, shared::PlatformShared};
+use self::{proxy::ProxyHandle, routes::routes, shared::PlatformShared};
 use crate::listener::ListenerHandle;
 
-/// A running stand-in platform; the last clone to go ends it.
+/// A running stand-in platform; it stops when the last clone is dropped.
 #[derive(Clone, Debug)]
 pub struct PlatformStandin {
     shared: PlatformShared,
-    front: Arc<FrontHandle>,
+    proxy: Arc<ProxyHandle>,
     inner: Arc<ListenerHandle>,
 }
 
 impl PlatformStandin {
-    /// Binds a platform that holds nothing yet, and its admin calls to any
-    /// free port.
+    /// Binds an empty platform, and its admin calls to any free port.
     ///
     /// # Errors
     ///
@@ -59,7 +58,7 @@
         Self::bind_with_admin(address, admin).await
     }
 
-    /// Binds a platform that holds nothing yet, and its admin calls.
+    /// Binds an empty platform and its admin calls.
     ///
     /// # Errors
     ///
@@ -72,34 +71,34 @@
         let inner =
             ListenerHandle::bind(admin, routes(shared.clone())).await?;
         let outage = shared.outage.subscribe();
-        let front = FrontHandle::bind(
+        let proxy = ProxyHandle::bind(
             address,
             inner.address(),
             outage,
             &shared.cutter,
         )
         .await?;
-        Ok(Self { shared, front: Arc::new(front), inner: Arc::new(inner) })
+        Ok(Self { shared, proxy: Arc::new(proxy), inner: Arc::new(inner) })
     }
 
-    /// Where it listens.
+    /// The address of the platform's calls.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
-        self.front.address()
+        self.proxy.address()
     }
 
-    /// Where its admin calls go, also during an outage.
+    /// The address of the admin calls, reachable also during an outage.
     #[must_use]
     pub fn admin_address(&self) -> SocketAddr {
         self.inner.address()
     }
 
-    /// Replaces the true VM list; the shown one may lag or be wrong.
+    /// Replaces the true VM list; the published one may lag or be wrong.
     pub fn set_vms(&self, vms: Vec<VmEntry>) {
         self.shared.set_vms(vms);
     }
 
-    /// What is wrong with it at the moment.
+    /// The active faults.
     #[must_use]
     pub fn faults(&self) -> PlatformFaults {
         self.shared.state().faults.clone()
@@ -110,17 +109,17 @@
         self.shared.set_faults(faults);
     }
 
-    /// Keeps a copy of all values.
+    /// Saves a copy of all values.
     pub fn snapshot(&self) {
         self.shared.state().save();
     }
 
-    /// Puts the kept copy back: values and versions are the older ones.
+    /// Restores the saved copy: values and versions are the older ones.
     pub fn restore(&self) {
         self.shared.restore();
     }
 
-    /// The calls taken and refused so far.
+    /// The calls accepted and refused so far.
     #[must_use]
     pub fn counts(&self) -> CallTally {
         self.shared.state().tally
--- a/goldcrestramp-standins/src/platform/front.rs
+++ b/goldcrestramp-standins/src/platform/proxy.rs
@@ -1,7 +1,8 @@
-//! The public listener, whose connections can be refused, held or cut.
+//! A TCP proxy before the platform's listener that refuses, stalls or closes
+//! connections.
 //!
-//! It passes bytes to the listener behind it, so that a fault looks to the
-//! client as it would on the wire.
+//! It forwards bytes to the inner listener, so that the client sees a fault as
+//! it would on the network.
 
 use std::{
     net::SocketAddr,
@@ -19,92 +20,93 @@
 
 use super::faults::OutageKind;
 
-/// How long to wait before the port is bound again.
-const REBIND_EVERY: Duration = Duration::from_millis(20);
+/// The pause before the next attempt to bind the port.
+const REBIND_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The connections that stand, by the address that the inner listener
-/// sees.
-type LinkMap = Arc<Mutex<FastMap<SocketAddr, Arc<Notify>>>>;
+/// The open connections, by the address that the inner listener sees.
+type ConnectionMap = Arc<Mutex<FastMap<SocketAddr, Arc<Notify>>>>;
 
-/// What every connection needs.
+/// State that all connections share.
 #[derive(Clone, Debug)]
-struct FrontShared {
+struct ProxyShared {
     inner: SocketAddr,
     outage: watch::Receiver<OutageKind>,
-    links: LinkMap,
+    connections: ConnectionMap,
 }
 
-/// A handle by which connections are cut.
+/// A handle that closes single connections.
 #[derive(Clone, Debug)]
-pub(super) struct LinkCutter {
-    links: LinkMap,
+pub(super) struct ConnectionCutter {
+    connections: ConnectionMap,
 }
 
-impl LinkCutter {
-    /// Cuts the connection that the inner listener sees as `peer`; false
-    /// when there is none.
+impl ConnectionCutter {
+    /// Closes the connection that the inner listener sees as `peer`; false if
+    /// there is none.
     pub(super) fn cut(&self, peer: SocketAddr) -> bool {
-        let links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
-        let Some(link) = links.get(&peer) else {
+        let connections =
+            self.connections.lock().unwrap_or_else(PoisonError::into_inner);
+        let Some(connection) = connections.get(&peer) else {
             return false;
         };
-        link.notify_one();
+        connection.notify_one();
         true
     }
 }
 
-/// A running front; dropping it ends it.
+/// A running proxy; dropping it stops the proxy.
 #[derive(Debug)]
-pub(super) struct FrontHandle {
+pub(super) struct ProxyHandle {
     address: SocketAddr,
     task: JoinHandle<()>,
 }
 
-impl FrontHandle {
-    /// Binds `address` and passes connections on to `inner`.
+impl ProxyHandle {
+    /// Binds `address` and forwards connections to `inner`.
     pub(super) async fn bind(
         address: SocketAddr,
         inner: SocketAddr,
         outage: watch::Receiver<OutageKind>,
-        cutter: &LinkCutter,
+        cutter: &ConnectionCutter,
     ) -> std::io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
-        let links = Arc::clone(&cutter.links);
-        let shared = FrontShared { inner, outage, links };
+        let connections = Arc::clone(&cutter.connections);
+        let shared = ProxyShared { inner, outage, connections };
         let task = tokio::spawn(accept_all(listener, address, shared));
         Ok(Self { address, task })
     }
 
-    /// Where it listens.
+    /// The address that the proxy is bound to.
     pub(super) const fn address(&self) -> SocketAddr {
         self.address
     }
 }
 
-impl Drop for FrontHandle {
+impl Drop for ProxyHandle {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-/// A cutter that knows no connection yet.
-pub(super) fn cutter() -> LinkCutter {
-    LinkCutter { links: LinkMap::default() }
+/// Creates a cutter without connections.
+pub(super) fn cutter() -> ConnectionCutter {
+    ConnectionCutter { connections: ConnectionMap::default() }
 }
 
-/// Takes connections, except while they are refused.
+/// Accepts connections, except while they are refused.
 async fn accept_all(
     listener: TcpListener,
     address: SocketAddr,
-    shared: FrontShared,
+    shared: ProxyShared,
 ) {
     let mut outage = shared.outage.clone();
     let mut listener = Some(listener);
     loop {
         let kind = *outage.borrow_and_update();
         if kind == OutageKind::Refuse {
-            // The socket is closed: the system itself then refuses.
+            // The socket is closed, so the operating system refuses
+            // connections.
             listener = None;
             if outage.changed().await.is_err() {
                 return;
@@ -118,7 +120,7 @@
         tokio::select! {
             accepted = open.accept() => {
                 if let Ok((stream, _)) = accepted {
-                    tokio::spawn(carry(stream, shared.clone()));
+                    tokio::spawn(forward(stream, shared.clone()));
                 }
             }
             changed = outage.changed() => {
@@ -136,47 +138,53 @@
         if let Ok(listener) = TcpListener::bind(address).await {
             return listener;
         }
-        tokio::time::sleep(REBIND_EVERY).await;
+        tokio::time::sleep(REBIND_INTERVAL).await;
     }
 }
 
-/// Carries one connection until it ends, is cut or an outage begins.
-async fn carry(mut outer: TcpStream, shared: FrontShared) {
+/// Forwards one connection until it ends, is closed or an outage begins.
+async fn forward(mut outer: TcpStream, shared: ProxyShared) {
     let mut outage = shared.outage.clone();
     if *outage.borrow_and_update() != OutageKind::None {
-        hold(&mut outage).await;
+        stall(&mut outage).await;
         return;
     }
     let Ok(mut inner) = TcpStream::connect(shared.inner).await else {
         return;
     };
-    let Ok(name) = inner.local_addr() else {
+    let Ok(peer) = inner.local_addr() else {
         return;
     };
     let cut = Arc::new(Notify::new());
-    remember(&shared.links, name, Some(Arc::clone(&cut)));
-    // Without this a small answer waits for the client's next packet.
+    track(&shared.connections, peer, Some(Arc::clone(&cut)));
+    // Without this, Nagle's algorithm delays a small response until the
+    // client's next packet.
     let _best_effort = (outer.set_nodelay(true), inner.set_nodelay(true));
     tokio::select! {
         _ended = copy_bidirectional(&mut outer, &mut inner) => {}
         () = cut.notified() => {}
         _changed = outage.changed() => {}
     }
-    remember(&shared.links, name, None);
+    track(&shared.connections, peer, None);
     drop(inner);
-    hold(&mut outage).await;
+    stall(&mut outage).await;
 }
 
-/// Keeps a connection silent for as long as the platform hangs.
-async fn hold(outage: &mut watch::Receiver<OutageKind>) {
+/// Keeps a connection open without a response while the platform hangs.
+async fn stall(outage: &mut watch::Receiver<OutageKind>) {
     let _ended =
         outage.wait_for(|kind| *kind != OutageKind::Hang).await.is_ok();
 }
 
-fn remember(links: &LinkMap, name: SocketAddr, cut: Option<Arc<Notify>>) {
-    let mut links = links.lock().unwrap_or_else(PoisonError::into_inner);
+fn track(
+    connections: &ConnectionMap,
+    peer: SocketAddr,
+    cut: Option<Arc<Notify>>,
+) {
+    let mut connections =
+        connections.lock().unwrap_or_else(PoisonError::into_inner);
     match cut {
-        Some(cut) => links.insert(name, cut),
-        None => links.remove(&name),
+        Some(cut) => connections.insert(peer, cut),
+        None => connections.remove(&peer),
     };
 }
--- a/goldcrestramp-standins/src/platform/rates.rs
+++ b/goldcrestramp-standins/src/platform/rates.rs
@@ -1,4 +1,4 @@
-//! How many calls a platform takes, and has taken.
+//! Limits and counts the calls of a platform.
 
 use std::time::{Duration, Instant};
 
@@ -9,16 +9,16 @@
 /// The interval over which calls are limited.
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// What a call costs.
+/// The rate limit that a call counts against.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum CallCost {
-    /// One of the reads a second.
+    /// Counts as a read.
     Read,
-    /// One of the writes a second.
+    /// Counts as a write.
     Write,
 }
 
-/// Calls that a platform has taken and refused since its start.
+/// Calls that a platform has accepted and refused since its start.
 #[derive(
     Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize,
 )]
@@ -27,9 +27,9 @@
     pub reads: u64,
     /// Writes of a key.
     pub writes: u64,
-    /// Waiting watches.
+    /// Watches of a key.
     pub watches: u64,
-    /// Calls that take, renew or end a lease.
+    /// Calls that grant, renew or end a lease.
     pub leases: u64,
     /// Reads of the VM list.
     pub lists: u64,
@@ -37,7 +37,7 @@
     pub refused: u64,
 }
 
-/// The calls of the present second.
+/// The calls of the current one-second window.
 #[derive(Debug, Default)]
 pub(super) struct RateWindow {
     until: Option<Instant>,
@@ -46,7 +46,7 @@
 }
 
 impl RateWindow {
-    /// Counts a call; false when it is beyond the rate.
+    /// Counts a call; false if it exceeds the rate.
     pub(super) fn admit(
         &mut self,
         now: Instant,
--- a/goldcrestramp-standins/src/platform/routes.rs
+++ b/goldcrestramp-standins/src/platform/routes.rs
@@ -1,4 +1,4 @@
-//! The platform's calls as they come over HTTP.
+//! Decodes the platform's HTTP calls.
 
 use std::net::SocketAddr;
 
@@ -11,8 +11,8 @@
     admin, faults::PlatformFaults, serve::serve, shared::PlatformShared,
 };
 
-/// The largest value that the service takes, in bytes.
-const VALUE_LIMIT: u64 = 1_000_000;
+/// The largest accepted value, in bytes.
+const MAX_VALUE_BYTES: u64 = 1_000_000;
 
 /// A call to the platform.
 #[derive(Clone, Debug)]
@@ -21,7 +21,7 @@
     Read { key: String },
     /// Waits for another version of a key.
     Watch { key: String, after: u64, wait_ms: u64 },
-    /// Writes a key if it has this version (zero: no value); `None`: the
+    /// Writes a key if it has this version (zero: no value). With `None` the
     /// call named no condition.
     Write {
         key: String,
@@ -29,7 +29,7 @@
         value: Bytes,
         lease: Option<u64>,
     },
-    /// Takes a lease.
+    /// Grants a lease.
     Grant { ttl_ms: u64 },
     /// Renews a lease.
     Renew { lease: u64 },
@@ -55,7 +55,7 @@
     ttl_ms: u64,
 }
 
-/// All routes: the platform's calls, and those that make it fail.
+/// All routes: the platform's calls and the admin calls.
 pub(super) fn routes(
     shared: PlatformShared,
 ) -> impl Filter<Extract = (WarpResponse,), Error = Rejection> + Clone {
@@ -101,14 +101,14 @@
         .and(warp::query::<PutQuery>())
         .and(warp::header::optional::<String>("if-match"))
         .and(warp::header::optional::<String>("if-none-match"))
-        .and(warp::body::content_length_limit(VALUE_LIMIT))
+        .and(warp::body::content_length_limit(MAX_VALUE_BYTES))
         .and(warp::body::bytes())
         .map(decode_write)
 }
 
 #[expect(
     clippy::needless_pass_by_value,
-    reason = "warp hands its handlers values"
+    reason = "warp passes values to its handlers"
 )]
 fn decode_write(
     key: warp::path::Tail,
@@ -138,7 +138,7 @@
     grant.or(renew).unify().or(end).unify()
 }
 
-/// The calls that change what is wrong with the platform.
+/// The admin calls.
 fn admin_calls(
     with: impl Filter<
         Extract = (PlatformShared,),
--- a/goldcrestramp-standins/src/platform/serve.rs
+++ b/goldcrestramp-standins/src/platform/serve.rs
@@ -1,4 +1,4 @@
-//! What the platform does with a call, faults included.
+//! Serves the platform's calls, with its faults.
 
 use std::{
     net::SocketAddr,
@@ -18,7 +18,7 @@
     shared::PlatformShared,
 };
 
-/// Serves one call, or fails it as the faults say.
+/// Serves one call, or fails it as the faults require.
 pub(super) async fn serve(
     call: PlatformCall,
     peer: Option<SocketAddr>,
@@ -28,19 +28,19 @@
         return StatusCode::TOO_MANY_REQUESTS.into_response();
     }
     let latency = Duration::from_millis(shared.state().faults.latency_ms);
-    // Half on the way here, half on the way back: a write may so take
-    // effect after its caller has given it up.
+    // Half of the latency is before the call and half after it, so a write may
+    // take effect after its caller has timed out.
     tokio::time::sleep(latency / 2).await;
     let write = matches!(call, PlatformCall::Write { .. });
-    let response = carry_out(call, &shared).await;
+    let response = execute(call, &shared).await;
     tokio::time::sleep(latency / 2).await;
-    if write && lose_answer(&shared) {
-        return lost(peer, &shared).await;
+    if write && takes_loss(&shared) {
+        return lose_response(peer, &shared).await;
     }
     response
 }
 
-/// Counts a call; false when it is beyond the rate.
+/// Counts a call; false if it exceeds the rate.
 fn admit(call: &PlatformCall, shared: &PlatformShared) -> bool {
     let mut state = shared.state();
     let state = &mut *state;
@@ -68,10 +68,7 @@
     true
 }
 
-async fn carry_out(
-    call: PlatformCall,
-    shared: &PlatformShared,
-) -> WarpResponse {
+async fn execute(call: PlatformCall, shared: &PlatformShared) -> WarpResponse {
     match call {
         PlatformCall::Read { key } => read(&key, shared),
         PlatformCall::Watch { key, after, wait_ms } => {
@@ -117,8 +114,8 @@
     }
 }
 
-/// Answers once the key's version differs from `after`, also when it is
-/// lower: the store may have been restored.
+/// Responds once the key's version differs from `after`. A lower version
+/// counts too: the store may have been restored.
 async fn watch(
     key: &str,
     after: u64,
@@ -139,16 +136,17 @@
     }
 }
 
-/// Whether this write's answer is one of those to be lost.
-fn lose_answer(shared: &PlatformShared) -> bool {
+/// Whether the response to this write is to be lost.
+fn takes_loss(shared: &PlatformShared) -> bool {
     let mut state = shared.state();
-    let left = state.faults.lose_answers;
-    state.faults.lose_answers = left.saturating_sub(1);
-    left > 0
+    let remaining = state.faults.lose_answers;
+    state.faults.lose_answers = remaining.saturating_sub(1);
+    remaining > 0
 }
 
-/// The write stands; its caller gets no answer, or an intermediary's.
-async fn lost(
+/// Loses the response to a write that took effect: the connection is closed,
+/// or an intermediary responds.
+async fn lose_response(
     peer: Option<SocketAddr>,
     shared: &PlatformShared,
 ) -> WarpResponse {
--- a/goldcrestramp-standins/src/platform/shared.rs
+++ b/goldcrestramp-standins/src/platform/shared.rs
@@ -1,4 +1,4 @@
-//! What all calls of a stand-in platform share.
+//! State that all calls of a stand-in platform share.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -7,17 +7,17 @@
 
 use super::{
     faults::{OutageKind, PlatformFaults},
-    front::{LinkCutter, cutter},
+    proxy::{ConnectionCutter, cutter},
     state::PlatformState,
 };
 
-/// The state, and who is told of its changes.
+/// The platform's state and the channels that announce its changes.
 #[derive(Clone, Debug)]
 pub(super) struct PlatformShared {
     state: Arc<Mutex<PlatformState>>,
     pub(super) changes: watch::Sender<u64>,
     pub(super) outage: watch::Sender<OutageKind>,
-    pub(super) cutter: LinkCutter,
+    pub(super) cutter: ConnectionCutter,
 }
 
 impl PlatformShared {
@@ -43,7 +43,8 @@
     pub(super) fn set_faults(&self, faults: PlatformFaults) {
         let outage = faults.outage;
         self.state().faults = faults;
-        // Told only of a change: connections end at each one.
+        // Notifies only of a change, because every notification ends
+        // connections.
         self.outage.send_if_modified(|kind| {
             let changed = *kind != outage;
             *kind = outage;
--- a/goldcrestramp-standins/src/platform/state.rs
+++ b/goldcrestramp-standins/src/platform/state.rs
@@ -1,4 +1,4 @@
-//! What a stand-in platform keeps.
+//! The stored state of a stand-in platform.
 
 use std::{
     collections::BTreeMap,
@@ -14,8 +14,9 @@
     rates::{CallTally, RateWindow},
 };
 
-/// How long past VM lists are kept; the longest lag that can be shown.
-const LAG_LIMIT: Duration = Duration::from_mins(10);
+/// How long past VM lists are kept, which bounds the lag that can be
+/// simulated.
+const MAX_LAG: Duration = Duration::from_mins(10);
 
 /// A stored value.
 #[derive(Clone, Debug)]
@@ -25,14 +26,14 @@
     pub(super) lease: Option<u64>,
 }
 
-/// Values and the number of the last write, as of one moment.
+/// All values and the number of the last write, at one time.
 #[derive(Clone, Debug, Default)]
 struct StoreSnapshot {
     revision: u64,
     entries: BTreeMap<String, StoredEntry>,
 }
 
-/// Everything the platform keeps.
+/// The complete state of the platform.
 #[derive(Debug, Default)]
 pub(super) struct PlatformState {
     store: StoreSnapshot,
@@ -52,7 +53,7 @@
         self.store.entries.get(key)
     }
 
-    /// The version of a key; zero when it has no value.
+    /// The version of a key; zero if it has no value.
     pub(super) fn version(&mut self, key: &str) -> u64 {
         self.read(key).map_or(0, |entry| entry.version)
     }
@@ -81,7 +82,8 @@
 
     /// Grants a lease.
     pub(super) fn grant(&mut self, ttl: Duration) -> u64 {
-        // Not the store's revision: that goes back when it is restored.
+        // Lease ids don't use the store's revision, which decreases when the
+        // store is restored.
         self.granted += 1;
         let lease = self.granted;
         self.leases.insert(lease, (Instant::now() + ttl, ttl));
@@ -98,18 +100,18 @@
         true
     }
 
-    /// Ends a lease and drops the values tied to it.
+    /// Ends a lease and removes the values tied to it.
     pub(super) fn end(&mut self, lease: u64) {
         self.leases.remove(&lease);
         self.expire();
     }
 
-    /// Keeps a copy of all values.
+    /// Saves a copy of all values.
     pub(super) fn save(&mut self) {
         self.saved = self.store.clone();
     }
 
-    /// Puts the kept copy back: values and versions are the older ones.
+    /// Restores the saved copy: values and versions are the older ones.
     pub(super) fn restore(&mut self) {
         self.store = self.saved.clone();
     }
@@ -117,12 +119,12 @@
     /// Replaces the true VM list.
     pub(super) fn set_vms(&mut self, vms: Vec<VmEntry>) {
         let now = Instant::now();
-        let kept = now.checked_sub(LAG_LIMIT);
-        self.vms.retain(|(at, _)| kept.is_none_or(|kept| *at > kept));
+        let oldest = now.checked_sub(MAX_LAG);
+        self.vms.retain(|(at, _)| oldest.is_none_or(|oldest| *at > oldest));
         self.vms.push((now, vms));
     }
 
-    /// The VM list as callers see it: late, and with its wrong entries.
+    /// The VM list as callers see it: lagging, and with its wrong entries.
     pub(super) fn shown_vms(&self) -> Vec<VmEntry> {
         let lag = Duration::from_millis(self.faults.vm_lag_ms);
         let now = Instant::now();
@@ -136,7 +138,7 @@
         vms
     }
 
-    /// Drops leases that have ended, and the values tied to them.
+    /// Removes expired leases and the values tied to them.
     fn expire(&mut self) {
         let now = Instant::now();
         self.leases.retain(|_, (until, _)| *until > now);
--- a/goldcrestramp-standins/src/records.rs
+++ b/goldcrestramp-standins/src/records.rs
@@ -1,4 +1,4 @@
-//! What servers and callers write down, for the checks after a run.
+//! Records that servers and callers keep, for the checks after a run.
 
 use std::sync::Arc;
 
@@ -8,9 +8,9 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// A moment of the machine's clock, which all its processes share.
+/// A time of the machine's monotonic clock, which all its processes share.
 ///
-/// It orders what different servers wrote down, as long as they ran on one
+/// It orders the records of different servers, provided that they ran on one
 /// machine. The router never sees it.
 #[derive(
     Clone,
@@ -29,13 +29,13 @@
 pub struct MachineTime(u64);
 
 impl MachineTime {
-    /// The present moment.
+    /// The current time.
     #[must_use]
     pub fn now() -> Self {
         Self(MonotonicClock.now().as_micros())
     }
 
-    /// The moment so many microseconds after the clock's start.
+    /// The time `micros` microseconds after the clock's start.
     #[must_use]
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
@@ -47,21 +47,21 @@
         self.0
     }
 
-    /// Milliseconds from `earlier` to here; zero if it is later.
+    /// Milliseconds from `earlier` to this time; zero if `earlier` is later.
     #[must_use]
     pub const fn millis_since(self, earlier: Self) -> u64 {
         self.0.saturating_sub(earlier.0) / 1_000
     }
 }
 
-/// One execution, as the server itself saw it.
+/// One execution of a request, as the server recorded it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ExecutionEntry {
     /// The server.
     pub server: Arc<str>,
     /// The server's failure domain.
     pub domain: Arc<str>,
-    /// The server's run.
+    /// The server's instance id.
     pub run: u64,
     /// The request's id, `caller/request`.
     pub request: Arc<str>,
@@ -71,19 +71,19 @@
     pub key: Arc<str>,
     /// The slice of the key.
     pub slice: SliceIndex,
-    /// The class.
+    /// The request's class.
     pub class: RequestClass,
-    /// The token under which it was sent.
+    /// The fencing token that the request carried.
     pub token: FenceToken,
     /// When it started.
     pub started: MachineTime,
-    /// When it ended; absent while it runs and after a loss.
+    /// When it ended; absent while it runs and after a server loss.
     pub ended: Option<MachineTime>,
 }
 
-/// A time over which a server held the same slices.
+/// An interval in which a server held one set of slices.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct HoldEntry {
+pub struct GrantEntry {
     /// The server.
     pub server: Arc<str>,
     /// The service of the slices.
@@ -92,65 +92,65 @@
     pub slices: SliceSet,
     /// The token of the grant.
     pub token: FenceToken,
-    /// When it began to hold them.
+    /// When the server started to hold them.
     pub from: MachineTime,
-    /// When it no longer held just these.
+    /// When the server stopped holding exactly these slices.
     pub until: MachineTime,
 }
 
-/// What a caller was told of one of its attempts.
+/// The outcome that a caller received for one attempt.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "outcome")]
 pub enum CallOutcome {
-    /// An answer came that was presented as whole.
+    /// A response arrived that was delivered as complete.
     Done {
-        /// What the caller found on looking at it.
+        /// The result of checking its body.
         answer: AnswerCheck,
     },
-    /// It was told that the request did not run.
+    /// The caller was told that the request did not run.
     NotRun {
         /// The reason's code.
         reason: Arc<str>,
     },
-    /// It was told that the request may have run, or heard nothing.
+    /// The caller was told that the request may have run, or received nothing.
     Unknown {
         /// The reason's code.
         reason: Arc<str>,
     },
 }
 
-/// What a caller finds when it looks at an answer.
+/// The result of checking a response body.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "check")]
 pub enum AnswerCheck {
-    /// Every byte is as it must be.
+    /// Every byte is as expected.
     Whole {
-        /// The value of the key that the answer tells.
+        /// The value of the key that the body reports.
         value: u64,
     },
-    /// It is the beginning of the right answer.
+    /// It is a prefix of the expected body.
     Cut,
-    /// It is not the answer to this request.
+    /// It is not the response to this request.
     Wrong,
 }
 
 /// One attempt of a caller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CallEntry {
-    /// The request's id, `caller/request`; equal in a resend.
+    /// The request's id, `caller/request`; the same in a resend.
     pub request: Arc<str>,
     /// The service.
     pub service: Arc<str>,
     /// The key.
     pub key: Arc<str>,
-    /// The class.
+    /// The request's class.
     pub class: RequestClass,
-    /// When the caller meant to send it.
+    /// When the caller intended to send it.
     pub intended: MachineTime,
     /// When it was sent.
     pub sent: MachineTime,
     /// When the outcome was known.
     pub ended: MachineTime,
-    /// What the caller was told.
+    /// The outcome that the caller received.
     pub outcome: CallOutcome,
 }
--- a/goldcrestramp-standins/src/server/behaviour.rs
+++ b/goldcrestramp-standins/src/server/behaviour.rs
@@ -1,38 +1,38 @@
-//! How a stand-in server behaves while nothing is wrong with it.
+//! The normal behaviour of a stand-in server.
 
 use goldcrestramp_types::RequestClass;
 use rand::{Rng, rngs::StdRng};
 use serde::{Deserialize, Serialize};
 
-/// How a stand-in server behaves.
+/// The configuration of a stand-in server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ServerBehaviour {
-    /// Its name, for its log.
+    /// Its name in the log.
     pub name: String,
-    /// Its failure domain, for its log.
+    /// Its failure domain in the log.
     pub domain: String,
-    /// Whether it refuses old tokens.
+    /// Whether it rejects old fencing tokens.
     pub checks_fence: bool,
-    /// How many requests it runs at once.
+    /// How many requests it runs concurrently.
     pub slots: usize,
-    /// How many requests may wait for a slot; more are refused.
+    /// The length of the queue for a slot; further requests are refused.
     pub queue: usize,
-    /// How long each class takes.
+    /// The processing time of each class.
     pub work: WorkTimes,
-    /// The seed of everything that is drawn.
+    /// The seed of all random draws.
     pub seed: u64,
-    /// Bytes of a short answer after its line.
+    /// Bytes of a short response after its line.
     pub short_bytes: usize,
-    /// Bytes of a long answer after its line.
+    /// Bytes of a long response after its line.
     pub long_bytes: usize,
-    /// Parts in which a long answer is sent.
+    /// The number of parts in which a long response is sent.
     pub long_parts: usize,
-    /// How long a newly gained slice is slow, in milliseconds.
+    /// How long a newly gained slice is cold, in milliseconds.
     pub cold_ms: u64,
-    /// How slow it is then, in percent of the usual time.
+    /// The processing time of a cold slice, in percent of the typical time.
     pub cold_percent: u64,
-    /// How far the health and load endpoints lag, in milliseconds.
+    /// The lag of the health and load endpoints, in milliseconds.
     pub lag_ms: u64,
 }
 
@@ -56,7 +56,7 @@
     }
 }
 
-/// The mean time that a request of each class takes, in milliseconds.
+/// The mean processing time of each class, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct WorkTimes {
@@ -66,7 +66,7 @@
     pub order_ms: f64,
     /// An export or a download, from first to last byte.
     pub long_ms: f64,
-    /// Whether times vary around the mean.
+    /// Whether times are random around the mean.
     pub varied: bool,
 }
 
@@ -77,7 +77,7 @@
 }
 
 impl WorkTimes {
-    /// Exactly so many milliseconds for every request.
+    /// The same fixed time for every request, in milliseconds.
     #[must_use]
     pub fn fixed(millis: u64) -> Self {
         let millis = u32::try_from(millis).unwrap_or(u32::MAX).into();
@@ -89,10 +89,10 @@
         }
     }
 
-    /// Draws the time of one request, in milliseconds.
+    /// Draws the processing time of one request, in milliseconds.
     ///
-    /// Half of the mean is fixed and half exponentially distributed, so
-    /// that some requests take several times the mean, as real ones do.
+    /// Half of the mean is fixed and half exponentially distributed, so that
+    /// some requests take several times the mean, as in production.
     pub fn draw(&self, class: RequestClass, source: &mut StdRng) -> f64 {
         let mean = match class {
             RequestClass::Lookup => self.lookup_ms,
--- a/goldcrestramp-standins/src/server/faults.rs
+++ b/goldcrestramp-standins/src/server/faults.rs
@@ -1,30 +1,33 @@
-//! What is wrong with a stand-in server, on purpose.
+//! Injected faults of a stand-in server.
 
 use serde::{Deserialize, Serialize};
 
-/// What is wrong with a server; `POST /faults` replaces it all.
+/// The active faults of a server; `POST /faults` replaces them all.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ServerFaults {
-    /// How long work takes, in percent of the usual time.
+    /// The processing time, in percent of the typical time.
     pub slow_percent: u64,
-    /// How many of a hundred requests are refused before they start.
+    /// The percentage of requests that are refused before they start.
     pub shed_percent: u32,
-    /// Leaving: every new request is refused before it starts.
+    /// Whether the server drains: every new request is refused before it
+    /// starts.
     pub draining: bool,
-    /// Runs whatever arrives, whatever its token, grant and deadline.
+    /// Whether it runs every request, regardless of token, grant and deadline.
     pub ignores_fence: bool,
-    /// What the health endpoint says in place of the truth.
+    /// The health that is reported in place of the true one.
     pub health_lie: Option<bool>,
-    /// The busy slots that the load endpoint tells in place of the truth.
+    /// The busy slots that are reported in place of the true number.
     pub load_lie: Option<usize>,
-    /// So many next answers are those of the request before.
+    /// The number of next responses that are replaced by the previous
+    /// request's.
     pub crossed: u32,
-    /// So many next answers break off half way.
+    /// The number of next responses that break off half way.
     pub truncated: u32,
-    /// So many next answers end half way as if they were whole.
+    /// The number of next responses that end half way as if they were
+    /// complete.
     pub shortened: u32,
-    /// So many next answers are sent twice in one body.
+    /// The number of next responses that are sent twice in one body.
     pub doubled: u32,
 }
 
@@ -45,21 +48,21 @@
     }
 }
 
-/// What is wrong with one answer.
+/// The fault of one response.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum AnswerFault {
-    /// It is the answer before.
+    /// It is the previous response.
     Crossed,
     /// It breaks off.
     Truncated,
-    /// It ends early, as if whole.
+    /// It ends early, as if complete.
     Shortened,
-    /// It comes twice.
+    /// It is sent twice.
     Doubled,
 }
 
 impl ServerFaults {
-    /// Takes the fault of the next answer, if it is to have one.
+    /// Takes the fault of the next response, if there is one.
     pub(super) const fn next_answer(&mut self) -> Option<AnswerFault> {
         if take_one(&mut self.crossed) {
             return Some(AnswerFault::Crossed);
@@ -77,9 +80,9 @@
     }
 }
 
-/// Counts one down; tells whether one was left.
+/// Decrements a count; returns whether it was above zero.
 const fn take_one(count: &mut u32) -> bool {
-    let left = *count > 0;
+    let had_any = *count > 0;
     *count = count.saturating_sub(1);
-    left
+    had_any
 }
--- a/goldcrestramp-standins/src/server/order.rs
+++ b/goldcrestramp-standins/src/server/headers.rs
@@ -1,4 +1,4 @@
-//! One request as a keeper sends it.
+//! A request as a keeper sends it.
 
 use std::sync::Arc;
 
@@ -9,9 +9,9 @@
 };
 use warp::http::HeaderMap;
 
-/// What the headers of a request say.
+/// The headers of a request.
 #[derive(Clone, Debug)]
-pub(super) struct RunOrder {
+pub(super) struct RunRequest {
     pub(super) request: Arc<str>,
     pub(super) service: Arc<str>,
     pub(super) key: Arc<str>,
@@ -22,7 +22,7 @@
     pub(super) deadline: Option<ServerTime>,
 }
 
-impl RunOrder {
+impl RunRequest {
     /// Reads the headers; `None` if one is missing or malformed.
     pub(super) fn read(headers: &HeaderMap) -> Option<Self> {
         let text = |name| headers.get(name)?.to_str().ok();
@@ -41,7 +41,7 @@
     }
 }
 
-/// Undoes the percent encoding of a key or a request's id.
+/// Decodes the percent encoding of a key or of a request's id.
 pub(super) fn decode(text: &str) -> String {
     let mut parts = text.split('%');
     let mut decoded = parts.next().unwrap_or_default().to_owned();
--- a/goldcrestramp-standins/src/server/log.rs
+++ b/goldcrestramp-standins/src/server/log.rs
@@ -1,4 +1,4 @@
-//! A server's own log of what it executed and held.
+//! A server's own log of its executions and grants.
 
 use std::{
     fs::{File, OpenOptions},
@@ -8,29 +8,29 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::records::{ExecutionEntry, HoldEntry, MachineTime};
+use crate::records::{ExecutionEntry, GrantEntry, MachineTime};
 
 /// One line of a log file; a later line with the same index replaces it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 enum LogLine {
     Execution { index: usize, entry: ExecutionEntry },
-    Hold { index: usize, entry: HoldEntry },
+    Hold { index: usize, entry: GrantEntry },
 }
 
-/// What one server, or several, executed and held.
+/// The executions and grants of one server, or of several.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ServerLog {
-    /// Executions, in the order of their starts.
+    /// Executions, in order of their start.
     pub executions: Vec<ExecutionEntry>,
-    /// Times of holding, in the order of their beginnings.
-    pub holds: Vec<HoldEntry>,
+    /// Grants, in order of their start.
+    pub holds: Vec<GrantEntry>,
 }
 
 impl ServerLog {
     /// Reads the log file of a server that may have been killed.
     ///
-    /// A last line that was not written whole is passed over.
+    /// An incomplete last line is skipped.
     ///
     /// # Errors
     ///
@@ -52,14 +52,14 @@
         Ok(log)
     }
 
-    /// Adds what another server wrote down.
+    /// Appends the log of another server.
     pub fn append(&mut self, mut other: Self) {
         self.executions.append(&mut other.executions);
         self.holds.append(&mut other.holds);
     }
 }
 
-/// Replaces the entry at `index`, or adds it at the end.
+/// Replaces the entry at `index`, or appends it.
 fn put<T>(entries: &mut Vec<T>, index: usize, entry: T) {
     match entries.get_mut(index) {
         Some(old) => *old = entry,
@@ -67,7 +67,7 @@
     }
 }
 
-/// Writes a [`ServerLog`], in memory and to a file if there is one.
+/// Records a [`ServerLog`] in memory, and in a file if there is one.
 #[derive(Debug, Default)]
 pub(super) struct LogWriter {
     log: ServerLog,
@@ -75,7 +75,7 @@
 }
 
 impl LogWriter {
-    /// A log that is also written to `path`.
+    /// Opens a log that is also written to `path`.
     pub(super) fn open(path: &Path) -> std::io::Result<Self> {
         let file = OpenOptions::new().create(true).append(true).open(path)?;
         Ok(Self { log: ServerLog::default(), file: Some(file) })
@@ -85,7 +85,7 @@
         &self.log
     }
 
-    /// Writes down a start; returns its number for [`Self::ended`].
+    /// Records a start; returns its index for [`Self::ended`].
     pub(super) fn started(&mut self, entry: ExecutionEntry) -> usize {
         let index = self.log.executions.len();
         self.log.executions.push(entry);
@@ -93,17 +93,17 @@
         index
     }
 
-    /// Writes down the end of a start.
+    /// Records the end of an execution.
     pub(super) fn ended(&mut self, index: usize, now: MachineTime) {
         self.log.executions[index].ended = Some(now);
         self.write_execution(index);
     }
 
-    /// Writes down what the server holds from now on.
+    /// Records what the server holds from now on.
     ///
-    /// An extension of the same slices lengthens the entry that there is,
-    /// if it came before that one's end.
-    pub(super) fn holds(&mut self, entry: HoldEntry) {
+    /// An extension of the same slices extends the existing entry, if it came
+    /// before that entry's end.
+    pub(super) fn holds(&mut self, entry: GrantEntry) {
         let now = entry.from;
         if let Some(last) = self.log.holds.last_mut() {
             let same = last.slices == entry.slices
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Writes down that the server is gone, and holds nothing any more.
+    /// Records that the server is lost and holds nothing any more.
     pub(super) fn close(&mut self, now: MachineTime) {
         if let Some(last) = self.log.holds.last_mut() {
             last.until = last.until.min(now);
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Writes a line at once, so that a kill loses nothing before it.
+    /// Writes a line immediately, so that a kill loses no earlier line.
     fn write_line(&mut self, line: &LogLine) {
         let Some(file) = &mut self.file else {
             return;
--- a/goldcrestramp-standins/src/server/mod.rs
+++ b/goldcrestramp-standins/src/server/mod.rs
@@ -1,13 +1,14 @@
-//! A stand-in of a backend server: takes fenced grants, runs requests.
+//! A stand-in of a backend server, which accepts fenced grants and runs
+//! requests.
 //!
-//! Each request takes a slot for a time that is drawn from a seed, reads or
-//! increments the value of its key, and is answered by bytes that can be
-//! checked. The server writes down what it held and executed.
+//! Each request occupies a slot for a time that is drawn from a seed, reads or
+//! increments the value of its key, and gets a response whose bytes can be
+//! verified. The server logs what it held and executed.
 
 mod behaviour;
 mod faults;
+mod headers;
 mod log;
-mod order;
 mod requests;
 mod routes;
 mod run;
@@ -42,7 +43,7 @@
 }
 
 impl ServerStandin {
-    /// Binds a server that holds nothing yet and shares no storage.
+    /// Binds a server without grants and with storage of its own.
     ///
     /// # Errors
     ///
@@ -55,12 +56,12 @@
         Self::bind_with(address, behaviour, storage, None).await
     }
 
-    /// Binds a server whose keys are stored in `storage`, and which writes
-    /// its log to a file too if one is given.
+    /// Binds a server whose keys are stored in `storage`. It also writes its
+    /// log to a file if one is given.
     ///
     /// # Errors
     ///
-    /// The system's error when the address cannot be bound or the file not
+    /// The system's error when the address cannot be bound or the file cannot
     /// be opened.
     pub async fn bind_with(
         address: SocketAddr,
@@ -82,36 +83,36 @@
         Ok(Self { shared, address, listener: Mutex::new(Some(listener)) })
     }
 
-    /// Where it listens.
+    /// The address that the server is bound to.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// What it has executed and held so far.
+    /// Its executions and grants so far.
     #[must_use]
     pub fn log(&self) -> ServerLog {
         self.shared.state().log.log().clone()
     }
 
-    /// Replaces all that is wrong with it.
+    /// Replaces all faults.
     pub fn set_faults(&self, faults: ServerFaults) {
         self.shared.state().faults = faults;
     }
 
-    /// Stops answering until [`Self::thaw`]; its clock goes on.
+    /// Stops responding until [`Self::thaw`]; its clock continues.
     ///
-    /// What comes meanwhile waits, and is looked at on waking.
+    /// Requests that arrive meanwhile wait and are checked after the thaw.
     pub fn freeze(&self) {
         self.shared.frozen.send_replace(true);
     }
 
-    /// Goes on after [`Self::freeze`].
+    /// Continues after [`Self::freeze`].
     pub fn thaw(&self) {
         self.shared.frozen.send_replace(false);
     }
 
-    /// Loses the server: nothing is answered from now on.
+    /// Simulates the loss of the server: it responds to nothing from now on.
     pub fn lose(&self) {
         self.freeze();
         let listener = self.listener.lock();
--- a/goldcrestramp-standins/src/server/requests.rs
+++ b/goldcrestramp-standins/src/server/requests.rs
@@ -1,4 +1,4 @@
-//! What a server remembers of requests, within a bound.
+//! A bounded table of the requests that a server knows.
 
 use std::{collections::VecDeque, sync::Arc};
 
@@ -6,12 +6,12 @@
 use goldcrestramp_types::FastMap;
 use goldcrestramp_wire::server::RequestState;
 
-/// The most requests that are remembered after they ended.
-const MEMORY_LIMIT: usize = 65_536;
-/// The most answers that are kept.
+/// The maximum number of requests that are kept after they ended.
+const MAX_ENDED_REQUESTS: usize = 65_536;
+/// The maximum number of response bodies that are kept.
 const ANSWER_LIMIT: usize = 8_192;
 
-/// What is known of one request.
+/// The state of one request.
 #[derive(Clone, Debug)]
 struct KnownRequest {
     state: RequestState,
@@ -19,7 +19,7 @@
     answer: Option<Bytes>,
 }
 
-/// The requests that a server remembers.
+/// All requests that a server knows.
 #[derive(Debug, Default)]
 pub(super) struct RequestTable {
     known: FastMap<Arc<str>, KnownRequest>,
@@ -28,7 +28,7 @@
 }
 
 impl RequestTable {
-    /// What is known of a request.
+    /// The state of a request.
     pub(super) fn state(&self, request: &str) -> RequestState {
         self.known.get(request).map_or(RequestState::NotSeen, |r| r.state)
     }
@@ -38,16 +38,16 @@
         self.known.get(request).is_some_and(|known| known.cancelled)
     }
 
-    /// Notes that a request has started.
+    /// Records the start of a request.
     pub(super) fn started(&mut self, request: &Arc<str>) {
         self.put(request, RequestState::Running, false);
     }
 
-    /// Notes that a request has ended, with the answer to keep.
-    pub(super) fn ended(&mut self, request: &Arc<str>, kept: Option<Bytes>) {
+    /// Records the end of a request and the response body to keep.
+    pub(super) fn ended(&mut self, request: &Arc<str>, answer: Option<Bytes>) {
         self.put(request, RequestState::Ended, false);
-        self.remember(request);
-        let Some(answer) = kept else {
+        self.record_ended(request);
+        let Some(answer) = answer else {
             return;
         };
         if let Some(known) = self.known.get_mut(request) {
@@ -55,23 +55,23 @@
         }
         self.answered.push_back(Arc::clone(request));
         if self.answered.len() > ANSWER_LIMIT {
-            self.drop_answer();
+            self.evict_answer();
         }
     }
 
-    /// Cancels a request; one that has not started never will.
+    /// Cancels a request; if it has not started, it never will.
     pub(super) fn cancel(&mut self, request: &str) -> RequestState {
         let request = Arc::from(request);
         if let Some(known) = self.known.get_mut(&request) {
             known.cancelled = true;
         } else {
             self.put(&request, RequestState::NotStarted, true);
-            self.remember(&request);
+            self.record_ended(&request);
         }
         self.state(&request)
     }
 
-    /// The answer to a request that has ended, if it is still kept.
+    /// The response body of an ended request, if it is still kept.
     pub(super) fn answer(&self, request: &str) -> Option<Bytes> {
         self.known.get(request)?.answer.clone()
     }
@@ -86,10 +86,10 @@
         self.known.insert(Arc::clone(request), known);
     }
 
-    /// Forgets the oldest request when there are too many.
-    fn remember(&mut self, request: &Arc<str>) {
+    /// Records an ended request and evicts the oldest one above the maximum.
+    fn record_ended(&mut self, request: &Arc<str>) {
         self.ended.push_back(Arc::clone(request));
-        if self.ended.len() <= MEMORY_LIMIT {
+        if self.ended.len() <= MAX_ENDED_REQUESTS {
             return;
         }
         if let Some(oldest) = self.ended.pop_front() {
@@ -97,7 +97,7 @@
         }
     }
 
-    fn drop_answer(&mut self) {
+    fn evict_answer(&mut self) {
         let Some(oldest) = self.answered.pop_front() else {
             return;
         };
--- a/goldcrestramp-standins/src/server/routes.rs
+++ b/goldcrestramp-standins/src/server/routes.rs
@@ -15,21 +15,21 @@
 use crate::{
     records::MachineTime,
     server::{
-        faults::ServerFaults, order::decode, run::run_request,
+        faults::ServerFaults, headers::decode, run::run_request,
         shared::ServerShared,
     },
 };
 
-/// The largest grant order, in bytes.
-const GRANT_LIMIT: u64 = 1_048_576;
+/// The largest accepted grant order, in bytes.
+const MAX_GRANT_BYTES: u64 = 1_048_576;
 
-/// What `GET /health` says.
+/// The body of `GET /health`.
 #[derive(Debug, Serialize, Deserialize)]
 struct HealthReport {
     healthy: bool,
 }
 
-/// What `GET /load` says.
+/// The body of `GET /load`.
 #[derive(Debug, Serialize, Deserialize)]
 struct LoadReport {
     busy: usize,
@@ -55,7 +55,7 @@
         .then(|headers, _body: Bytes, shared| run_request(headers, shared));
     let grant = warp::post()
         .and(warp::path!("grant"))
-        .and(warp::body::content_length_limit(GRANT_LIMIT))
+        .and(warp::body::content_length_limit(MAX_GRANT_BYTES))
         .and(warp::body::json())
         .and(with.clone())
         .map(|order: GrantOrder, shared: Arc<ServerShared>| {
@@ -64,14 +64,14 @@
         });
     run.or(grant)
         .unify()
-        .or(questions(with.clone()))
+        .or(request_calls(with.clone()))
         .unify()
-        .or(own(with))
+        .or(server_calls(with))
         .unify()
 }
 
 /// The calls about one request.
-fn questions(
+fn request_calls(
     with: impl Filter<
         Extract = (Arc<ServerShared>,),
         Error = std::convert::Infallible,
@@ -104,13 +104,13 @@
         .and(warp::path::tail())
         .and(with)
         .map(|id: Tail, shared: Arc<ServerShared>| {
-            kept_answer(&decode(id.as_str()), &shared)
+            stored_answer(&decode(id.as_str()), &shared)
         });
     cancel.or(state).unify().or(answer).unify()
 }
 
 /// The calls about the server itself.
-fn own(
+fn server_calls(
     with: impl Filter<
         Extract = (Arc<ServerShared>,),
         Error = std::convert::Infallible,
@@ -155,7 +155,7 @@
     warp::reply::with_status(report, status).into_response()
 }
 
-fn kept_answer(id: &str, shared: &ServerShared) -> Response {
+fn stored_answer(id: &str, shared: &ServerShared) -> Response {
     let Some(body) = shared.state().requests.answer(id) else {
         return StatusCode::NOT_FOUND.into_response();
     };
--- a/goldcrestramp-standins/src/server/run.rs
+++ b/goldcrestramp-standins/src/server/run.rs
@@ -1,4 +1,4 @@
-//! How one request is run and answered.
+//! Runs one request and sends its response.
 
 use std::{sync::Arc, time::Duration};
 
@@ -18,21 +18,22 @@
     records::MachineTime,
     server::{
         faults::AnswerFault,
-        order::RunOrder,
+        headers::RunRequest,
         shared::ServerShared,
         state::{EndedWork, StartedWork},
     },
 };
 
-/// The most bytes of an answer that are kept for a later question.
-const KEPT_BYTES: usize = 65_536;
+/// The largest response body that is kept for a later query, in bytes.
+const MAX_STORED_BYTES: usize = 65_536;
 
-/// Between the first half of a truncated answer and its break.
+/// The delay between the first half of a truncated response and the error that
+/// breaks it off.
 ///
-/// A break without a pause would overtake the half that was sent.
-const BREAK_PAUSE: Duration = Duration::from_millis(20);
+/// Without the delay, the error overtakes the half that was sent.
+const TRUNCATION_DELAY: Duration = Duration::from_millis(20);
 
-/// A request under way; it has ended when this is dropped.
+/// A request in flight; dropping it records its end.
 #[derive(Debug)]
 struct RunningRequest {
     shared: Arc<ServerShared>,
@@ -48,13 +49,13 @@
     }
 }
 
-/// An answer as it goes out, with its fault if it is to have one.
+/// A response to send, with its fault if it has one.
 #[derive(Debug)]
 struct OutgoingAnswer {
     request: Arc<str>,
     body: Bytes,
-    /// The length that the header tells.
-    told: usize,
+    /// The length that the header declares.
+    declared: usize,
 }
 
 /// Runs a request, or refuses it before it starts.
@@ -62,14 +63,14 @@
     headers: HeaderMap,
     shared: Arc<ServerShared>,
 ) -> Response {
-    let Some(order) = RunOrder::read(&headers) else {
+    let Some(request) = RunRequest::read(&headers) else {
         return refusal(StatusCode::BAD_REQUEST);
     };
     let Some(slot) = shared.take_slot().await else {
         return refusal(StatusCode::SERVICE_UNAVAILABLE);
     };
     shared.thawed().await;
-    let started = shared.state().start(MachineTime::now(), &order);
+    let started = shared.state().start(MachineTime::now(), &request);
     let Some(work) = started else {
         return refusal(StatusCode::SERVICE_UNAVAILABLE);
     };
@@ -77,35 +78,35 @@
         shared: Arc::clone(&shared),
         work: EndedWork {
             index: work.index,
-            request: Arc::clone(&order.request),
-            slice: order.slice,
-            class: order.class,
+            request: Arc::clone(&request.request),
+            slice: request.slice,
+            class: request.class,
         },
         kept: None,
         _slot: slot,
     };
-    match order.class {
-        RequestClass::Long => long_answer(running, &order, work),
-        _ => short_answer(running, order, work).await,
+    match request.class {
+        RequestClass::Long => long_answer(running, &request, work),
+        _ => short_answer(running, request, work).await,
     }
 }
 
-/// Works, then sends the whole answer.
+/// Does the work, then sends the complete response.
 ///
-/// The work is a task of its own: it ends also when nobody waits for the
-/// answer any more, as a real server's does.
+/// The work runs in its own task: it ends even if nobody waits for the
+/// response any more, as in a real server.
 async fn short_answer(
     mut running: RunningRequest,
-    order: RunOrder,
+    request: RunRequest,
     work: StartedWork,
 ) -> Response {
     let shared = Arc::clone(&running.shared);
     let length = shared.behaviour.short_bytes;
     let work = tokio::spawn(async move {
-        tokio::time::sleep(span(work.work_ms)).await;
+        tokio::time::sleep(millis_to_duration(work.work_ms)).await;
         running.shared.thawed().await;
-        let pattern = pattern_of(&order, work.value, length);
-        let body = pattern.whole();
+        let pattern = pattern_of(&request, work.value, length);
+        let body = pattern.complete();
         running.kept = Some(body.clone());
         outgoing(&running, body)
     });
@@ -115,40 +116,40 @@
     }
 }
 
-/// Sends the answer in parts while it works.
+/// Sends the response in parts while it does the work.
 fn long_answer(
     mut running: RunningRequest,
-    order: &RunOrder,
+    request: &RunRequest,
     work: StartedWork,
 ) -> Response {
     let behaviour = &running.shared.behaviour;
     let parts = behaviour.long_parts.max(1);
-    let pattern = pattern_of(order, work.value, behaviour.long_bytes);
-    let pause = span(work.work_ms).div_f64(to_float(parts));
-    let body = pattern.whole();
-    if body.len() <= KEPT_BYTES {
+    let pattern = pattern_of(request, work.value, behaviour.long_bytes);
+    let pause = millis_to_duration(work.work_ms).div_f64(to_float(parts));
+    let body = pattern.complete();
+    if body.len() <= MAX_STORED_BYTES {
         running.kept = Some(body.clone());
     }
     let answer = outgoing(&running, body);
-    let part = answer.told.div_ceil(parts).max(1);
-    let told = answer.told;
+    let part = answer.declared.div_ceil(parts).max(1);
+    let declared = answer.declared;
     let id = Arc::clone(&answer.request);
     let sending = (running, answer, 0_usize);
     let body = stream::unfold(sending, move |sending| async move {
         let (running, answer, at) = sending;
-        if at >= answer.told {
+        if at >= answer.declared {
             return None;
         }
         tokio::time::sleep(pause).await;
         running.shared.thawed().await;
         let next = next_part(&running, &answer, at, part);
-        let at = next.as_ref().map_or(answer.told, |sent| at + sent.len());
+        let at = next.as_ref().map_or(answer.declared, |sent| at + sent.len());
         Some((next, (running, answer, at)))
     });
-    respond(&id, told, warp::reply::stream(body))
+    respond(&id, declared, warp::reply::stream(body))
 }
 
-/// The next part of a long answer; an error breaks the connection off.
+/// Returns the next part of a long response; an error closes the connection.
 fn next_part(
     running: &RunningRequest,
     answer: &OutgoingAnswer,
@@ -163,61 +164,66 @@
     Ok(answer.body.slice(at..answer.body.len().min(at + part)))
 }
 
-/// The answer with the fault that the next one is to have.
+/// Applies the fault of the next response, if there is one.
 fn outgoing(running: &RunningRequest, body: Bytes) -> OutgoingAnswer {
     let mut state = running.shared.state();
     let request = Arc::clone(&running.work.request);
     let current = (Arc::clone(&request), body.clone());
     let before = state.last_answer.replace(current);
-    let whole = body.len();
-    let half = body.slice(..whole / 2);
+    let complete = body.len();
+    let half = body.slice(..complete / 2);
     let fault = state.faults.next_answer();
     drop(state);
     match (fault, before) {
         (Some(AnswerFault::Crossed), Some((request, body))) => {
-            OutgoingAnswer { told: body.len(), request, body }
+            OutgoingAnswer { declared: body.len(), request, body }
         }
         (Some(AnswerFault::Truncated), _) => {
-            OutgoingAnswer { request, body: half, told: whole }
+            OutgoingAnswer { request, body: half, declared: complete }
         }
         (Some(AnswerFault::Shortened), _) => {
-            OutgoingAnswer { request, told: half.len(), body: half }
+            OutgoingAnswer { request, declared: half.len(), body: half }
         }
         (Some(AnswerFault::Doubled), _) => {
             let body = Bytes::from([&*body, &*body].concat());
-            OutgoingAnswer { request, told: body.len(), body }
+            OutgoingAnswer { request, declared: body.len(), body }
         }
         (Some(AnswerFault::Crossed), None) | (None, _) => {
-            OutgoingAnswer { request, body, told: whole }
+            OutgoingAnswer { request, body, declared: complete }
         }
     }
 }
 
-/// A response whose body is there at once, broken off if it is too short.
+/// Sends a body at once; it breaks off if it is shorter than declared.
 fn whole_response(answer: OutgoingAnswer) -> Response {
-    if answer.body.len() == answer.told {
-        return respond(&answer.request, answer.told, answer.body.to_vec());
+    if answer.body.len() == answer.declared {
+        return respond(
+            &answer.request,
+            answer.declared,
+            answer.body.to_vec(),
+        );
     }
     let broken = stream::once(async {
-        tokio::time::sleep(BREAK_PAUSE).await;
+        tokio::time::sleep(TRUNCATION_DELAY).await;
         Err(std::io::Error::from(std::io::ErrorKind::BrokenPipe))
     });
     let sent = stream::once(std::future::ready(Ok(answer.body)));
     let parts = sent.chain(broken);
-    respond(&answer.request, answer.told, warp::reply::stream(parts))
+    respond(&answer.request, answer.declared, warp::reply::stream(parts))
 }
 
-fn respond(request: &str, told: usize, body: impl Reply) -> Response {
+fn respond(request: &str, declared: usize, body: impl Reply) -> Response {
     let mut response = body.into_response();
     let headers = response.headers_mut();
     if let Ok(value) = HeaderValue::from_str(request) {
         headers.insert(HEADER_REQUEST, value);
     }
-    headers.insert(CONTENT_LENGTH, HeaderValue::from(told));
+    headers.insert(CONTENT_LENGTH, HeaderValue::from(declared));
     response
 }
 
-/// Says that the request has not started and never will by this sending.
+/// Responds that the request has not started, and will not start because of
+/// this attempt.
 fn refusal(status: StatusCode) -> Response {
     let mut response = status.into_response();
     let value = HeaderValue::from_static("not-started");
@@ -225,12 +231,16 @@
     response
 }
 
-fn pattern_of(order: &RunOrder, value: u64, length: usize) -> AnswerPattern {
-    AnswerPattern::new(&order.request, &order.key, value, length)
+fn pattern_of(
+    request: &RunRequest,
+    value: u64,
+    length: usize,
+) -> AnswerPattern {
+    AnswerPattern::new(&request.request, &request.key, value, length)
 }
 
-/// A span of so many milliseconds.
-fn span(millis: f64) -> Duration {
+/// Converts milliseconds to a duration.
+fn millis_to_duration(millis: f64) -> Duration {
     Duration::from_secs_f64(millis / 1_000.0)
 }
 
--- a/goldcrestramp-standins/src/server/shared.rs
+++ b/goldcrestramp-standins/src/server/shared.rs
@@ -1,4 +1,4 @@
-//! What the handlers of one server share.
+//! State that the handlers of one server share.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -12,18 +12,18 @@
     server::{behaviour::ServerBehaviour, state::ServerState},
 };
 
-/// One server, as its handlers see it.
+/// The shared state of one server.
 #[derive(Debug)]
 pub(super) struct ServerShared {
     pub(super) run: u64,
-    born: MachineTime,
+    started_at: MachineTime,
     pub(super) behaviour: ServerBehaviour,
     pub(super) frozen: watch::Sender<bool>,
     state: Mutex<ServerState>,
-    /// When the load endpoint last looked, and what it saw.
+    /// When the load endpoint last sampled the busy slots, and their number.
     sample: Mutex<(MachineTime, usize)>,
     slots: Arc<Semaphore>,
-    places: Arc<Semaphore>,
+    queue: Arc<Semaphore>,
 }
 
 impl ServerShared {
@@ -34,32 +34,32 @@
     ) -> Self {
         Self {
             run,
-            born: MachineTime::now(),
+            started_at: MachineTime::now(),
             frozen: watch::Sender::new(false),
             state: Mutex::new(state),
             sample: Mutex::default(),
             slots: Arc::new(Semaphore::new(behaviour.slots)),
-            places: Arc::new(Semaphore::new(behaviour.queue)),
+            queue: Arc::new(Semaphore::new(behaviour.queue)),
             behaviour,
         }
     }
 
-    /// The state; a poisoned lock still holds usable state.
+    /// Locks the state; a poisoned lock still holds usable state.
     pub(super) fn state(&self) -> MutexGuard<'_, ServerState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What a keeper is told of a request in this state.
+    /// Creates the report that a keeper receives for a request in this state.
     pub(super) fn report(&self, state: RequestState) -> RequestReport {
-        let age = MachineTime::now().millis_since(self.born);
+        let age = MachineTime::now().millis_since(self.started_at);
         let age = TimeSpan::from_millis(age);
         RequestReport { state, run: self.run, age }
     }
 
-    /// Waits while the server is frozen.
+    /// Waits until the server is not frozen.
     ///
-    /// A server that is gone stays frozen for ever: its open connections
-    /// fall silent, as those of a lost machine do.
+    /// A lost server stays frozen forever: its open connections stay silent,
+    /// as those of a lost machine do.
     pub(super) async fn thawed(&self) {
         let mut frozen = self.frozen.subscribe();
         if frozen.wait_for(|frozen| !*frozen).await.is_err() {
@@ -72,7 +72,7 @@
         self.behaviour.slots - self.slots.available_permits()
     }
 
-    /// The slots in use some time ago, as far as the endpoint lags.
+    /// The slots in use as the lagging endpoint reports them.
     pub(super) fn lagging_busy(&self) -> usize {
         let now = MachineTime::now();
         let busy = self.busy();
@@ -84,7 +84,7 @@
         sample.1
     }
 
-    /// Takes a slot, waiting for it if there is a place to wait.
+    /// Acquires a slot, waiting for it if the queue has room.
     pub(super) async fn take_slot(&self) -> Option<OwnedSemaphorePermit> {
         if self.sheds() {
             return None;
@@ -92,11 +92,11 @@
         if let Ok(slot) = Arc::clone(&self.slots).try_acquire_owned() {
             return Some(slot);
         }
-        let _place = Arc::clone(&self.places).try_acquire_owned().ok()?;
+        let _queued = Arc::clone(&self.queue).try_acquire_owned().ok()?;
         Arc::clone(&self.slots).acquire_owned().await.ok()
     }
 
-    /// Whether the next request is refused for no fault of its own.
+    /// Whether the next request is refused because of a fault of the server.
     fn sheds(&self) -> bool {
         let mut state = self.state();
         let percent = state.faults.shed_percent;
--- a/goldcrestramp-standins/src/server/state.rs
+++ b/goldcrestramp-standins/src/server/state.rs
@@ -1,4 +1,4 @@
-//! What a server holds, remembers and draws, behind one lock.
+//! The grant, the requests and the random source of a server, behind one lock.
 
 use std::sync::Arc;
 
@@ -11,26 +11,26 @@
 use rand::{SeedableRng, rngs::StdRng};
 
 use crate::{
-    records::{ExecutionEntry, HoldEntry, MachineTime},
+    records::{ExecutionEntry, GrantEntry, MachineTime},
     server::{
-        behaviour::ServerBehaviour, faults::ServerFaults, log::LogWriter,
-        order::RunOrder, requests::RequestTable, storage::KeyCache,
+        behaviour::ServerBehaviour, faults::ServerFaults, headers::RunRequest,
+        log::LogWriter, requests::RequestTable, storage::KeyCache,
     },
 };
 
-/// Percent of the usual.
-const USUAL_PERCENT: u64 = 100;
+/// The processing time of a server without faults, in percent.
+const TYPICAL_PERCENT: u64 = 100;
 
-/// The clock of one run of a server.
+/// The clock of one server instance.
 ///
-/// It is the machine's clock plus a number that differs between runs, so
-/// that a router that compared the clocks of two servers would fail.
+/// It is the machine's clock plus an offset that differs between instances, so
+/// that a router that compares the clocks of two servers fails.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct RunClock {
+pub(super) struct InstanceClock {
     offset: u64,
 }
 
-impl RunClock {
+impl InstanceClock {
     pub(super) const fn new(run: u64) -> Self {
         Self { offset: run & 0xffff_ffff }
     }
@@ -44,22 +44,22 @@
     }
 }
 
-/// Everything that changes in a server.
+/// The mutable state of a server.
 #[derive(Debug)]
 pub(super) struct ServerState {
     pub(super) faults: ServerFaults,
     pub(super) requests: RequestTable,
     pub(super) log: LogWriter,
-    /// The last answer and the request that it belongs to.
+    /// The last response body and the request that it belongs to.
     pub(super) last_answer: Option<(Arc<str>, Bytes)>,
     pub(super) draws: StdRng,
-    clock: RunClock,
+    clock: InstanceClock,
     run: u64,
     holder: GrantHolder,
     cache: KeyCache,
     cold_until: FastMap<SliceIndex, MachineTime>,
-    /// The orders under way, by slice.
-    ordering: FastMap<SliceIndex, usize>,
+    /// The number of running orders, by slice.
+    running_orders: FastMap<SliceIndex, usize>,
     service: Arc<str>,
     behaviour: ServerBehaviour,
 }
@@ -67,15 +67,15 @@
 /// A request that has just started.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct StartedWork {
-    /// Its number in the log.
+    /// Its index in the log.
     pub(super) index: usize,
     /// The value of its key.
     pub(super) value: u64,
-    /// How long it takes, in milliseconds.
+    /// Its processing time, in milliseconds.
     pub(super) work_ms: f64,
 }
 
-/// What is needed to note the end of a request.
+/// The data that records the end of a request.
 #[derive(Debug)]
 pub(super) struct EndedWork {
     pub(super) index: usize,
@@ -97,18 +97,18 @@
             log,
             last_answer: None,
             draws: StdRng::seed_from_u64(behaviour.seed),
-            clock: RunClock::new(run),
+            clock: InstanceClock::new(run),
             run,
             holder: GrantHolder::new(run, behaviour.checks_fence),
             cache,
             cold_until: FastMap::default(),
-            ordering: FastMap::default(),
+            running_orders: FastMap::default(),
             service: Arc::from(""),
             behaviour,
         }
     }
 
-    /// Carries out an order of the keeper, or refuses it.
+    /// Applies a grant order of the keeper, or refuses it.
     pub(super) fn apply(
         &mut self,
         now: MachineTime,
@@ -125,20 +125,20 @@
             self.cache.clear();
         }
         self.cache.keep_only(&held);
-        self.warm_later(now, &held, &before);
-        reply.busy = self.ordering.keys().copied().collect();
+        self.start_cold(now, &held, &before);
+        reply.busy = self.running_orders.keys().copied().collect();
         reply.busy.subtract(&held);
         self.log.holds(self.hold_entry(now, held, &reply));
         reply
     }
 
-    /// What it holds; nothing once the grant has lapsed.
+    /// The slices that it holds; none once the grant has expired.
     fn held(&self, clock: ServerTime) -> SliceSet {
         self.holder.reply(clock, None).held.unwrap_or_default()
     }
 
-    /// Makes slices that were just gained slow at first.
-    fn warm_later(
+    /// Makes newly gained slices slow at first.
+    fn start_cold(
         &mut self,
         now: MachineTime,
         held: &SliceSet,
@@ -151,7 +151,7 @@
         self.cold_until.extend(gained.iter().map(|slice| (slice, cold)));
     }
 
-    /// Notes the end of a request.
+    /// Records the end of a request.
     pub(super) fn end(
         &mut self,
         now: MachineTime,
@@ -160,68 +160,69 @@
     ) {
         self.log.ended(ended.index, now);
         self.requests.ended(&ended.request, kept);
-        if let Some(count) = self.ordering.get_mut(&ended.slice)
+        if let Some(count) = self.running_orders.get_mut(&ended.slice)
             && ended.class == RequestClass::Order
         {
             *count -= 1;
         }
-        self.ordering.retain(|_, count| *count > 0);
+        self.running_orders.retain(|_, count| *count > 0);
     }
 
-    /// Starts a request, if grant, token, deadline and cancellations allow.
+    /// Starts a request if grant, token, deadline and cancellations allow it.
     ///
-    /// An order takes effect here, in the same step as the check: a server
-    /// that freezes later has done it while it owned the key.
+    /// An order takes effect here, in the same step as the check. A server
+    /// that freezes later has therefore executed it while it owned the key.
     pub(super) fn start(
         &mut self,
         now: MachineTime,
-        order: &RunOrder,
+        request: &RunRequest,
     ) -> Option<StartedWork> {
-        if !self.may_start(now, order) {
+        if !self.may_start(now, request) {
             return None;
         }
-        let key = Arc::from(format!("{}/{}", order.service, order.key));
-        let value = match order.class {
-            RequestClass::Order => self.cache.increment(order.slice, &key),
-            _ => self.cache.value(order.slice, &key),
+        let key = Arc::from(format!("{}/{}", request.service, request.key));
+        let value = match request.class {
+            RequestClass::Order => self.cache.increment(request.slice, &key),
+            _ => self.cache.value(request.slice, &key),
         };
-        if order.class == RequestClass::Order {
-            *self.ordering.entry(order.slice).or_default() += 1;
+        if request.class == RequestClass::Order {
+            *self.running_orders.entry(request.slice).or_default() += 1;
         }
-        let work_ms = self.draw_work(now, order);
-        self.requests.started(&order.request);
-        let index = self.log.started(self.execution_entry(now, order));
+        let work_ms = self.draw_work(now, request);
+        self.requests.started(&request.request);
+        let index = self.log.started(self.execution_entry(now, request));
         Some(StartedWork { index, value, work_ms })
     }
 
-    fn may_start(&self, now: MachineTime, order: &RunOrder) -> bool {
-        let request = self.requests.state(&order.request);
-        if request == RequestState::NotStarted {
+    fn may_start(&self, now: MachineTime, request: &RunRequest) -> bool {
+        let state = self.requests.state(&request.request);
+        if state == RequestState::NotStarted {
             return false;
         }
         if self.faults.ignores_fence {
             return true;
         }
         let clock = self.clock.server_time(now);
-        let in_time = clock <= order.start_by
-            && order.deadline.is_none_or(|deadline| clock <= deadline);
-        in_time && self.holder.may_start(clock, order.slice, order.token)
+        let in_time = clock <= request.start_by
+            && request.deadline.is_none_or(|deadline| clock <= deadline);
+        in_time && self.holder.may_start(clock, request.slice, request.token)
     }
 
-    /// Draws how long a request takes: longer when cold or made slow.
+    /// Draws the processing time of a request: longer if the slice is cold or
+    /// the server is slowed down.
     #[expect(
         clippy::cast_precision_loss,
         reason = "percentages are small numbers"
     )]
-    fn draw_work(&mut self, now: MachineTime, order: &RunOrder) -> f64 {
-        let cold = self.cold_until.get(&order.slice);
+    fn draw_work(&mut self, now: MachineTime, request: &RunRequest) -> f64 {
+        let cold = self.cold_until.get(&request.slice);
         let cold_percent = match cold {
             Some(until) if now < *until => self.behaviour.cold_percent,
-            _ => USUAL_PERCENT,
+            _ => TYPICAL_PERCENT,
         };
         let percent = self.faults.slow_percent * cold_percent;
-        let usual = self.behaviour.work.draw(order.class, &mut self.draws);
-        usual * percent as f64 / (USUAL_PERCENT * USUAL_PERCENT) as f64
+        let typical = self.behaviour.work.draw(request.class, &mut self.draws);
+        typical * percent as f64 / (TYPICAL_PERCENT * TYPICAL_PERCENT) as f64
     }
 
     fn hold_entry(
@@ -229,8 +230,8 @@
         now: MachineTime,
         slices: SliceSet,
         reply: &GrantReply,
-    ) -> HoldEntry {
-        HoldEntry {
+    ) -> GrantEntry {
+        GrantEntry {
             server: Arc::from(self.behaviour.name.as_str()),
             service: Arc::clone(&self.service),
             slices,
@@ -243,18 +244,18 @@
     fn execution_entry(
         &self,
         now: MachineTime,
-        order: &RunOrder,
+        request: &RunRequest,
     ) -> ExecutionEntry {
         ExecutionEntry {
             server: Arc::from(self.behaviour.name.as_str()),
             domain: Arc::from(self.behaviour.domain.as_str()),
             run: self.run,
-            request: Arc::clone(&order.request),
-            service: Arc::clone(&order.service),
-            key: Arc::clone(&order.key),
-            slice: order.slice,
-            class: order.class,
-            token: order.token,
+            request: Arc::clone(&request.request),
+            service: Arc::clone(&request.service),
+            key: Arc::clone(&request.key),
+            slice: request.slice,
+            class: request.class,
+            token: request.token,
             started: now,
             ended: None,
         }
--- a/goldcrestramp-standins/src/server/storage.rs
+++ b/goldcrestramp-standins/src/server/storage.rs
@@ -1,4 +1,4 @@
-//! The values of keys: stored for all servers, cached by the owner.
+//! Values of keys: stored for all servers, cached by the owner.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -6,9 +6,9 @@
 
 /// The stored values, shared by the servers of one process.
 ///
-/// A server reads a key once after it has gained its slice and works from
-/// its cache then, as an owner may. Two owners at once lose each other's
-/// writes, which the check of histories finds.
+/// A server reads a key once after it gained the key's slice and then works
+/// from its cache, as an owner may. Two concurrent owners lose each other's
+/// writes, which the check of histories detects.
 #[derive(Clone, Debug, Default)]
 pub struct KeyStorage {
     values: Arc<Mutex<FastMap<Arc<str>, u64>>>,
@@ -45,7 +45,7 @@
         *self.entry(slice, key)
     }
 
-    /// Adds one to the value of a key; returns the new value.
+    /// Increments the value of a key; returns the new value.
     pub(super) fn increment(
         &mut self,
         slice: SliceIndex,
@@ -58,12 +58,12 @@
         value
     }
 
-    /// Forgets the keys of every slice that is not held.
+    /// Evicts the keys of every slice that is not held.
     pub(super) fn keep_only(&mut self, held: &SliceSet) {
         self.slices.retain(|slice, _| held.contains(*slice));
     }
 
-    /// Forgets every key.
+    /// Evicts every key.
     pub(super) fn clear(&mut self) {
         self.slices.clear();
     }
--- a/goldcrestramp-standins/tests/checker.rs
+++ b/goldcrestramp-standins/tests/checker.rs
@@ -6,11 +6,11 @@
 };
 
 use goldcrestramp_standins::{
-    AnswerCheck, CallEntry, CallOutcome, ExecutionEntry, HoldEntry,
+    AnswerCheck, CallEntry, CallOutcome, ExecutionEntry, GrantEntry,
     MachineTime,
     checker::{
-        MoveCount, PromiseFigures, UnavailableTime, count_moves, imbalance,
-        unavailable_time, unlinearizable_keys,
+        GuaranteeViolations, MoveCount, UnavailableTime, count_moves,
+        imbalance, unavailable_time, unlinearizable_keys,
     },
     server::ServerLog,
 };
@@ -51,8 +51,8 @@
     }
 }
 
-fn held(server: &str, from: u64, until: u64) -> HoldEntry {
-    HoldEntry {
+fn held(server: &str, from: u64, until: u64) -> GrantEntry {
+    GrantEntry {
         server: text(server),
         service: text("stock"),
         slices: std::iter::once(slice()).collect(),
@@ -87,7 +87,7 @@
     CallOutcome::Done { answer: AnswerCheck::Whole { value } }
 }
 
-fn log(executions: Vec<ExecutionEntry>, holds: Vec<HoldEntry>) -> ServerLog {
+fn log(executions: Vec<ExecutionEntry>, holds: Vec<GrantEntry>) -> ServerLog {
     ServerLog { executions, holds }
 }
 
@@ -103,9 +103,9 @@
         called("a/3", 56, not_run("no-owner")),
     ];
 
-    let figures = PromiseFigures::judge(&servers, &calls);
+    let figures = GuaranteeViolations::count(&servers, &calls);
 
-    assert!(figures.kept(), "{figures:?}");
+    assert!(figures.is_empty(), "{figures:?}");
 }
 
 #[test]
@@ -119,7 +119,7 @@
         lookup,
     ];
 
-    let figures = PromiseFigures::judge(&log(twice, vec![]), &[]);
+    let figures = GuaranteeViolations::count(&log(twice, vec![]), &[]);
 
     assert_eq!(figures.doubled, 1);
 }
@@ -140,7 +140,7 @@
         called("a/4", 5, not_run("queue-full")),
     ];
 
-    let figures = PromiseFigures::judge(&log(ran, vec![]), &calls);
+    let figures = GuaranteeViolations::count(&log(ran, vec![]), &calls);
 
     assert_eq!(figures.not_run_but_ran, 3);
 }
@@ -175,7 +175,7 @@
         ("a hold again", vec![], vec![held("s1", 0, 9), held("s1", 5, 9)], 0),
     ];
     for (name, executions, holds, expected) in cases {
-        let figures = PromiseFigures::judge(&log(executions, holds), &[]);
+        let figures = GuaranteeViolations::count(&log(executions, holds), &[]);
 
         assert_eq!(figures.owner_overlaps, expected, "{name}");
     }
@@ -190,7 +190,7 @@
         called("a/3", 0, answer(AnswerCheck::Cut)),
     ];
 
-    let figures = PromiseFigures::judge(&ServerLog::default(), &calls);
+    let figures = GuaranteeViolations::count(&ServerLog::default(), &calls);
 
     assert_eq!((figures.wrong_answers, figures.cut_answers), (1, 2));
 }
--- a/goldcrestramp-standins/tests/load.rs
+++ b/goldcrestramp-standins/tests/load.rs
@@ -8,7 +8,7 @@
 
 use goldcrestramp_standins::{
     AnswerPattern, CallEntry, CallOutcome, ListenerHandle, MachineTime,
-    checker::PromiseFigures,
+    checker::GuaranteeViolations,
     load::{
         FaultMark, LoadPlan, LoadProgress, LoadReport, LoadStream, PlanError,
         compare_reports, plot_report, run_load,
@@ -67,7 +67,7 @@
     let text = |name| headers[name].to_str().expect("text").to_owned();
     let caller = text("goldcrestramp-caller");
     let id = format!("{caller}/{}", text("goldcrestramp-request"));
-    let body = AnswerPattern::new(&id, key, 0, 20).whole().to_vec();
+    let body = AnswerPattern::new(&id, key, 0, 20).complete().to_vec();
     let body = warp::reply::with_header(body, "goldcrestramp-outcome", "done");
     body.into_response()
 }
@@ -127,8 +127,8 @@
     assert_eq!(report.done, report.requests, "{report:?}");
     assert_eq!(progress.done.load(Ordering::Relaxed), report.done);
     assert!(report.latency_ms["stock"].p50 >= 200.0, "{report:?}");
-    let figures = PromiseFigures::judge(&ServerLog::default(), &calls);
-    assert!(figures.kept(), "{figures:?}");
+    let figures = GuaranteeViolations::count(&ServerLog::default(), &calls);
+    assert!(figures.is_empty(), "{figures:?}");
 }
 
 // More than the run may have under way is counted, never waited for.
--- a/src/commands/demo/figures.rs
+++ b/src/commands/demo/figures.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, fmt::Write};
 
 use goldcrestramp_standins::{
-    checker::{MoveCount, PromiseFigures, UnavailableTime},
+    checker::{GuaranteeViolations, MoveCount, UnavailableTime},
     load::LatencyFigures,
     platform::CallTally,
 };
@@ -26,7 +26,7 @@
     pub(super) unknown_reasons: BTreeMap<String, u64>,
     /// The promises, each a count of times that it was broken.
     #[serde(flatten)]
-    pub(super) promises: PromiseFigures,
+    pub(super) promises: GuaranteeViolations,
     /// Keys whose history no single owner could have produced.
     pub(super) unlinearizable_keys: u64,
     /// How long keys were not served, in milliseconds: the longest time
@@ -47,8 +47,8 @@
 
 impl DemoFigures {
     /// Whether every promise was kept.
-    pub(super) fn kept(&self) -> bool {
-        self.promises.kept() && self.unlinearizable_keys == 0
+    pub(super) fn is_clean(&self) -> bool {
+        self.promises.is_empty() && self.unlinearizable_keys == 0
     }
 
     /// A table for people.
--- a/src/commands/demo/mod.rs
+++ b/src/commands/demo/mod.rs
@@ -15,8 +15,8 @@
 use goldcrestramp_standins::{
     CallEntry, MachineTime,
     checker::{
-        PromiseFigures, count_moves, imbalance, trace_denied, trace_overlaps,
-        unavailable_time, unlinearizable_keys,
+        GuaranteeViolations, count_moves, imbalance, trace_denied,
+        trace_overlaps, unavailable_time, unlinearizable_keys,
     },
     load::{LoadPlan, LoadProgress, LoadReport, run_load},
 };
@@ -112,7 +112,11 @@
             }
         }
     }
-    if figures.kept() { CommandExit::Success } else { CommandExit::Refused }
+    if figures.is_clean() {
+        CommandExit::Success
+    } else {
+        CommandExit::Refused
+    }
 }
 
 /// Starts the deployment, puts requests through it and judges the run.
@@ -164,7 +168,7 @@
         not_run: report.not_run,
         unknown: report.unknown.values().sum(),
         unknown_reasons: report.unknown,
-        promises: PromiseFigures::judge(&log, calls),
+        promises: GuaranteeViolations::count(&log, calls),
         unlinearizable_keys: u64::try_from(broken).unwrap_or(u64::MAX),
         unavailable_ms: unavailable_time(calls),
         churn: count_moves(&log, since, &faults.leaving),
--- a/tests/process/trial.rs
+++ b/tests/process/trial.rs
@@ -4,7 +4,7 @@
 
 use goldcrestramp_standins::{
     CallEntry, CallOutcome, MachineTime,
-    checker::{PromiseFigures, trace_denied, trace_overlaps},
+    checker::{GuaranteeViolations, trace_denied, trace_overlaps},
     load::{LoadPlan, LoadStream, run_load},
     server::ServerLog,
 };
@@ -218,10 +218,10 @@
     /// When a promise was broken, or hardly anything was served.
     pub fn assert_kept(&self, calls: &[CallEntry]) {
         let log = self.log();
-        let figures = PromiseFigures::judge(&log, calls);
+        let figures = GuaranteeViolations::count(&log, calls);
         let denied = trace_denied(&log, calls);
         let overlaps = trace_overlaps(&log);
-        assert!(figures.kept(), "{figures:?}\n{denied}\n{overlaps}");
+        assert!(figures.is_empty(), "{figures:?}\n{denied}\n{overlaps}");
         let done = calls
             .iter()
             .filter(|c| matches!(c.outcome, CallOutcome::Done { .. }));
