--- a/goldcrestramp-standins/src/checker/mod.rs
+++ b/goldcrestramp-standins/src/checker/mod.rs
@@ -81,7 +81,6 @@
 #[must_use]
 pub fn trace_overlaps(servers: &ServerLog) -> String {
     let found = ownership::overlaps(servers);
-    let lines: Vec<_> =
-        found.iter().map(|overlap| format!("{overlap:?}")).collect();
+    let lines: Vec<_> = found.iter().map(|one| format!("{one:?}")).collect();
     lines.join("\n")
 }
--- a/goldcrestramp-standins/src/platform/serve.rs
+++ b/goldcrestramp-standins/src/platform/serve.rs
@@ -34,7 +34,7 @@
     let write = matches!(call, PlatformCall::Write { .. });
     let response = execute(call, &shared).await;
     tokio::time::sleep(latency / 2).await;
-    if write && takes_loss(&shared) {
+    if write && should_lose_response(&shared) {
         return lose_response(peer, &shared).await;
     }
     response
@@ -137,7 +137,7 @@
 }
 
 /// Whether the response to this write is to be lost.
-fn takes_loss(shared: &PlatformShared) -> bool {
+fn should_lose_response(shared: &PlatformShared) -> bool {
     let mut state = shared.state();
     let remaining = state.faults.lose_answers;
     state.faults.lose_answers = remaining.saturating_sub(1);
--- a/goldcrestramp-standins/tests/checker.rs
+++ b/goldcrestramp-standins/tests/checker.rs
@@ -1,4 +1,5 @@
-//! Every check can fail: made-up logs that each break one promise.
+//! Tests that every check detects violations, on hand-written logs that each
+//! violate one guarantee.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -16,7 +17,7 @@
 };
 use goldcrestramp_types::{FenceToken, RequestClass, SliceIndex, TermId};
 
-const WHOLE: CallOutcome =
+const COMPLETE: CallOutcome =
     CallOutcome::Done { answer: AnswerCheck::Whole { value: 1 } };
 
 fn at(millis: u64) -> MachineTime {
@@ -32,10 +33,10 @@
 }
 
 fn slice() -> SliceIndex {
-    SliceIndex::new(7).expect("an index")
+    SliceIndex::new(7).expect("index is in range")
 }
 
-fn executed(server: &str, request: &str, start: u64) -> ExecutionEntry {
+fn execution(server: &str, request: &str, start: u64) -> ExecutionEntry {
     ExecutionEntry {
         server: text(server),
         domain: text("d"),
@@ -51,7 +52,7 @@
     }
 }
 
-fn held(server: &str, from: u64, until: u64) -> GrantEntry {
+fn grant(server: &str, from: u64, until: u64) -> GrantEntry {
     GrantEntry {
         server: text(server),
         service: text("stock"),
@@ -62,7 +63,7 @@
     }
 }
 
-fn called(request: &str, sent: u64, outcome: CallOutcome) -> CallEntry {
+fn call(request: &str, sent: u64, outcome: CallOutcome) -> CallEntry {
     CallEntry {
         request: text(request),
         service: text("stock"),
@@ -75,7 +76,7 @@
     }
 }
 
-fn not_run(reason: &str) -> CallOutcome {
+fn denied(reason: &str) -> CallOutcome {
     CallOutcome::NotRun { reason: text(reason) }
 }
 
@@ -92,119 +93,125 @@
 }
 
 #[test]
-fn a_run_that_keeps_every_promise_has_no_figure() {
+fn a_correct_run_has_no_violations() {
     let servers = log(
-        vec![executed("s1", "a/1", 10), executed("s2", "a/2", 60)],
-        vec![held("s1", 0, 50), held("s2", 50, 100)],
+        vec![execution("s1", "a/1", 10), execution("s2", "a/2", 60)],
+        vec![grant("s1", 0, 50), grant("s2", 50, 100)],
     );
     let calls = [
-        called("a/1", 5, WHOLE),
-        called("a/2", 55, unknown()),
-        called("a/3", 56, not_run("no-owner")),
+        call("a/1", 5, COMPLETE),
+        call("a/2", 55, unknown()),
+        call("a/3", 56, denied("no-owner")),
     ];
 
-    let figures = GuaranteeViolations::count(&servers, &calls);
+    let violations = GuaranteeViolations::count(&servers, &calls);
 
-    assert!(figures.is_empty(), "{figures:?}");
+    assert!(violations.is_empty(), "{violations:?}");
 }
 
 #[test]
 fn an_order_that_ran_twice_counts_and_a_lookup_does_not() {
-    let mut lookup = executed("s1", "a/2", 30);
+    let mut lookup = execution("s1", "a/2", 30);
     lookup.class = RequestClass::Lookup;
     let twice = vec![
-        executed("s1", "a/1", 10),
-        executed("s2", "a/1", 20),
+        execution("s1", "a/1", 10),
+        execution("s2", "a/1", 20),
         lookup.clone(),
         lookup,
     ];
 
-    let figures = GuaranteeViolations::count(&log(twice, vec![]), &[]);
+    let violations = GuaranteeViolations::count(&log(twice, vec![]), &[]);
 
-    assert_eq!(figures.doubled, 1);
+    assert_eq!(violations.doubled, 1);
 }
 
-// A caller that resends asks what became of its order: "not run" is false
-// of the second attempt when the first has run. It is true of a first
-// attempt when only a later one runs, and never when there is none.
+// A caller that resends asks for the outcome of its order: "not run" is false
+// for the second attempt if the first has run. It is true for a first attempt
+// if only a later one runs, and always false if there is no other attempt.
 #[test]
 fn a_denied_request_that_ran_counts() {
     let ids = [("a/1", 10), ("a/2", 20), ("a/3", 90), ("a/4", 90)];
-    let ran = ids.map(|(id, start)| executed("s1", id, start)).to_vec();
+    let ran = ids.map(|(id, start)| execution("s1", id, start)).to_vec();
     let calls = [
-        called("a/1", 5, not_run("queue-full")),
-        called("a/2", 5, unknown()),
-        called("a/2", 25, not_run("queue-full")),
-        called("a/3", 5, not_run("queue-full")),
-        called("a/3", 80, unknown()),
-        called("a/4", 5, not_run("queue-full")),
+        call("a/1", 5, denied("queue-full")),
+        call("a/2", 5, unknown()),
+        call("a/2", 25, denied("queue-full")),
+        call("a/3", 5, denied("queue-full")),
+        call("a/3", 80, unknown()),
+        call("a/4", 5, denied("queue-full")),
     ];
 
-    let figures = GuaranteeViolations::count(&log(ran, vec![]), &calls);
+    let violations = GuaranteeViolations::count(&log(ran, vec![]), &calls);
 
-    assert_eq!(figures.not_run_but_ran, 3);
+    assert_eq!(violations.not_run_but_ran, 3);
 }
 
 #[test]
 fn overlapping_owners_count() {
-    let mut stale = executed("s1", "a/2", 60);
+    let mut stale = execution("s1", "a/2", 60);
     stale.token = token(0);
     let mut elsewhere = stale.clone();
     elsewhere.domain = text("e");
     let cases = [
-        ("two hold", vec![], vec![held("s1", 0, 50), held("s2", 49, 90)], 1),
-        ("in turn", vec![], vec![held("s1", 0, 50), held("s2", 50, 90)], 0),
+        ("two hold", vec![], vec![grant("s1", 0, 50), grant("s2", 49, 90)], 1),
+        ("in turn", vec![], vec![grant("s1", 0, 50), grant("s2", 50, 90)], 0),
         (
             "work on another's slice",
-            vec![executed("s1", "a/1", 60)],
-            vec![held("s1", 0, 50), held("s2", 50, 90)],
+            vec![execution("s1", "a/1", 60)],
+            vec![grant("s1", 0, 50), grant("s2", 50, 90)],
             1,
         ),
         (
             "work under an older token",
-            vec![executed("s2", "a/1", 50), stale],
+            vec![execution("s2", "a/1", 50), stale],
             vec![],
             1,
         ),
         (
             "work in another domain, whose terms count by themselves",
-            vec![executed("s2", "a/1", 50), elsewhere],
+            vec![execution("s2", "a/1", 50), elsewhere],
             vec![],
             0,
         ),
-        ("a hold again", vec![], vec![held("s1", 0, 9), held("s1", 5, 9)], 0),
+        (
+            "a hold again",
+            vec![],
+            vec![grant("s1", 0, 9), grant("s1", 5, 9)],
+            0,
+        ),
     ];
     for (name, executions, holds, expected) in cases {
-        let figures = GuaranteeViolations::count(&log(executions, holds), &[]);
+        let violations =
+            GuaranteeViolations::count(&log(executions, holds), &[]);
 
-        assert_eq!(figures.owner_overlaps, expected, "{name}");
+        assert_eq!(violations.owner_overlaps, expected, "{name}");
     }
 }
 
 #[test]
-fn wrong_and_cut_answers_count() {
+fn wrong_and_cut_responses_count() {
     let answer = |answer| CallOutcome::Done { answer };
     let calls = [
-        called("a/1", 0, answer(AnswerCheck::Wrong)),
-        called("a/2", 0, answer(AnswerCheck::Cut)),
-        called("a/3", 0, answer(AnswerCheck::Cut)),
+        call("a/1", 0, answer(AnswerCheck::Wrong)),
+        call("a/2", 0, answer(AnswerCheck::Cut)),
+        call("a/3", 0, answer(AnswerCheck::Cut)),
     ];
 
-    let figures = GuaranteeViolations::count(&ServerLog::default(), &calls);
+    let violations = GuaranteeViolations::count(&ServerLog::default(), &calls);
 
-    assert_eq!((figures.wrong_answers, figures.cut_answers), (1, 2));
+    assert_eq!((violations.wrong_answers, violations.cut_answers), (1, 2));
 }
 
 #[test]
-fn a_key_is_unavailable_from_the_first_failure_to_the_next_answer() {
+fn a_key_is_unavailable_from_the_first_failure_to_the_next_response() {
     let calls = [
-        called("a/1", 0, done(1)),
-        called("a/2", 100, not_run("no-owner")),
-        called("a/3", 200, unknown()),
-        called("a/4", 300, not_run("queue-full")),
-        called("a/5", 400, done(2)),
-        called("a/6", 500, not_run("no-owner")),
-        called("a/7", 600, not_run("no-owner")),
+        call("a/1", 0, done(1)),
+        call("a/2", 100, denied("no-owner")),
+        call("a/3", 200, unknown()),
+        call("a/4", 300, denied("queue-full")),
+        call("a/5", 400, done(2)),
+        call("a/6", 500, denied("no-owner")),
+        call("a/7", 600, denied("no-owner")),
     ];
 
     let time = unavailable_time(&calls);
@@ -215,7 +222,7 @@
 #[test]
 fn moves_are_counted_and_moves_back_are_needless() {
     let holds =
-        vec![held("s1", 0, 50), held("s2", 50, 90), held("s1", 90, 120)];
+        vec![grant("s1", 0, 50), grant("s2", 50, 90), grant("s1", 90, 120)];
     let drained: BTreeSet<String> = ["s1".to_owned()].into_iter().collect();
     let log = log(vec![], holds);
 
@@ -228,7 +235,7 @@
 
 #[test]
 fn imbalance_counts_idle_servers() {
-    let work = [executed("s1", "a/1", 0), executed("s1", "a/2", 20)];
+    let work = [execution("s1", "a/1", 0), execution("s1", "a/2", 20)];
     let servers: BTreeMap<String, usize> =
         [("stock".to_owned(), 4)].into_iter().collect();
 
@@ -237,13 +244,13 @@
     assert!((ratio - 4.0).abs() < 1e-9, "{ratio}");
 }
 
-// Two owners at once work from caches of their own: both add one to the
-// same value, and both tell the same result. Where one outcome is unknown,
-// the order may have run, early or late.
+// Two concurrent owners work from their own caches: both increment the same
+// value and return the same result. An order with an unknown outcome may have
+// run, early or late.
 #[test]
 fn a_history_that_no_single_owner_produces_is_found() {
-    let add = |id, sent, value| called(id, sent, done(value));
-    let mut read = called("a/9", 90, done(2));
+    let add = |id, sent, value| call(id, sent, done(value));
+    let mut read = call("a/9", 90, done(2));
     read.class = RequestClass::Lookup;
     let cases = [
         ("in turn", vec![add("a/1", 0, 1), add("a/2", 10, 2)], true),
@@ -251,17 +258,17 @@
         ("never seen", vec![add("a/1", 0, 1), read.clone()], false),
         (
             "the unknown one ran",
-            vec![add("a/1", 0, 1), called("a/2", 10, unknown()), read.clone()],
+            vec![add("a/1", 0, 1), call("a/2", 10, unknown()), read.clone()],
             true,
         ),
         (
             "the unknown one did not run",
-            vec![called("a/1", 0, unknown()), add("a/2", 10, 1)],
+            vec![call("a/1", 0, unknown()), add("a/2", 10, 1)],
             true,
         ),
         (
             "the denied one ran",
-            vec![add("a/1", 0, 1), called("a/2", 5, not_run("x")), read],
+            vec![add("a/1", 0, 1), call("a/2", 5, denied("x")), read],
             false,
         ),
     ];
--- a/goldcrestramp-standins/tests/history.rs
+++ b/goldcrestramp-standins/tests/history.rs
@@ -1,4 +1,4 @@
-//! The check of histories against a search over all orders of the calls.
+//! Compares the check of histories with a search over all orders of the calls.
 
 use std::sync::Arc;
 
@@ -10,11 +10,12 @@
 use proptest::{prelude::*, test_runner::RngSeed};
 use todc_utils::{Action, History, Specification, WGLChecker};
 
-/// A key's value: orders add one and tell the result, lookups read.
+/// The sequential model of a key: orders increment and return the result,
+/// lookups read.
 #[derive(Debug)]
 struct KeyRegister;
 
-/// What one call did to a key, as far as its caller was told.
+/// The effect of one call on a key, as far as its caller knows.
 #[derive(Clone, Copy, Debug)]
 enum KeyOperation {
     Read(u64),
@@ -39,10 +40,10 @@
     }
 }
 
-/// One drawn call: what it did, when it was sent, how long it took.
-type DrawnCall = (KeyOperation, u64, u64);
+/// One random call: its effect, send time and duration.
+type RandomCall = (KeyOperation, u64, u64);
 
-fn drawn_call() -> impl Strategy<Value = DrawnCall> {
+fn random_call() -> impl Strategy<Value = RandomCall> {
     let operation = prop_oneof![
         (0_u64..4).prop_map(KeyOperation::Read),
         (0_u64..5).prop_map(KeyOperation::Added),
@@ -51,12 +52,12 @@
     (operation, 0_u64..20, 0_u64..12)
 }
 
-fn entry(number: usize, (operation, sent, span): DrawnCall) -> CallEntry {
-    let whole =
+fn entry(number: usize, (operation, sent, span): RandomCall) -> CallEntry {
+    let complete =
         |value| CallOutcome::Done { answer: AnswerCheck::Whole { value } };
     let (class, outcome) = match operation {
-        KeyOperation::Read(value) => (RequestClass::Lookup, whole(value)),
-        KeyOperation::Added(value) => (RequestClass::Order, whole(value)),
+        KeyOperation::Read(value) => (RequestClass::Lookup, complete(value)),
+        KeyOperation::Added(value) => (RequestClass::Order, complete(value)),
         KeyOperation::MayHaveAdded => {
             let reason = Arc::from("server-lost");
             (RequestClass::Order, CallOutcome::Unknown { reason })
@@ -75,8 +76,8 @@
     }
 }
 
-/// Whether any order of the calls within their times is one register's.
-fn search(calls: &[DrawnCall]) -> bool {
+/// Whether some order of the calls within their intervals is linearizable.
+fn search(calls: &[RandomCall]) -> bool {
     let mut actions = Vec::new();
     for (number, (operation, sent, span)) in calls.iter().enumerate() {
         let open = matches!(operation, KeyOperation::MayHaveAdded);
@@ -101,8 +102,8 @@
     })]
 
     #[test]
-    fn the_pass_finds_what_a_search_finds(
-        calls in prop::collection::vec(drawn_call(), 1..7),
+    fn the_check_agrees_with_a_search(
+        calls in prop::collection::vec(random_call(), 1..7),
     ) {
         let entries: Vec<_> =
             calls.iter().copied().enumerate().map(|(n, c)| entry(n, c)).collect();
@@ -113,28 +114,29 @@
     }
 }
 
-/// An order's answer is lost, another order follows, and the first is sent
-/// again: its caller is told the result that it had, which is no second
-/// order. Were it one, the value of the other would have been skipped.
+/// The response to an order is lost, another order follows, and the first one
+/// is resent: its caller receives the first result, which is not a second
+/// order. If the resend were counted as an order, the other order's value
+/// would be missing.
 #[test]
 fn attempts_of_one_order_are_one_operation() {
     let second = KeyOperation::Added(2);
     let first = entry(1, (KeyOperation::MayHaveAdded, 0, 5));
-    let again = entry(1, (KeyOperation::Added(1), 20, 5));
-    let twice = entry(1, (KeyOperation::Added(3), 20, 5));
+    let resend = entry(1, (KeyOperation::Added(1), 20, 5));
+    let second_run = entry(1, (KeyOperation::Added(3), 20, 5));
     let other = entry(2, (second, 10, 5));
 
-    let once = unlinearizable_keys(&[first.clone(), other.clone(), again]);
-    let doubled = unlinearizable_keys(&[first, other, twice]);
+    let once = unlinearizable_keys(&[first.clone(), other.clone(), resend]);
+    let doubled = unlinearizable_keys(&[first, other, second_run]);
 
     assert_eq!(once, Vec::<String>::new());
     assert_eq!(doubled, ["stock/k"]);
 }
 
-/// Hundreds of calls of one key, most of them without an outcome, and a
-/// read that nobody can have written: the verdict comes at once.
+/// Guards against exponential time: hundreds of calls of one key, most without
+/// an outcome, and a read of a value that nobody can have written.
 #[test]
-fn a_long_broken_history_is_judged_at_once() {
+fn a_long_broken_history_is_checked_quickly() {
     let open = (0..400).map(|n| (KeyOperation::MayHaveAdded, n, 300));
     let read = (KeyOperation::Read(401), 500, 1);
     let calls = open.chain([read]).enumerate();
--- a/goldcrestramp-standins/tests/load.rs
+++ b/goldcrestramp-standins/tests/load.rs
@@ -1,4 +1,5 @@
-//! The load tool: bounded, open-loop, and honest about latency.
+//! Tests of the load generator: bounded, open-loop, with latency from the
+//! intended send time.
 
 use std::{
     net::SocketAddr,
@@ -18,8 +19,8 @@
 use goldcrestramp_types::RequestClass;
 use warp::{Filter, Reply, http::HeaderMap, reply::Response};
 
-/// How long the slow gateway holds every answer back.
-const HOLD: Duration = Duration::from_millis(200);
+/// The delay of every response of the slow gateway.
+const RESPONSE_DELAY: Duration = Duration::from_millis(200);
 
 fn stream() -> LoadStream {
     LoadStream {
@@ -50,21 +51,22 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// A gateway that answers every lookup rightly, after a while.
+/// A gateway that responds correctly to every lookup, after a delay.
 async fn slow_gateway() -> ListenerHandle {
     let route = warp::path!("v1" / String / String)
         .and(warp::header::headers_cloned())
         .then(
             |_service: String, key: String, headers: HeaderMap| async move {
-                tokio::time::sleep(HOLD).await;
-                answer(&key, &headers)
+                tokio::time::sleep(RESPONSE_DELAY).await;
+                respond(&key, &headers)
             },
         );
-    ListenerHandle::bind(loopback(), route).await.expect("a port")
+    ListenerHandle::bind(loopback(), route).await.expect("port is free")
 }
 
-fn answer(key: &str, headers: &HeaderMap) -> Response {
-    let text = |name| headers[name].to_str().expect("text").to_owned();
+fn respond(key: &str, headers: &HeaderMap) -> Response {
+    let text =
+        |name| headers[name].to_str().expect("header is text").to_owned();
     let caller = text("goldcrestramp-caller");
     let id = format!("{caller}/{}", text("goldcrestramp-request"));
     let body = AnswerPattern::new(&id, key, 0, 20).complete().to_vec();
@@ -88,9 +90,9 @@
 }
 
 #[tokio::test]
-async fn a_plan_that_is_not_bounded_is_refused() {
-    let local = "127.0.0.1:1".parse().expect("an address");
-    let remote: SocketAddr = "192.0.2.1:80".parse().expect("an address");
+async fn an_unbounded_plan_is_rejected() {
+    let local = "127.0.0.1:1".parse().expect("address parses");
+    let remote: SocketAddr = "192.0.2.1:80".parse().expect("address parses");
     let no_rate = LoadStream { requests_per_s: 0.0, ..stream() };
     let cases = [
         (plan(remote), PlanError::Remote(remote)),
@@ -107,20 +109,20 @@
     for (plan, expected) in cases {
         let refused = run_load(&plan, Arc::default()).await;
 
-        assert_eq!(refused.expect_err("refused"), expected);
+        assert_eq!(refused.expect_err("plan is rejected"), expected);
     }
 }
 
-// A hundred lookups a second and 200 ms an answer: an open loop sends
-// on time all the same, and has about twenty under way.
+// Guards against a closed loop, in which slow responses delay arrivals. At 100
+// lookups a second and 200 ms a response, about twenty requests are in flight.
 #[tokio::test]
-async fn arrivals_do_not_wait_for_answers() {
+async fn arrivals_do_not_wait_for_responses() {
     let gateway = slow_gateway().await;
     let progress = Arc::new(LoadProgress::default());
 
     let plan = plan(gateway.address());
     let calls = run_load(&plan, Arc::clone(&progress)).await;
-    let calls = calls.expect("a bounded plan");
+    let calls = calls.expect("plan is bounded");
 
     let report = LoadReport::new(&calls, vec![]);
     assert!(report.requests > 50, "{report:?}");
@@ -131,26 +133,27 @@
     assert!(figures.is_empty(), "{figures:?}");
 }
 
-// More than the run may have under way is counted, never waited for.
+// Requests beyond the maximum in flight are counted and never wait.
 #[tokio::test]
-async fn a_full_load_tool_says_so() {
+async fn requests_beyond_the_limit_in_flight_are_counted() {
     let gateway = slow_gateway().await;
 
     let plan = LoadPlan { under_way: 1, ..plan(gateway.address()) };
-    let calls = run_load(&plan, Arc::default()).await.expect("a plan");
+    let calls =
+        run_load(&plan, Arc::default()).await.expect("plan is bounded");
 
     let report = LoadReport::new(&calls, vec![]);
     assert!(report.not_run["load-full"] > 0, "{report:?}");
 }
 
-// A request that was meant for the start and answered two seconds later
-// took two seconds, whenever it was really sent.
+// A request that was due at the start and completed two seconds later took two
+// seconds, whenever it was actually sent.
 #[test]
-fn latency_counts_from_the_intended_moment() {
-    let whole = CallOutcome::Done {
-        answer: goldcrestramp_standins::AnswerCheck::Whole { value: 0 },
+fn latency_is_measured_from_the_intended_send_time() {
+    let complete = CallOutcome::Done {
+        respond: goldcrestramp_standins::AnswerCheck::Whole { value: 0 },
     };
-    let calls = [CallEntry { outcome: whole, ..call("stock", 0, 2_000) }];
+    let calls = [CallEntry { outcome: complete, ..call("stock", 0, 2_000) }];
 
     let report = LoadReport::new(&calls, vec![]);
 
@@ -158,15 +161,16 @@
 }
 
 #[test]
-fn a_run_is_saved_drawn_and_compared() {
+fn a_run_can_be_saved_plotted_and_compared() {
     let calls = [call("stock", 0, 10), call("stock", 1_500, 1_510)];
     let name = "server-loss".to_owned();
     let mark = FaultMark { name, second: 1 };
 
     let report = LoadReport::new(&calls, vec![mark]);
-    let saved = serde_json::to_string(&report).expect("JSON");
-    let read: LoadReport = serde_json::from_str(&saved).expect("a report");
-    let picture = plot_report(&read).expect("a picture");
+    let saved = serde_json::to_string(&report).expect("report serializes");
+    let read: LoadReport =
+        serde_json::from_str(&saved).expect("report parses");
+    let picture = plot_report(&read).expect("report is plotted");
     let table = compare_reports(&report, &read);
 
     assert_eq!(read, report);
--- a/goldcrestramp-standins/tests/platform.rs
+++ b/goldcrestramp-standins/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's client against a platform that fails.
+//! Tests of the platform's client against a platform with faults.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -14,17 +14,17 @@
 
 async fn platform() -> (PlatformStandin, PlatformClient) {
     let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-    let standin = PlatformStandin::bind(any).await.expect("a free port");
+    let standin = PlatformStandin::bind(any).await.expect("port is free");
     let base = format!("http://{}", standin.address());
-    let client = PlatformClient::open(&base).expect("a client");
+    let client = PlatformClient::open(&base).expect("URL is valid");
     (standin, client)
 }
 
 fn vm(name: &str) -> VmEntry {
     VmEntry {
-        name: VmName::new(name).expect("a valid name"),
-        domain: DomainName::new("sierra-a").expect("a valid name"),
-        region: RegionName::new("sierra").expect("a valid name"),
+        name: VmName::new(name).expect("name is valid"),
+        domain: DomainName::new("sierra-a").expect("name is valid"),
+        region: RegionName::new("sierra").expect("name is valid"),
         address: "127.0.0.1:7001".to_owned(),
         state: VmState::Live,
     }
@@ -39,8 +39,8 @@
     client.put("key", condition, value, None).await
 }
 
-/// Reads until the platform answers.
-async fn read_again(client: &PlatformClient) -> Option<Bytes> {
+/// Reads until the platform responds.
+async fn read_until_success(client: &PlatformClient) -> Option<Bytes> {
     loop {
         if let Ok(found) = client.get("key").await {
             return found.map(|stored| stored.value);
@@ -52,12 +52,12 @@
     PlatformFaults { outage: kind, ..PlatformFaults::default() }
 }
 
-/// An operator's ticket is accepted, but its answer is lost on the way: by
-/// a cut connection, or by an intermediary that answers 502. Taken for a
-/// failure, it would be sent again under another number and be in force
-/// twice. Read back, it is told as written.
+/// Guards against applying an operator's ticket twice. The ticket is accepted,
+/// but the response is lost: the connection is closed, or an intermediary
+/// responds with 502. If the write counted as failed, it would be retried
+/// under another number. Reading it back reports it as written.
 #[tokio::test]
-async fn a_write_whose_answer_is_lost_is_read_back() {
+async fn a_write_whose_response_is_lost_is_read_back() {
     for loss in [LossKind::Cut, LossKind::BadGateway] {
         let (standin, client) = platform().await;
         let faults =
@@ -65,40 +65,41 @@
         standin.set_faults(faults);
 
         let lost = put(&client, PutCondition::Absent, "one").await;
-        let found = client.get("key").await.expect("a read");
-        let version = found.expect("the write took effect").version;
+        let found = client.get("key").await.expect("key is readable");
+        let version = found.expect("write took effect").version;
         let condition = PutCondition::Version(version);
         let value = Bytes::from_static(b"two");
-        let fate = settle_write(&client, "key", condition, value, None).await;
+        let outcome =
+            settle_write(&client, "key", condition, value, None).await;
 
         assert!(matches!(lost, Err(StoreError::Unknown(_))), "{lost:?}");
-        assert!(matches!(fate, Ok(WriteFate::Written(_))), "{fate:?}");
+        assert!(matches!(outcome, Ok(WriteFate::Written(_))), "{outcome:?}");
     }
 }
 
-/// A refused connection certainly had no effect; the same port serves
-/// again once the outage ends, with what was stored before.
+/// A refused connection certainly had no effect. After the outage the same
+/// port serves again, with the values stored before.
 #[tokio::test]
-async fn an_outage_refuses_and_then_ends() {
+async fn an_outage_refuses_calls_until_it_ends() {
     let (standin, client) = platform().await;
-    put(&client, PutCondition::Absent, "one").await.expect("written");
+    put(&client, PutCondition::Absent, "one").await.expect("value is written");
 
     standin.set_faults(outage(OutageKind::Refuse));
-    // A call on the pooled connection, which is cut, is unknown; the next
-    // one meets the closed port.
+    // A call on the pooled connection, which is closed, has an unknown
+    // outcome; the next call finds the closed port.
     let mut refused = put(&client, PutCondition::Absent, "two").await;
     while matches!(refused, Err(StoreError::Unknown(_))) {
         refused = put(&client, PutCondition::Absent, "two").await;
     }
     standin.set_faults(PlatformFaults::default());
-    let value = read_again(&client).await;
+    let value = read_until_success(&client).await;
 
     assert!(matches!(refused, Err(StoreError::Unavailable(_))), "{refused:?}");
     assert_eq!(value, Some(Bytes::from_static(b"one")));
 }
 
-/// A hanging platform gives no answer: a read is known to have failed, a
-/// write is not known to have had no effect.
+/// A hanging platform never responds: a read has certainly failed, while a
+/// write may have taken effect.
 #[tokio::test]
 async fn a_hanging_platform_leaves_a_write_unknown() {
     let (standin, client) = platform().await;
@@ -113,8 +114,8 @@
     assert!(matches!(write, Err(StoreError::Unknown(_))), "{write:?}");
 }
 
-/// Calls beyond the rate are refused and had no effect; the count tells
-/// how many of each kind were taken.
+/// Calls beyond the rate are refused and have no effect; the counters show how
+/// many of each kind were accepted.
 #[tokio::test]
 async fn calls_beyond_the_rate_are_refused() {
     let (standin, client) = platform().await;
@@ -137,8 +138,8 @@
     assert_eq!(client.counts().get(CallKind::Read), 2);
 }
 
-/// The platform is restored from a copy: values and versions are the older
-/// ones again, and a waiting watch is told so.
+/// After a restore from a snapshot, values and versions are the older ones
+/// again, and a waiting watch reports it.
 #[tokio::test]
 async fn a_restore_brings_older_versions_back() {
     let (standin, client) = platform().await;
@@ -156,22 +157,22 @@
     let restore = async { standin.restore() };
     let (seen, ()) = tokio::join!(watch, restore);
 
-    let seen = seen.expect("a read").expect("a change");
+    let seen = seen.expect("key is readable").expect("key has a value");
     assert_eq!(seen.version, first);
     assert_eq!(seen.value, Bytes::from_static(b"one"));
     assert!(first < second);
 }
 
 #[tokio::test]
-async fn a_value_goes_with_its_lease() {
+async fn a_value_is_removed_with_its_lease() {
     let (_standin, client) = platform().await;
     let lease = client.lease(TimeSpan::from_millis(60_000)).await;
-    let lease = lease.expect("a lease");
+    let lease = lease.expect("lease is granted");
     let value = Bytes::from_static(b"holder");
     let put = client.put("key", PutCondition::Absent, value, Some(lease));
-    put.await.expect("written");
+    put.await.expect("value is written");
 
-    client.end(lease).await.expect("ended");
+    client.end(lease).await.expect("lease is ended");
 
     assert_eq!(client.get("key").await, Ok(None));
     assert_eq!(client.renew(lease).await, Ok(false));
@@ -195,31 +196,31 @@
         vm_lag_ms: 3_600_000,
         ..PlatformFaults::default()
     });
-    let late = client.vms().await;
+    let lagging = client.vms().await;
 
     assert_eq!(true_list, Ok(vec![vm("vm-1"), vm("vm-2")]));
     assert_eq!(wrong, Ok(vec![vm("vm-2"), vm("ghost")]));
-    assert_eq!(late, Ok(vec![]));
+    assert_eq!(lagging, Ok(vec![]));
 }
 
-/// Faults can be set over HTTP, at an address that no outage reaches.
+/// Faults can be set over HTTP, at an address that no outage affects.
 #[tokio::test]
 async fn faults_are_set_over_http_also_during_an_outage() {
     let (standin, client) = platform().await;
-    put(&client, PutCondition::Absent, "one").await.expect("written");
+    put(&client, PutCondition::Absent, "one").await.expect("value is written");
     let http = reqwest::Client::new();
     let url = format!("http://{}/faults", standin.admin_address());
     let set = async |faults: &PlatformFaults| {
-        let answer = http.post(&url).json(faults).send().await;
-        answer.expect("an answer").status().is_success()
+        let response = http.post(&url).json(faults).send().await;
+        response.expect("platform responds").status().is_success()
     };
 
-    let broken = set(&outage(OutageKind::Refuse)).await;
+    let fault_set = set(&outage(OutageKind::Refuse)).await;
     let during = client.get("key").await;
-    let mended = set(&PlatformFaults::default()).await;
-    let after = read_again(&client).await;
+    let fault_cleared = set(&PlatformFaults::default()).await;
+    let after = read_until_success(&client).await;
 
-    assert!(broken && mended);
+    assert!(fault_set && fault_cleared);
     assert!(matches!(during, Err(StoreError::Unavailable(_))), "{during:?}");
     assert_eq!(after, Some(Bytes::from_static(b"one")));
 }
--- a/goldcrestramp-standins/tests/server.rs
+++ b/goldcrestramp-standins/tests/server.rs
@@ -1,4 +1,4 @@
-//! The stand-in server, met as a keeper meets it.
+//! Tests of the stand-in server, called as a keeper calls it.
 
 use std::{
     net::SocketAddr,
@@ -20,19 +20,19 @@
 use reqwest::{Client, RequestBuilder, Response, StatusCode};
 
 const KEY: &str = "shop-17";
-/// The same, percent-encoded as a keeper sends it.
+/// `KEY`, percent-encoded as a keeper sends it.
 const ENCODED_KEY: &str = "shop%2D17";
 const LONG_GRANT: TimeSpan = TimeSpan::from_millis(60_000);
 const SHORT_GRANT: TimeSpan = TimeSpan::from_millis(100);
 
-/// A server with its one granted slice.
-struct Granted {
+/// A server with one granted slice.
+struct GrantedServer {
     server: ServerStandin,
     client: Client,
     reply: GrantReply,
 }
 
-impl Granted {
+impl GrantedServer {
     fn url(&self, path: &str) -> String {
         format!("http://{}/{path}", self.server.address())
     }
@@ -51,7 +51,7 @@
     }
 
     async fn send(&self, id: &str, class: &str) -> Response {
-        self.run(id, class).send().await.expect("an answer")
+        self.run(id, class).send().await.expect("server responds")
     }
 
     async fn state(&self, method: &str, id: &str) -> RequestState {
@@ -61,8 +61,9 @@
             "cancel" => self.client.post(url),
             _ => self.client.get(url),
         };
-        let answer = request.send().await.expect("an answer");
-        let report: RequestReport = answer.json().await.expect("a report");
+        let response = request.send().await.expect("server responds");
+        let report: RequestReport =
+            response.json().await.expect("report parses");
         report.state
     }
 }
@@ -77,48 +78,49 @@
     order: &GrantOrder,
 ) -> GrantReply {
     let url = format!("http://{address}/grant");
-    let answer = client.post(url).json(order).send().await;
-    answer.expect("an answer").json().await.expect("a reply")
+    let response = client.post(url).json(order).send().await;
+    response.expect("server responds").json().await.expect("reply parses")
 }
 
-/// A server that holds slice 7 for `span`.
-async fn granted(behaviour: ServerBehaviour, span: TimeSpan) -> Granted {
+/// Binds a server that holds slice 7 for `span`.
+async fn granted(behaviour: ServerBehaviour, span: TimeSpan) -> GrantedServer {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let server = ServerStandin::bind(any, behaviour).await.expect("a port");
+    let server =
+        ServerStandin::bind(any, behaviour).await.expect("port is free");
     let client = Client::new();
-    let asked = GrantOrder::default();
-    let known = grant(&client, server.address(), &asked).await;
+    let query = GrantOrder::default();
+    let instance = grant(&client, server.address(), &query).await;
     let order = GrantOrder {
-        service: Some("stock".to_owned().try_into().expect("a name")),
+        service: Some("stock".to_owned().try_into().expect("name is valid")),
         token: token(1),
         slices: Some(slices()),
-        deadline: known.clock + span,
-        run: known.run,
+        deadline: instance.clock + span,
+        run: instance.run,
         ..GrantOrder::default()
     };
     let reply = grant(&client, server.address(), &order).await;
     assert!(reply.accepted);
-    Granted { server, client, reply }
+    GrantedServer { server, client, reply }
 }
 
 fn slices() -> SliceSet {
     SliceIndex::new(7).into_iter().collect()
 }
 
-/// Long enough that a test can act while the work goes on.
+/// Work that is long enough for a test to act before it ends.
 fn slow_work() -> ServerBehaviour {
     let work = WorkTimes::fixed(400);
     ServerBehaviour { work, slots: 1, ..ServerBehaviour::default() }
 }
 
-fn refused_before_start(answer: &Response) -> bool {
-    let started = answer.headers().get(HEADER_STARTED);
+fn refused_before_start(response: &Response) -> bool {
+    let started = response.headers().get(HEADER_STARTED);
     started.is_some_and(|value| value == "not-started")
 }
 
-/// Whether the whole body came, and what a caller finds in it.
-async fn look(answer: Response, id: &str) -> Option<AnswerCheck> {
-    let body = answer.bytes().await.ok()?;
+/// Reads the body and checks it as a caller does; `None` if it broke off.
+async fn check_body(response: Response, id: &str) -> Option<AnswerCheck> {
+    let body = response.bytes().await.ok()?;
     Some(check_answer(&body, id, KEY))
 }
 
@@ -131,19 +133,20 @@
     let lookup = granted.send("a/3", "lookup").await;
     let long = granted.send("a/4", "long").await;
 
-    let whole = |value| Some(AnswerCheck::Whole { value });
-    assert_eq!(look(first, "a/1").await, whole(1));
-    assert_eq!(look(second, "a/2").await, whole(2));
-    assert_eq!(look(lookup, "a/3").await, whole(2));
-    assert_eq!(look(long, "a/4").await, whole(2));
+    let complete = |value| Some(AnswerCheck::Whole { value });
+    assert_eq!(check_body(first, "a/1").await, complete(1));
+    assert_eq!(check_body(second, "a/2").await, complete(2));
+    assert_eq!(check_body(lookup, "a/3").await, complete(2));
+    assert_eq!(check_body(long, "a/4").await, complete(2));
     assert_eq!(granted.server.log().executions.len(), 4);
     assert_eq!(granted.server.log().holds.len(), 1);
 }
 
-// A caller's work waits in the socket of a frozen server until its grant
-// has lapsed. On waking the server refuses it: another may own the key.
+// A request waits in the socket of a frozen server until the server's grant
+// has expired. After the thaw the server refuses it, because another server
+// may own the key.
 #[tokio::test]
-async fn work_that_outlived_the_grant_in_a_frozen_server_never_starts() {
+async fn a_frozen_server_does_not_start_work_after_its_grant_expired() {
     let granted = granted(ServerBehaviour::default(), SHORT_GRANT).await;
 
     granted.server.freeze();
@@ -151,43 +154,45 @@
     tokio::time::sleep(SHORT_GRANT.to_std() * 2).await;
     let silent = !waiting.is_finished();
     granted.server.thaw();
-    let answer = waiting.await.expect("no panic").expect("an answer");
+    let response =
+        waiting.await.expect("task does not panic").expect("server responds");
 
     assert!(silent);
-    assert!(refused_before_start(&answer));
+    assert!(refused_before_start(&response));
     assert_eq!(granted.server.log().executions, []);
 }
 
-// The same with a server that ignores its grant: the log shows it.
+// The same with a server that ignores its grant: its log shows the violation.
 #[tokio::test]
-async fn a_server_that_ignores_the_fence_runs_everything() {
+async fn a_server_that_ignores_the_fence_runs_every_request() {
     let granted = granted(ServerBehaviour::default(), SHORT_GRANT).await;
     let faults =
         ServerFaults { ignores_fence: true, ..ServerFaults::default() };
 
     granted.server.set_faults(faults);
     tokio::time::sleep(SHORT_GRANT.to_std() * 2).await;
-    let answer = granted.send("a/1", "order").await;
+    let response = granted.send("a/1", "order").await;
 
-    assert_eq!(answer.status(), StatusCode::OK);
+    assert_eq!(response.status(), StatusCode::OK);
     let log = granted.server.log();
     assert!(log.executions[0].started > log.holds[0].until);
 }
 
 // A server with one slot refuses a second request before its start, and
-// tells a keeper that asks what became of each.
+// reports the state of each request to a keeper.
 #[tokio::test]
-async fn slots_are_bounded_and_states_are_told() {
+async fn slots_are_bounded_and_request_states_are_reported() {
     let granted = granted(slow_work(), LONG_GRANT).await;
 
     let first = tokio::spawn(granted.run("a/1", "order").send());
     let limit = Instant::now() + Duration::from_mins(1);
     while granted.state("request", "a/1").await != RequestState::Running {
-        assert!(Instant::now() < limit, "the request never ran");
+        assert!(Instant::now() < limit, "request does not start");
     }
     let second = granted.send("a/2", "order").await;
     let unseen = granted.state("request", "a/2").await;
-    let first = first.await.expect("no panic").expect("an answer");
+    let first =
+        first.await.expect("task does not panic").expect("server responds");
     let ended = granted.state("request", "a/1").await;
     let kept = granted.client.get(granted.url("answer/a%2F1")).send().await;
 
@@ -195,14 +200,18 @@
     assert!(refused_before_start(&second));
     assert_eq!(unseen, RequestState::NotSeen);
     assert_eq!(ended, RequestState::Ended);
-    let kept = kept.expect("an answer").bytes().await.expect("a body");
-    assert_eq!(kept, first.bytes().await.expect("a body"));
+    let kept = kept
+        .expect("server responds")
+        .bytes()
+        .await
+        .expect("body is complete");
+    assert_eq!(kept, first.bytes().await.expect("body is complete"));
 }
 
-// A request that is cancelled before it arrives never starts; a running
-// order goes on, a running download is broken off.
+// A request that is cancelled before it arrives never starts; a running order
+// continues, a running download is broken off.
 #[tokio::test]
-async fn cancellation_keeps_what_it_says() {
+async fn cancellation_prevents_starts_and_breaks_off_downloads() {
     let granted = granted(slow_work(), LONG_GRANT).await;
 
     let early = granted.state("cancel", "a/1").await;
@@ -214,14 +223,14 @@
     assert_eq!(early, RequestState::NotStarted);
     assert!(refused_before_start(&late));
     assert_eq!(running, RequestState::Running);
-    broken.expect_err("a connection that broke off");
+    broken.expect_err("connection is closed");
     assert_eq!(granted.server.log().executions.len(), 1);
 }
 
-// Each fault of an answer, as the one who reads it finds it: `None` is a
-// connection that broke off before the end.
+// Each fault of a response, as its reader sees it: `None` is a connection that
+// was closed before the end.
 #[tokio::test]
-async fn faulty_answers_are_told_from_whole_ones() {
+async fn faulty_responses_are_distinguished_from_complete_ones() {
     let crossed = ServerFaults { crossed: 1, ..ServerFaults::default() };
     let truncated = ServerFaults { truncated: 1, ..ServerFaults::default() };
     let shortened = ServerFaults { shortened: 1, ..ServerFaults::default() };
@@ -238,16 +247,16 @@
         for (faults, expected) in &cases {
             granted.server.set_faults(faults.clone());
 
-            let answer = granted.send("a/1", class).await;
-            let found = look(answer, "a/1").await;
+            let response = granted.send("a/1", class).await;
+            let found = check_body(response, "a/1").await;
 
             assert_eq!(found, *expected, "{class} {faults:?}");
         }
     }
 }
 
-// Health and load endpoints can say anything; work is refused all the same
-// when the server sheds or leaves.
+// Health and load endpoints can report false values; work is refused all the
+// same if the server sheds or drains.
 #[tokio::test]
 async fn endpoints_can_lie_while_work_is_refused() {
     let granted = granted(ServerBehaviour::default(), LONG_GRANT).await;
@@ -258,25 +267,25 @@
         ..ServerFaults::default()
     };
     let posted = granted.client.post(granted.url("faults")).json(&faults);
-    posted.send().await.expect("an answer");
+    posted.send().await.expect("server responds");
 
     let health = granted.client.get(granted.url("health")).send().await;
     let work = granted.send("a/1", "lookup").await;
 
-    assert_eq!(health.expect("an answer").status(), StatusCode::OK);
+    assert_eq!(health.expect("server responds").status(), StatusCode::OK);
     assert!(refused_before_start(&work));
 }
 
-// A lost server falls silent on open connections and holds nothing more.
+// A lost server is silent on open connections and holds no slices any more.
 #[tokio::test]
 async fn a_lost_server_is_silent() {
     let granted = granted(ServerBehaviour::default(), LONG_GRANT).await;
 
     granted.server.lose();
     let limit = Duration::from_millis(200);
-    let answer = granted.run("a/1", "lookup").timeout(limit).send().await;
+    let response = granted.run("a/1", "lookup").timeout(limit).send().await;
 
-    answer.expect_err("silence");
+    response.expect_err("server is silent");
     let hold = &granted.server.log().holds[0];
     assert!(hold.until.millis_since(hold.from) < LONG_GRANT.as_millis());
     assert!(granted.reply.deadline > ServerTime::default());
