--- a/goldcrestramp-standins/tests/load.rs
+++ b/goldcrestramp-standins/tests/load.rs
@@ -151,7 +151,7 @@
 #[test]
 fn latency_is_measured_from_the_intended_send_time() {
     let complete = CallOutcome::Done {
-        respond: goldcrestramp_standins::AnswerCheck::Whole { value: 0 },
+        answer: goldcrestramp_standins::AnswerCheck::Whole { value: 0 },
     };
     let calls = [CallEntry { outcome: complete, ..call("stock", 0, 2_000) }];
 
--- a/src/bin/goldcrestramp-standin.rs
+++ b/src/bin/goldcrestramp-standin.rs
@@ -1,8 +1,9 @@
-//! Stand-ins of the platform and of backend servers, as programs.
+//! Runs stand-ins of the platform and of backend servers as programs.
 //!
-//! Tests and operators who try the system start these in place of the
+//! Tests, and operators who try the system, start these in place of the
 //! platform and of real servers. Each prints `listening ADDRESS` on its
-//! standard output once it can be reached, and runs until it is ended.
+//! standard output once it accepts connections, and runs until it is
+//! interrupted.
 
 use std::{net::SocketAddr, path::PathBuf};
 
@@ -71,7 +72,7 @@
     let admin = admin.copied().ok_or_eyre("no address for faults")?;
     let listen = listen_address(matches)?;
     let platform = PlatformStandin::bind_with_admin(listen, admin).await?;
-    wait_for_end(platform.address()).await
+    serve_until_interrupt(platform.address()).await
 }
 
 async fn run_server(matches: &ArgMatches) -> eyre::Result<()> {
@@ -85,10 +86,11 @@
         log_file.map(PathBuf::as_path),
     )
     .await?;
-    wait_for_end(server.address()).await
+    serve_until_interrupt(server.address()).await
 }
 
-/// The behaviour from the file named on the command line, or the default.
+/// Reads the behaviour from the file named on the command line, or takes the
+/// default.
 fn read_behaviour(matches: &ArgMatches) -> eyre::Result<ServerBehaviour> {
     let Some(path) = matches.get_one::<PathBuf>("behaviour") else {
         return Ok(ServerBehaviour::default());
@@ -104,8 +106,9 @@
     address.copied().ok_or_eyre("no address to listen on")
 }
 
-/// Tells who started this program where it listens, then waits.
-async fn wait_for_end(address: SocketAddr) -> eyre::Result<()> {
+/// Prints the listening address for the parent process, then waits for an
+/// interrupt.
+async fn serve_until_interrupt(address: SocketAddr) -> eyre::Result<()> {
     println!("listening {address}");
     tokio::signal::ctrl_c().await?;
     Ok(())
--- a/src/bin/goldcrestramp.rs
+++ b/src/bin/goldcrestramp.rs
@@ -1,4 +1,4 @@
-//! The command of operators.
+//! The operators' command.
 
 use std::process::ExitCode;
 
--- a/src/commands/apply.rs
+++ b/src/commands/apply.rs
@@ -1,4 +1,5 @@
-//! `goldcrestramp apply`: brings a ticket into force everywhere.
+//! `goldcrestramp apply`: applies a ticket and waits until all VMs have it in
+//! force.
 
 use std::{
     path::PathBuf,
@@ -13,14 +14,14 @@
 
 use super::{
     CommandExit, arguments,
-    link::{self, LinkError, OperatorLink},
+    client::{self, ClientError, OperatorClient},
 };
 
-/// How often the VMs are asked whether the ticket is in force.
-const ASK_EVERY: Duration = Duration::from_millis(100);
-/// How long after the wait the last answers may come.
-const ANSWER_GRACE: Duration = Duration::from_millis(500);
-/// How long to wait for all VMs, unless told otherwise.
+/// The interval at which VMs are polled for the ticket.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// How long after the wait the last responses may arrive.
+const RESPONSE_GRACE: Duration = Duration::from_millis(500);
+/// The default wait for all VMs, in seconds.
 const WAIT_SECONDS: &str = "60";
 
 /// The subcommand's arguments and help.
@@ -58,7 +59,7 @@
         .arg(arguments::json())
 }
 
-/// Carries the subcommand out.
+/// Runs the subcommand.
 #[must_use]
 pub fn run(matches: &ArgMatches) -> CommandExit {
     let file = matches.get_one::<PathBuf>("ticket");
@@ -70,7 +71,7 @@
             return CommandExit::Usage;
         }
     };
-    let (link, vms) = match link::open(matches) {
+    let (client, vms) = match client::open(matches) {
         Ok(opened) => opened,
         Err(error) => {
             eprintln!("goldcrestramp: {error:#}");
@@ -79,8 +80,8 @@
     };
     let wait = matches.get_one::<u64>("wait").copied().unwrap_or(0);
     let json = matches.get_flag("json");
-    let run = ApplyCommand { link, vms, wait, json, document };
-    match link::block_on(run.apply()) {
+    let run = ApplyCommand { client, vms, wait, json, document };
+    match client::block_on(run.apply()) {
         Ok(exit) => exit,
         Err(error) => {
             eprintln!("goldcrestramp: {error:#}");
@@ -97,7 +98,7 @@
 }
 
 struct ApplyCommand {
-    link: OperatorLink,
+    client: OperatorClient,
     vms: Vec<String>,
     wait: u64,
     json: bool,
@@ -108,11 +109,11 @@
     async fn apply(&self) -> CommandExit {
         let started = Instant::now();
         let Some(answer) = self.send().await else {
-            self.say_nowhere();
+            self.print_not_sent();
             return CommandExit::Refused;
         };
         let Some(version) = answer.version else {
-            self.say(&answer, &[], started);
+            self.print_outcome(&answer, &[], started);
             return match answer.refusals.first() {
                 Some(line) if line.code == "malformed" => CommandExit::Usage,
                 _ => CommandExit::Refused,
@@ -122,7 +123,7 @@
             println!("ticket {}: {answer}", self.document.ticket.ticket);
         }
         let lagging = self.wait_in_force(version).await;
-        self.say(&answer, &lagging, started);
+        self.print_outcome(&answer, &lagging, started);
         if lagging.is_empty() {
             CommandExit::Success
         } else {
@@ -130,20 +131,20 @@
         }
     }
 
-    /// Asks VM after VM until one knows what became of the ticket.
+    /// Sends the ticket to one VM after another until the outcome is known.
     ///
-    /// Sending the ticket again is safe: its number makes it idempotent,
-    /// and the answer to the second tells what the first came to.
+    /// Resending the ticket is safe: its number makes it idempotent, and the
+    /// second response reports the outcome of the first attempt.
     async fn send(&self) -> Option<TicketAnswer> {
-        let mut unsure = None;
+        let mut last_unclear = None;
         for vm in &self.vms {
-            let sent = self.link.post_ticket(vm, self.document.text()).await;
+            let sent = self.client.post_ticket(vm, self.document.text()).await;
             let answer: TicketAnswer = match sent {
                 Ok(answer) => answer,
                 Err(error) => {
                     eprintln!("goldcrestramp: {vm}: {error}");
                     if may_have_arrived(&error) {
-                        unsure = Some(unknown(&error));
+                        last_unclear = Some(unknown(&error));
                     }
                     continue;
                 }
@@ -152,33 +153,34 @@
                 TicketOutcome::Accepted
                 | TicketOutcome::AcceptedAlready
                 | TicketOutcome::Refused => return Some(answer),
-                TicketOutcome::Unknown => unsure = Some(answer),
+                TicketOutcome::Unknown => last_unclear = Some(answer),
                 TicketOutcome::NotApplied => {
-                    unsure = unsure.or(Some(answer));
+                    last_unclear = last_unclear.or(Some(answer));
                 }
             }
         }
-        unsure
+        last_unclear
     }
 
     async fn wait_in_force(&self, version: u64) -> Vec<LaggingVm> {
         let until = Instant::now() + Duration::from_secs(self.wait);
         loop {
-            let lagging = self.lagging(version, until + ANSWER_GRACE).await;
+            let lagging = self.lagging(version, until + RESPONSE_GRACE).await;
             if lagging.is_empty() || Instant::now() >= until {
                 return lagging;
             }
-            tokio::time::sleep(ASK_EVERY).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// The VMs that do not show `version` by `until`.
+    /// Returns the VMs that do not report `version` by `until`.
     ///
-    /// A VM that stands still keeps its connections and answers nothing;
-    /// without an end the others would be waited with for its sake.
+    /// A frozen VM keeps its connections open and never responds; without this
+    /// timeout the command would wait for it although all others have
+    /// responded.
     async fn lagging(&self, version: u64, until: Instant) -> Vec<LaggingVm> {
-        let asked = self.vms.iter().map(|vm| async {
-            let report = self.link.get::<StatusReport>(vm, "/status");
+        let queries = self.vms.iter().map(|vm| async {
+            let report = self.client.get::<StatusReport>(vm, "/status");
             let why = match timeout_at(until.into(), report).await {
                 Ok(Ok(report)) if report.config_version >= version => {
                     return None;
@@ -191,11 +193,11 @@
             };
             Some(LaggingVm { vm: vm.clone(), why })
         });
-        let asked = futures_util::future::join_all(asked).await;
-        asked.into_iter().flatten().collect()
+        let queries = futures_util::future::join_all(queries).await;
+        queries.into_iter().flatten().collect()
     }
 
-    fn say_nowhere(&self) {
+    fn print_not_sent(&self) {
         if self.json {
             println!("{}", json!({ "outcome": "not-sent" }));
         } else {
@@ -203,7 +205,7 @@
         }
     }
 
-    fn say(
+    fn print_outcome(
         &self,
         answer: &TicketAnswer,
         lagging: &[LaggingVm],
@@ -218,7 +220,7 @@
             });
             println!("{line}");
         } else if answer.version.is_none() {
-            self.say_refused(answer);
+            self.print_refusals(answer);
         } else if lagging.is_empty() {
             let count = self.vms.len();
             println!("in force on all {count} VMs after {waited} ms");
@@ -229,7 +231,7 @@
         }
     }
 
-    fn say_refused(&self, answer: &TicketAnswer) {
+    fn print_refusals(&self, answer: &TicketAnswer) {
         eprintln!("ticket {}: {answer}", self.document.ticket.ticket);
         for line in &answer.refusals {
             let place = self.document.place(&line.path);
@@ -241,12 +243,12 @@
     }
 }
 
-/// Whether a VM may have got the ticket although no answer came.
-const fn may_have_arrived(error: &LinkError) -> bool {
-    matches!(error, LinkError::Unreachable { sent: true, .. })
+/// Whether a VM may have received the ticket although no response arrived.
+const fn may_have_arrived(error: &ClientError) -> bool {
+    matches!(error, ClientError::Unreachable { sent: true, .. })
 }
 
-fn unknown(error: &LinkError) -> TicketAnswer {
+fn unknown(error: &ClientError) -> TicketAnswer {
     TicketAnswer {
         outcome: TicketOutcome::Unknown,
         version: None,
--- a/src/commands/arguments.rs
+++ b/src/commands/arguments.rs
@@ -1,10 +1,10 @@
-//! Arguments that several subcommands take.
+//! Command-line arguments that several subcommands share.
 
 use std::path::PathBuf;
 
 use clap::{Arg, ArgAction, ArgMatches, value_parser};
 
-/// How often `--watch` shows something new, unless it is told.
+/// The default interval of `--watch`, in seconds.
 const WATCH_SECONDS: &str = "1";
 
 /// `--vm URL`, repeatable: the operators' listeners to use.
@@ -26,7 +26,7 @@
         .value_parser(value_parser!(PathBuf))
 }
 
-/// `--json`: output for machines.
+/// `--json`: machine-readable output.
 pub(super) fn json() -> Arg {
     Arg::new("json")
         .long("json")
@@ -34,7 +34,7 @@
         .action(ArgAction::SetTrue)
 }
 
-/// `--watch [SECONDS]`: shows again and again.
+/// `--watch [SECONDS]`: repeats the output periodically.
 pub(super) fn watch() -> Arg {
     Arg::new("watch")
         .long("watch")
--- a/src/commands/check.rs
+++ b/src/commands/check.rs
@@ -1,4 +1,5 @@
-//! `goldcrestramp check`: judges tickets and settings before they count.
+//! `goldcrestramp check`: validates tickets and settings before they are
+//! applied.
 
 use std::path::PathBuf;
 
@@ -9,7 +10,7 @@
 };
 use serde_json::json;
 
-use super::{CommandExit, arguments, link, text};
+use super::{CommandExit, arguments, client, text};
 
 /// The subcommand's arguments and help.
 #[must_use]
@@ -48,7 +49,7 @@
     files(name, help).long(name)
 }
 
-/// Carries the subcommand out.
+/// Runs the subcommand.
 #[must_use]
 pub fn run(matches: &ArgMatches) -> CommandExit {
     let mut check = CheckRun::new(matches.get_flag("json"));
@@ -56,7 +57,7 @@
         check.settings(&file);
     }
     let tickets = paths(matches, "tickets");
-    match first_state(matches) {
+    match initial_state(matches) {
         Ok(state) => check.tickets(state, &tickets),
         Err(StateError::Faults(faults)) => check.bad_input(&faults),
         Err(StateError::Vm(why)) => {
@@ -72,14 +73,14 @@
     files.cloned().collect()
 }
 
-/// Why there is no state to judge tickets after.
+/// Why there is no state to validate tickets against.
 enum StateError {
     Faults(FaultList),
     Vm(String),
 }
 
-/// What the tickets are judged after.
-fn first_state(matches: &ArgMatches) -> Result<DeploymentState, StateError> {
+/// Determines the state that the tickets are validated against.
+fn initial_state(matches: &ArgMatches) -> Result<DeploymentState, StateError> {
     if let Some(file) = matches.get_one::<PathBuf>("deployment") {
         let example = read_example(file).map_err(StateError::Faults)?;
         let empty = DeploymentState::default();
@@ -88,27 +89,27 @@
             _ => empty,
         });
     }
-    let (link, vms) =
-        link::open(matches).map_err(|e| StateError::Vm(e.to_string()))?;
+    let (client, vms) = client::open(matches)
+        .map_err(|error| StateError::Vm(error.to_string()))?;
     if vms.is_empty() {
         return Ok(DeploymentState::default());
     }
-    let asked = link::block_on(async {
+    let queried = client::block_on(async {
         let mut last = String::new();
         for vm in &vms {
-            match link.get(vm, "/config").await {
+            match client.get(vm, "/config").await {
                 Ok(state) => return Ok(state),
                 Err(error) => last = format!("{vm}: {error}"),
             }
         }
         Err(last)
     });
-    asked
+    queried
         .map_err(|error| StateError::Vm(error.to_string()))?
         .map_err(StateError::Vm)
 }
 
-/// What has been found so far.
+/// The state of a check and its exit status so far.
 struct CheckRun {
     json: bool,
     exit: CommandExit,
@@ -121,7 +122,7 @@
 
     fn settings(&mut self, file: &std::path::Path) {
         match read_settings(file) {
-            Ok(_) => self.good(file, None),
+            Ok(_) => self.valid(file, None),
             Err(faults) => self.bad_input(&faults),
         }
     }
@@ -137,11 +138,11 @@
             };
             match accept_ticket(&state, &document.ticket) {
                 AcceptOutcome::Accepted(next) => {
-                    self.good(file, Some(&preview_ticket(&state, &next)));
+                    self.valid(file, Some(&preview_ticket(&state, &next)));
                     state = *next;
                 }
                 AcceptOutcome::AcceptedAlready { version } => {
-                    self.already(file, version);
+                    self.accepted_already(file, version);
                 }
                 AcceptOutcome::Refused(refusals) => {
                     self.refused(&document.locate(&refusals));
@@ -150,7 +151,7 @@
         }
     }
 
-    fn good(&self, file: &std::path::Path, preview: Option<&TicketPreview>) {
+    fn valid(&self, file: &std::path::Path, preview: Option<&TicketPreview>) {
         let file = file.display().to_string();
         if self.json {
             let line = json!({
@@ -165,7 +166,7 @@
         }
     }
 
-    fn already(&self, file: &std::path::Path, version: u64) {
+    fn accepted_already(&self, file: &std::path::Path, version: u64) {
         let file = file.display().to_string();
         if self.json {
             let outcome = "accepted-already";
@@ -179,18 +180,18 @@
     }
 
     fn refused(&mut self, faults: &FaultList) {
-        self.show(faults, "refused");
+        self.print_faults(faults, "refused");
         if self.exit == CommandExit::Success {
             self.exit = CommandExit::Refused;
         }
     }
 
     fn bad_input(&mut self, faults: &FaultList) {
-        self.show(faults, "malformed");
+        self.print_faults(faults, "malformed");
         self.exit = CommandExit::Usage;
     }
 
-    fn show(&self, faults: &FaultList, outcome: &str) {
+    fn print_faults(&self, faults: &FaultList, outcome: &str) {
         if self.json {
             let faults = faults.faults();
             println!("{}", json!({ "outcome": outcome, "faults": faults }));
--- a/src/commands/demo/place.rs
+++ b/src/commands/demo/deployment.rs
@@ -1,4 +1,4 @@
-//! A deployment on loopback, in this process.
+//! A deployment on loopback, in one process.
 
 use std::{
     collections::BTreeMap,
@@ -23,11 +23,11 @@
 use serde_json::json;
 
 /// How long the deployment may take until every slice has an owner.
-const READY_LIMIT: Duration = Duration::from_mins(1);
-/// How often it is looked whether it has.
-const READY_POLL: Duration = Duration::from_millis(100);
-/// By how much the platform's VM list lags, in milliseconds.
-const LIST_LAG_MS: u64 = 2_000;
+const READY_TIMEOUT: Duration = Duration::from_mins(1);
+/// The interval at which readiness is checked.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// The lag of the platform's VM list, in milliseconds.
+const VM_LIST_LAG_MS: u64 = 2_000;
 
 /// A running daemon of the demo.
 #[derive(Debug)]
@@ -44,7 +44,7 @@
     pub(super) standin: ServerStandin,
 }
 
-/// Everything that the demo runs.
+/// All parts of the demo.
 #[derive(Debug)]
 pub(super) struct DemoDeployment {
     pub(super) platform: PlatformStandin,
@@ -55,25 +55,25 @@
 }
 
 impl DemoDeployment {
-    /// Starts platform, servers and daemons, and puts the first ticket.
+    /// Starts platform, servers and daemons, and applies the first ticket.
     pub(super) async fn spawn(
         example: &ExampleDeployment,
-        factor: f64,
+        scale_factor: f64,
         seed: u64,
     ) -> eyre::Result<Self> {
-        let host = own_host();
+        let host = loopback_host();
         let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         let platform = PlatformStandin::bind(any).await?;
         let faults = PlatformFaults {
-            vm_lag_ms: LIST_LAG_MS,
+            vm_lag_ms: VM_LIST_LAG_MS,
             ..PlatformFaults::default()
         };
         platform.set_faults(faults);
-        let servers = spawn_servers(example, factor, seed).await?;
+        let servers = spawn_servers(example, scale_factor, seed).await?;
         let store =
             PlatformClient::open(&format!("http://{}", platform.address()))
                 .map_err(|error| eyre!("{error}"))?;
-        let state = put_ticket(&store, example, &servers).await?;
+        let state = apply_first_ticket(&store, example, &servers).await?;
         let settings = node_settings(example, host, &platform)?;
         platform.set_vms(settings.iter().map(live_entry).collect());
         let mut nodes = Vec::new();
@@ -87,18 +87,18 @@
     /// Waits until every slice of every service has an owner and every
     /// gateway knows the configuration and all failure domains' tables.
     pub(super) async fn wait_ready(&self) -> eyre::Result<()> {
-        let limit = tokio::time::Instant::now() + READY_LIMIT;
-        while !(self.is_owned() && self.is_known().await) {
+        let limit = tokio::time::Instant::now() + READY_TIMEOUT;
+        while !(self.is_owned() && self.is_configured().await) {
             if tokio::time::Instant::now() > limit {
                 bail!("not every slice got an owner: {:?}", self.held());
             }
-            tokio::time::sleep(READY_POLL).await;
+            tokio::time::sleep(READY_POLL_INTERVAL).await;
         }
         Ok(())
     }
 
-    /// Whether every gateway knows where to send requests.
-    async fn is_known(&self) -> bool {
+    /// Whether every gateway knows the configuration and all tables.
+    async fn is_configured(&self) -> bool {
         for node in &self.nodes {
             let Some(handle) = &node.handle else {
                 continue;
@@ -125,7 +125,7 @@
         })
     }
 
-    /// How many slices of each service are held now.
+    /// The number of slices of each service that are held now.
     fn held(&self) -> BTreeMap<String, usize> {
         let now = MachineTime::now();
         let mut held = BTreeMap::new();
@@ -139,12 +139,12 @@
         held
     }
 
-    /// Where callers are served.
+    /// The addresses at which callers are served.
     pub(super) fn gateways(&self) -> Vec<SocketAddr> {
         self.nodes.iter().map(|node| node.settings.callers_listen).collect()
     }
 
-    /// What all servers wrote down.
+    /// The logs of all servers.
     pub(super) fn log(&self) -> ServerLog {
         let mut log = ServerLog::default();
         for server in &self.servers {
@@ -153,7 +153,7 @@
         log
     }
 
-    /// How many servers each service has.
+    /// The number of servers of each service.
     pub(super) fn servers_by_service(&self) -> BTreeMap<String, usize> {
         let mut counts = BTreeMap::new();
         for server in &self.servers {
@@ -164,20 +164,20 @@
     }
 }
 
-/// So many of `count` as the factor says, one at least.
+/// Scales `count` by `scale_factor`, to one at least.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_precision_loss,
     clippy::cast_sign_loss,
     reason = "counts of servers are small"
 )]
-fn scaled(count: usize, factor: f64) -> usize {
-    ((count as f64 * factor).ceil() as usize).clamp(1, count)
+fn scaled(count: usize, scale_factor: f64) -> usize {
+    ((count as f64 * scale_factor).ceil() as usize).clamp(1, count)
 }
 
 async fn spawn_servers(
     example: &ExampleDeployment,
-    factor: f64,
+    scale_factor: f64,
     seed: u64,
 ) -> eyre::Result<Vec<DemoServer>> {
     let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
@@ -187,7 +187,7 @@
         let all = example.ticket.servers.iter();
         let all: Vec<_> =
             all.filter(|rules| rules.service == service.name).collect();
-        for rules in &all[..scaled(all.len(), factor)] {
+        for rules in &all[..scaled(all.len(), scale_factor)] {
             let mut rules = (*rules).clone();
             let behaviour = behaviour(&rules, &example.traffic, seed);
             let storage = storage.clone();
@@ -201,7 +201,7 @@
     Ok(servers)
 }
 
-/// How a server of the example behaves.
+/// The behaviour of a server of the example.
 fn behaviour(
     rules: &ServerRules,
     traffic: &[TrafficMix],
@@ -233,8 +233,8 @@
     behaviour
 }
 
-/// Puts the example's ticket, with the servers as they listen.
-async fn put_ticket(
+/// Applies the example's ticket, with the servers' actual addresses.
+async fn apply_first_ticket(
     store: &PlatformClient,
     example: &ExampleDeployment,
     servers: &[DemoServer],
@@ -248,7 +248,7 @@
     }
 }
 
-/// The settings of the example's VMs, each on ports of its own.
+/// The settings of the example's VMs, each with its own ports.
 fn node_settings(
     example: &ExampleDeployment,
     host: Ipv4Addr,
@@ -258,8 +258,8 @@
     let mut held = Vec::new();
     for domain in &example.ticket.domains {
         let vms = example.vms.iter().filter(|vm| vm.domain == domain.name);
-        // A domain of two VMs ends its grants when it loses one, so VMs are
-        // left as they are: they cost little.
+        // The number of VMs is not scaled: a domain of two VMs ends its grants
+        // when it loses one, and VMs cost little.
         for vm in vms {
             let [callers, peers, control] = free_addresses(host, &mut held)?;
             let settings = json!({
@@ -279,15 +279,15 @@
     Ok(all)
 }
 
-/// A loopback address that only this process uses, so that a port that was
-/// free stays free until a daemon binds it.
-fn own_host() -> Ipv4Addr {
+/// Returns a loopback address that only this process uses, so that a port that
+/// was free stays free until a daemon binds it.
+fn loopback_host() -> Ipv4Addr {
     let [_, _, high, low] = std::process::id().to_be_bytes();
     Ipv4Addr::new(127, 128 | (high & 0x3f), low, 1)
 }
 
-/// Addresses on which nothing listens; `held` keeps them from being given
-/// out twice.
+/// Returns addresses on which nothing listens; `held` keeps a port from being
+/// returned twice.
 fn free_addresses<const N: usize>(
     host: Ipv4Addr,
     held: &mut Vec<TcpListener>,
--- a/src/commands/demo/fault.rs
+++ b/src/commands/demo/fault.rs
@@ -1,4 +1,4 @@
-//! The faults of a demo, on purpose and on time.
+//! Injects the planned faults of a demo at their times.
 
 use std::{collections::BTreeSet, fmt, str::FromStr, time::Duration};
 
@@ -12,16 +12,16 @@
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use tokio::{task::JoinHandle, time::Instant};
 
-use super::place::DemoDeployment;
+use super::deployment::DemoDeployment;
 
-/// How long a fault lasts that ends by itself.
-const FAULT_TIME: Duration = Duration::from_secs(4);
-/// How often a drain is applied to a store that is away, and the pause
-/// between: together longer than [`FAULT_TIME`].
-const DRAIN_TRIES: u32 = 50;
-const DRAIN_PAUSE: Duration = Duration::from_millis(200);
-/// How many writes lose their answers.
-const LOST_ANSWERS: u32 = 3;
+/// The duration of a fault that ends by itself.
+const FAULT_DURATION: Duration = Duration::from_secs(4);
+/// The maximum attempts to apply a drain while the store is unavailable, and
+/// the delay between them. Together they last longer than [`FAULT_DURATION`].
+const MAX_DRAIN_ATTEMPTS: u32 = 50;
+const DRAIN_RETRY_DELAY: Duration = Duration::from_millis(200);
+/// The number of writes whose responses are lost.
+const LOST_RESPONSES: u32 = 3;
 
 macro_rules! fault_names {
     ($($(#[$doc:meta])* $variant:ident => $code:literal,)*) => {
@@ -42,19 +42,19 @@
 }
 
 fault_names! {
-    /// A server is gone for good.
+    /// A server is lost permanently.
     ServerLoss => "server-loss",
-    /// A server stands still for four seconds.
+    /// A server is frozen for four seconds.
     ServerFreeze => "server-freeze",
-    /// An entry VM is gone for good.
+    /// An entry VM is lost permanently.
     VmLoss => "vm-loss",
-    /// The VM of a failure domain's steward is gone for good.
+    /// The VM of a failure domain's steward is lost permanently.
     StewardLoss => "steward-loss",
-    /// An entry VM stands still for four seconds.
+    /// An entry VM is frozen for four seconds.
     VmPause => "vm-pause",
     /// The key-value service is down for four seconds.
     StoreDown => "store-down",
-    /// Answers of the key-value service are lost after the write.
+    /// Responses of the key-value service are lost after the write.
     StoreLostAnswer => "store-lost-answer",
     /// A failure domain is cut off for four seconds.
     DomainCut => "domain-cut",
@@ -64,14 +64,14 @@
     VmDrain => "vm-drain",
 }
 
-/// A fault and the second at which it begins: `NAME@SECOND`.
+/// A fault and the second of its start: `NAME@SECOND`.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) struct PlannedFault {
     pub(super) name: FaultName,
     pub(super) second: u64,
 }
 
-/// Why a text names no planned fault.
+/// Why a text can't be parsed as a planned fault.
 #[derive(Clone, Debug)]
 pub(super) struct FaultError(String);
 
@@ -103,21 +103,21 @@
     }
 }
 
-/// What a fault struck, so that it can be ended.
+/// What a fault affects, so that the fault can be ended.
 #[derive(Clone, Copy, Debug)]
-enum StruckThing {
+enum FaultTarget {
     Server(usize),
     Node(usize),
     Platform,
-    Links,
+    Network,
 }
 
-/// Carries the planned faults out.
+/// Starts and ends the planned faults.
 #[derive(Debug)]
 pub(super) struct FaultRunner {
-    source: StdRng,
-    ends: Vec<(Instant, StruckThing)>,
-    /// Servers that had a reason to give slices up.
+    random: StdRng,
+    ends: Vec<(Instant, FaultTarget)>,
+    /// Servers that had a reason to release slices.
     pub(super) leaving: BTreeSet<String>,
     drains: Vec<JoinHandle<()>>,
 }
@@ -125,14 +125,15 @@
 impl FaultRunner {
     pub(super) fn new(seed: u64) -> Self {
         Self {
-            source: StdRng::seed_from_u64(seed),
+            random: StdRng::seed_from_u64(seed),
             ends: Vec::new(),
             leaving: BTreeSet::new(),
             drains: Vec::new(),
         }
     }
 
-    /// Begins every fault when it is due, and ends those that end.
+    /// Starts every fault when it is due, and ends those that end by
+    /// themselves.
     pub(super) async fn run(
         &mut self,
         deployment: &mut DemoDeployment,
@@ -156,24 +157,25 @@
         Ok(())
     }
 
-    /// Ends the faults that are over by `due`.
+    /// Ends the faults that are due to end by `due`.
     async fn end_until(&mut self, deployment: &DemoDeployment, due: Instant) {
         self.ends.sort_by_key(|(at, _)| *at);
-        while let Some((at, thing)) = self.ends.first().copied() {
+        while let Some((at, target)) = self.ends.first().copied() {
             if at > due {
                 return;
             }
             tokio::time::sleep_until(at).await;
             self.ends.remove(0);
-            end(deployment, thing);
+            end(deployment, target);
         }
     }
 
     /// Applies a ticket that drains a server.
     ///
-    /// The store may be what another fault struck: the same ticket again is
-    /// safe, and tells what became of the first. Faults that end meanwhile
-    /// end on time; those that begin are late.
+    /// Another fault may affect the store. Resending the same ticket is safe,
+    /// and reports the outcome of the first attempt. Faults that are due to
+    /// end meanwhile end on time; faults that are due to start meanwhile start
+    /// late.
     async fn drain_server(
         &mut self,
         deployment: &mut DemoDeployment,
@@ -186,7 +188,7 @@
             servers: vec![rules],
             ..ChangeTicket::default()
         };
-        for _ in 0..DRAIN_TRIES {
+        for _ in 0..MAX_DRAIN_ATTEMPTS {
             let (store, held) = (&deployment.store, &deployment.state);
             match apply_ticket(store, held, &ticket).await {
                 ApplyOutcome::Accepted(state)
@@ -198,7 +200,7 @@
                     bail!("the drain was not accepted: {refused:?}");
                 }
                 ApplyOutcome::NotApplied(_) | ApplyOutcome::Unknown(_) => {
-                    let next = Instant::now() + DRAIN_PAUSE;
+                    let next = Instant::now() + DRAIN_RETRY_DELAY;
                     self.end_until(deployment, next).await;
                     tokio::time::sleep_until(next).await;
                 }
@@ -220,7 +222,7 @@
             FaultName::ServerFreeze => {
                 let index = self.pick_server(deployment);
                 deployment.servers[index].standin.freeze();
-                self.end_later(StruckThing::Server(index));
+                self.schedule_end(FaultTarget::Server(index));
             }
             FaultName::ServerDrain => {
                 let index = self.pick_server(deployment);
@@ -237,7 +239,7 @@
             FaultName::VmPause => {
                 let index = self.pick_node(deployment)?;
                 pause_node(deployment, index, true);
-                self.end_later(StruckThing::Node(index));
+                self.schedule_end(FaultTarget::Node(index));
             }
             FaultName::VmDrain => {
                 let index = self.pick_node(deployment)?;
@@ -245,36 +247,36 @@
             }
             FaultName::StoreDown => {
                 set_outage(deployment, OutageKind::Refuse);
-                self.end_later(StruckThing::Platform);
+                self.schedule_end(FaultTarget::Platform);
             }
             FaultName::StoreLostAnswer => {
                 let faults = PlatformFaults {
-                    lose_answers: LOST_ANSWERS,
+                    lose_answers: LOST_RESPONSES,
                     ..deployment.platform.faults()
                 };
                 deployment.platform.set_faults(faults);
             }
             FaultName::DomainCut => {
                 self.cut_domain(deployment);
-                self.end_later(StruckThing::Links);
+                self.schedule_end(FaultTarget::Network);
             }
         }
         Ok(())
     }
 
-    fn end_later(&mut self, thing: StruckThing) {
-        self.ends.push((Instant::now() + FAULT_TIME, thing));
+    fn schedule_end(&mut self, target: FaultTarget) {
+        self.ends.push((Instant::now() + FAULT_DURATION, target));
     }
 
     fn pick_server(&mut self, deployment: &DemoDeployment) -> usize {
-        let index = self.source.random_range(0..deployment.servers.len());
+        let index = self.random.random_range(0..deployment.servers.len());
         let name = deployment.servers[index].rules.name.as_str().to_owned();
         eprintln!("fault: it strikes the server {name}");
         self.leaving.insert(name);
         index
     }
 
-    /// A VM that runs and is not the only one left.
+    /// Picks a running VM that is not the last one.
     fn pick_node(
         &mut self,
         deployment: &DemoDeployment,
@@ -283,13 +285,13 @@
         if alive.len() < 2 {
             bail!("no VM is left to strike");
         }
-        let index = alive[self.source.random_range(0..alive.len())];
+        let index = alive[self.random.random_range(0..alive.len())];
         let vm = &deployment.nodes[index].settings.vm;
         eprintln!("fault: it strikes the VM {vm}");
         Ok(index)
     }
 
-    /// Stops a VM gracefully, beside everything else.
+    /// Stops a VM gracefully in the background.
     fn drain_node(&mut self, deployment: &mut DemoDeployment, index: usize) {
         let Some(mut handle) = deployment.nodes[index].handle.take() else {
             return;
@@ -301,19 +303,19 @@
         }));
     }
 
-    /// Cuts a failure domain off from all others and from the platform.
+    /// Disconnects a failure domain from all others and from the platform.
     fn cut_domain(&mut self, deployment: &DemoDeployment) {
         let domains = &deployment.state.domains;
-        let domain = &domains[self.source.random_range(0..domains.len())];
+        let domain = &domains[self.random.random_range(0..domains.len())];
         eprintln!("fault: it strikes the failure domain {}", domain.name);
         let platform = deployment.platform.address().to_string();
         for node in &deployment.nodes {
             let inside = node.settings.domain == domain.name;
             let nodes = deployment.nodes.iter();
-            let far = nodes.filter(|other| {
+            let remote = nodes.filter(|other| {
                 (other.settings.domain == domain.name) != inside
             });
-            let mut cut: Vec<String> = far
+            let mut cut: Vec<String> = remote
                 .flat_map(|other| {
                     let settings = &other.settings;
                     [settings.peers_listen, settings.control_listen]
@@ -321,10 +323,10 @@
                 .map(|address| address.to_string())
                 .collect();
             let servers = deployment.servers.iter();
-            let far = servers.filter(|server| {
+            let remote = servers.filter(|server| {
                 (server.rules.domain == domain.name) != inside
             });
-            cut.extend(far.map(|server| server.rules.address.to_string()));
+            cut.extend(remote.map(|server| server.rules.address.to_string()));
             if inside {
                 cut.push(platform.clone());
             }
@@ -336,13 +338,13 @@
 }
 
 /// Ends a fault.
-fn end(deployment: &DemoDeployment, thing: StruckThing) {
+fn end(deployment: &DemoDeployment, target: FaultTarget) {
     eprintln!("fault: one has ended");
-    match thing {
-        StruckThing::Server(index) => deployment.servers[index].standin.thaw(),
-        StruckThing::Node(index) => pause_node(deployment, index, false),
-        StruckThing::Platform => set_outage(deployment, OutageKind::None),
-        StruckThing::Links => {
+    match target {
+        FaultTarget::Server(index) => deployment.servers[index].standin.thaw(),
+        FaultTarget::Node(index) => pause_node(deployment, index, false),
+        FaultTarget::Platform => set_outage(deployment, OutageKind::None),
+        FaultTarget::Network => {
             for node in &deployment.nodes {
                 if let Some(handle) = &node.handle {
                     handle.context().faults.cut([]);
@@ -357,7 +359,7 @@
     nodes.filter(|(_, n)| n.handle.is_some()).map(|(i, _)| i).collect()
 }
 
-/// A VM that is its failure domain's steward.
+/// Finds a VM that is its failure domain's steward.
 async fn steward_node(deployment: &DemoDeployment) -> eyre::Result<usize> {
     for (index, node) in deployment.nodes.iter().enumerate() {
         let Some(handle) = &node.handle else {
@@ -383,7 +385,7 @@
     }
 }
 
-/// Tells the platform which VMs there are, and which one is leaving.
+/// Updates the platform's VM list; `leaving` is the VM that is being drained.
 fn list_vms(deployment: &DemoDeployment, leaving: Option<usize>) {
     let nodes = deployment.nodes.iter().enumerate();
     let entries = nodes.filter_map(|(index, node)| {
--- a/src/commands/demo/figures.rs
+++ b/src/commands/demo/figures.rs
@@ -1,4 +1,4 @@
-//! The figures that a demo ends with.
+//! The figures that a demo reports.
 
 use std::{collections::BTreeMap, fmt::Write};
 
@@ -9,53 +9,55 @@
 };
 use serde::Serialize;
 
-/// The JSON line of a demo.
+/// The figures of a demo, which are printed as a line of JSON.
 ///
-/// The first five figures after `unknown` are promises: each must be 0.
+/// The first five figures after `unknown` count violated guarantees: each must
+/// be 0.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct DemoFigures {
     /// Attempts of callers, resends included.
     pub(super) requests: u64,
-    /// Attempts that got their whole answer.
+    /// Attempts that received a complete response.
     pub(super) done: u64,
-    /// Attempts that were told "not run", by reason.
+    /// Attempts that ended with "not run", by reason.
     pub(super) not_run: BTreeMap<String, u64>,
-    /// Attempts whose outcome was left open.
+    /// Attempts with an unknown outcome.
     pub(super) unknown: u64,
-    /// The same by reason.
+    /// Attempts with an unknown outcome, by reason.
     pub(super) unknown_reasons: BTreeMap<String, u64>,
-    /// The promises, each a count of times that it was broken.
+    /// The counts of violated guarantees.
     #[serde(flatten)]
     pub(super) promises: GuaranteeViolations,
     /// Keys whose history no single owner could have produced.
     pub(super) unlinearizable_keys: u64,
-    /// How long keys were not served, in milliseconds: the longest time
-    /// of one key, and the sum over all keys.
+    /// How long keys were unavailable, in milliseconds: the longest gap of one
+    /// key, and the sum over all keys.
     pub(super) unavailable_ms: UnavailableTime,
-    /// Slices that moved between servers, and of them the needless ones.
+    /// The slices that moved between servers, and how many of these moves were
+    /// needless.
     pub(super) churn: MoveCount,
-    /// The work of the busiest server of a service over the mean of its
-    /// servers, the highest over all services; 1 is even.
+    /// The work of a service's busiest server divided by the mean of its
+    /// servers, maximized over all services; 1 is perfectly even.
     pub(super) imbalance: f64,
     /// Latencies by service, in milliseconds.
     pub(super) latency_ms: BTreeMap<String, LatencyFigures>,
-    /// Calls that the platform took, by kind.
+    /// Calls that the platform accepted, by kind.
     pub(super) store_calls: CallTally,
-    /// CPU time of all control threads together, in milliseconds.
+    /// CPU time of all control threads, in milliseconds.
     pub(super) control_cpu_ms: u64,
 }
 
 impl DemoFigures {
-    /// Whether every promise was kept.
+    /// Whether no guarantee was violated.
     pub(super) fn is_clean(&self) -> bool {
         self.promises.is_empty() && self.unlinearizable_keys == 0
     }
 
-    /// A table for people.
+    /// Formats the figures as a table for people.
     pub(super) fn table(&self) -> String {
         let mut text = String::new();
         self.write_outcomes(&mut text);
-        self.write_promises(&mut text);
+        self.write_violations(&mut text);
         self.write_measures(&mut text);
         text
     }
@@ -73,7 +75,7 @@
         }
     }
 
-    fn write_promises(&self, text: &mut String) {
+    fn write_violations(&self, text: &mut String) {
         let promises = &self.promises;
         row(text, "doubled orders", &promises.doubled);
         row(text, "told \"not run\" but ran", &promises.not_run_but_ran);
@@ -109,12 +111,12 @@
 }
 
 fn row(text: &mut String, name: &str, value: &dyn std::fmt::Display) {
-    // Writing to a text cannot fail.
+    // Writing to a `String` cannot fail.
     let _written = writeln!(text, "{name:34} {value}");
 }
 
-/// CPU time that this process's control threads have used, in
-/// milliseconds; 0 where the system does not tell.
+/// Returns the CPU time of this process's control threads, in milliseconds; 0
+/// if the system does not report it.
 pub(super) fn control_cpu_ms() -> u64 {
     let Ok(tasks) = std::fs::read_dir("/proc/self/task") else {
         return 0;
@@ -132,7 +134,8 @@
     name.is_ok_and(|name| name.starts_with("control-"))
 }
 
-/// The first number of `schedstat` is the time on a CPU.
+/// Reads the first number of `schedstat`, which is the time on a CPU in
+/// nanoseconds.
 fn cpu_nanos(task: &std::path::Path) -> Option<u64> {
     let text = std::fs::read_to_string(task.join("schedstat")).ok()?;
     text.split_whitespace().next()?.parse().ok()
--- a/src/commands/demo/mod.rs
+++ b/src/commands/demo/mod.rs
@@ -1,12 +1,12 @@
-//! `goldcrestramp demo`: a small deployment in one process, put to work.
+//! `goldcrestramp demo`: runs a small deployment in one process under load.
 //!
-//! The stand-in platform, the servers and the daemons run on loopback with
-//! the same code as in processes of their own. After the run the servers'
-//! own logs are judged by code that shares nothing with the router.
+//! The stand-in platform, the servers and the daemons run on loopback, with
+//! the same code as in separate processes. After the run the servers' own logs
+//! are checked by code that shares nothing with the router.
 
+mod deployment;
 mod fault;
 mod figures;
-mod place;
 
 use std::sync::Arc;
 
@@ -22,17 +22,17 @@
 };
 
 use self::{
+    deployment::DemoDeployment,
     fault::{FaultRunner, PlannedFault},
     figures::{DemoFigures, control_cpu_ms},
-    place::DemoDeployment,
 };
 use super::{CommandExit, load};
 
-/// What the command line asks for.
+/// The options of the command line.
 #[derive(Debug)]
-struct DemoOrder {
+struct DemoOptions {
     example: ExampleDeployment,
-    factor: f64,
+    scale_factor: f64,
     seconds: u64,
     seed: u64,
     faults: Vec<PlannedFault>,
@@ -65,11 +65,11 @@
         .arg(load::json())
 }
 
-/// Carries the subcommand out.
+/// Runs the subcommand.
 #[must_use]
 pub fn run(matches: &ArgMatches) -> CommandExit {
-    let order = match read_order(matches) {
-        Ok(order) => order,
+    let options = match read_options(matches) {
+        Ok(options) => options,
         Err(error) => return report_error(&error, CommandExit::Usage),
     };
     let runtime = match tokio::runtime::Runtime::new() {
@@ -78,7 +78,7 @@
             return report_error(&error.into(), CommandExit::Refused);
         }
     };
-    let figures = match runtime.block_on(run_demo(&order)) {
+    let figures = match runtime.block_on(run_demo(&options)) {
         Ok(figures) => figures,
         Err(error) => return report_error(&error, CommandExit::Refused),
     };
@@ -86,13 +86,13 @@
     show(&figures, matches.get_flag("json"))
 }
 
-fn read_order(matches: &ArgMatches) -> eyre::Result<DemoOrder> {
+fn read_options(matches: &ArgMatches) -> eyre::Result<DemoOptions> {
     let faults = matches.get_many::<PlannedFault>("fault");
-    Ok(DemoOrder {
+    Ok(DemoOptions {
         example: load::read_deployment(matches)?,
-        factor: load::factor(matches)?,
-        seconds: load::number(matches, "seconds"),
-        seed: load::number(matches, "seed"),
+        scale_factor: load::scale_factor(matches)?,
+        seconds: load::number_of(matches, "seconds"),
+        seed: load::number_of(matches, "seed"),
         faults: faults.unwrap_or_default().copied().collect(),
     })
 }
@@ -119,49 +119,49 @@
     }
 }
 
-/// Starts the deployment, puts requests through it and judges the run.
-async fn run_demo(order: &DemoOrder) -> eyre::Result<DemoFigures> {
-    let (factor, seed) = (order.factor, order.seed);
-    eprintln!("starting {}", order.example.deployment);
+/// Starts the deployment, sends it requests and evaluates the run.
+async fn run_demo(options: &DemoOptions) -> eyre::Result<DemoFigures> {
+    let (scale_factor, seed) = (options.scale_factor, options.seed);
+    eprintln!("starting {}", options.example.deployment);
     let mut deployment =
-        DemoDeployment::spawn(&order.example, factor, seed).await?;
+        DemoDeployment::spawn(&options.example, scale_factor, seed).await?;
     deployment.wait_ready().await?;
     eprintln!("every slice has an owner; requests arrive");
     let since = MachineTime::now();
     let plan = LoadPlan {
         targets: deployment.gateways(),
-        streams: load::streams(&order.example.traffic, factor),
-        seconds: order.seconds,
+        streams: load::streams(&options.example.traffic, scale_factor),
+        seconds: options.seconds,
         seed,
-        under_way: load::UNDER_WAY,
+        under_way: load::MAX_IN_FLIGHT,
         allow_remote: false,
     };
     let progress = Arc::new(LoadProgress::default());
     let shown = tokio::spawn(load::show_progress(Arc::clone(&progress)));
     let mut faults = FaultRunner::new(seed);
-    let (calls, struck) = tokio::join!(
+    let (calls, fault_result) = tokio::join!(
         run_load(&plan, progress),
-        faults.run(&mut deployment, &order.faults)
+        faults.run(&mut deployment, &options.faults)
     );
     shown.abort();
-    struck?;
-    Ok(judge(&deployment, &calls?, since, &faults))
+    fault_result?;
+    Ok(evaluate(&deployment, &calls?, since, &faults))
 }
 
-/// Judges a run by what its servers and callers wrote down.
-fn judge(
+/// Evaluates a run from the records of its servers and callers.
+fn evaluate(
     deployment: &DemoDeployment,
     calls: &[CallEntry],
     since: MachineTime,
     faults: &FaultRunner,
 ) -> DemoFigures {
     let log = deployment.log();
-    let broken_promises = [trace_denied(&log, calls), trace_overlaps(&log)];
-    for trace in broken_promises.iter().filter(|trace| !trace.is_empty()) {
+    let violations = [trace_denied(&log, calls), trace_overlaps(&log)];
+    for trace in violations.iter().filter(|trace| !trace.is_empty()) {
         eprintln!("{trace}");
     }
     let report = LoadReport::new(calls, Vec::new());
-    let broken = unlinearizable_keys(calls).len();
+    let broken_histories = unlinearizable_keys(calls).len();
     DemoFigures {
         requests: report.requests,
         done: report.done,
@@ -169,7 +169,8 @@
         unknown: report.unknown.values().sum(),
         unknown_reasons: report.unknown,
         promises: GuaranteeViolations::count(&log, calls),
-        unlinearizable_keys: u64::try_from(broken).unwrap_or(u64::MAX),
+        unlinearizable_keys: u64::try_from(broken_histories)
+            .unwrap_or(u64::MAX),
         unavailable_ms: unavailable_time(calls),
         churn: count_moves(&log, since, &faults.leaving),
         imbalance: imbalance(
--- a/src/commands/exit.rs
+++ b/src/commands/exit.rs
@@ -1,13 +1,13 @@
-//! What a subcommand ends with.
+//! The result of a subcommand.
 
 use std::process::ExitCode;
 
 /// The exit status of a subcommand.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CommandExit {
-    /// All is well: 0.
+    /// Success: 0.
     Success,
-    /// Something was refused, or a promise is broken: 1.
+    /// Something was refused, or a guarantee was violated: 1.
     Refused,
     /// The command line or an input is bad: 2.
     Usage,
--- a/src/commands/explain.rs
+++ b/src/commands/explain.rs
@@ -1,11 +1,12 @@
-//! `goldcrestramp explain`: who owns a key, and why there.
+//! `goldcrestramp explain`: shows the owner of a key and the reasons.
 
 use clap::{Arg, ArgMatches, Command};
 use goldcrestramp_node::ExplainReport;
 use serde_json::json;
 
 use super::{
-    CommandExit, arguments, link::OperatorLink, status::show_repeatedly, text,
+    CommandExit, arguments, client::OperatorClient, status::show_repeatedly,
+    text,
 };
 
 /// The subcommand's arguments and help.
@@ -31,7 +32,7 @@
         .arg(arguments::json())
 }
 
-/// Carries the subcommand out.
+/// Runs the subcommand.
 #[must_use]
 pub fn run(matches: &ArgMatches) -> CommandExit {
     let json = matches.get_flag("json");
@@ -40,8 +41,8 @@
     let key = text_of("key").unwrap_or_default();
     let query = [("service", service.as_str()), ("key", key.as_str())];
     let path = format!("/explain?{}", encode_query(&query));
-    show_repeatedly(matches, &async |link: &OperatorLink, vm: &str| {
-        let report = link.get::<ExplainReport>(vm, &path).await;
+    show_repeatedly(matches, &async |client: &OperatorClient, vm: &str| {
+        let report = client.get::<ExplainReport>(vm, &path).await;
         let report = report.map_err(|error| error.to_string())?;
         Ok(if json {
             json!({ "url": vm, "explain": report }).to_string() + "\n"
@@ -51,7 +52,8 @@
     })
 }
 
-/// Writes pairs as a query; every byte that is not plain is escaped.
+/// Encodes pairs as a query string; every byte that is not unreserved is
+/// escaped.
 fn encode_query(pairs: &[(&str, &str)]) -> String {
     let pairs = pairs.iter().map(|(name, value)| {
         let bytes = value.bytes().map(|byte| match byte {
--- a/src/commands/load.rs
+++ b/src/commands/load.rs
@@ -1,4 +1,4 @@
-//! `goldcrestramp load`: drives gateways with the requests of callers.
+//! `goldcrestramp load`: sends callers' requests to gateways.
 
 use std::{
     net::SocketAddr,
@@ -17,10 +17,10 @@
 
 use super::CommandExit;
 
-/// The most requests that a run has under way.
-pub(super) const UNDER_WAY: usize = 20_000;
-/// How often progress is shown.
-const PROGRESS_EVERY: Duration = Duration::from_secs(1);
+/// The maximum number of requests of a run in flight.
+pub(super) const MAX_IN_FLIGHT: usize = 20_000;
+/// The interval at which progress is printed.
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The subcommand's arguments and help.
 #[must_use]
@@ -116,7 +116,7 @@
         .value_parser(value_parser!(PathBuf))
 }
 
-/// Carries the subcommand out.
+/// Runs the subcommand.
 #[must_use]
 pub fn run(matches: &ArgMatches) -> CommandExit {
     match run_or_compare(matches) {
@@ -150,16 +150,16 @@
         .wrap_err_with(|| format!("no saved run: {}", file.display()))
 }
 
-/// Sends the mix and sums up what came back.
+/// Sends the mix of traffic and summarizes the outcomes.
 fn drive(matches: &ArgMatches) -> eyre::Result<LoadReport> {
     let example = read_deployment(matches)?;
     let targets = matches.get_many::<SocketAddr>("target");
     let plan = LoadPlan {
         targets: targets.unwrap_or_default().copied().collect(),
-        streams: streams(&example.traffic, factor(matches)?),
-        seconds: number(matches, "seconds"),
-        seed: number(matches, "seed"),
-        under_way: UNDER_WAY,
+        streams: streams(&example.traffic, scale_factor(matches)?),
+        seconds: number_of(matches, "seconds"),
+        seed: number_of(matches, "seed"),
+        under_way: MAX_IN_FLIGHT,
         allow_remote: matches.get_flag("allow-remote"),
     };
     plan.check()?;
@@ -174,7 +174,7 @@
     Ok(LoadReport::new(&calls, Vec::new()))
 }
 
-/// The deployment that the command line names.
+/// Reads the deployment that the command line names.
 pub(super) fn read_deployment(
     matches: &ArgMatches,
 ) -> eyre::Result<ExampleDeployment> {
@@ -183,35 +183,39 @@
     read_example(file).map_err(|faults| eyre!("{faults}"))
 }
 
-/// The factor of `--scale`.
-pub(super) fn factor(matches: &ArgMatches) -> eyre::Result<f64> {
-    let factor = matches.get_one::<f64>("scale").copied().unwrap_or(1.0);
-    if !factor.is_finite() || factor <= 0.0 {
+/// Parses the factor of `--scale`.
+pub(super) fn scale_factor(matches: &ArgMatches) -> eyre::Result<f64> {
+    let scale_factor = matches.get_one::<f64>("scale").copied().unwrap_or(1.0);
+    if !scale_factor.is_finite() || scale_factor <= 0.0 {
         bail!("--scale must be above 0");
     }
-    Ok(factor)
+    Ok(scale_factor)
 }
 
-/// A number that has a default.
-pub(super) fn number(matches: &ArgMatches, name: &str) -> u64 {
+/// Returns the value of a numeric argument that has a default.
+pub(super) fn number_of(matches: &ArgMatches, name: &str) -> u64 {
     matches.get_one::<u64>(name).copied().unwrap_or(1)
 }
 
-/// A deployment's mix, with its rates multiplied.
-pub(super) fn streams(traffic: &[TrafficMix], factor: f64) -> Vec<LoadStream> {
-    traffic.iter().map(|mix| stream(mix, factor)).collect()
+/// Returns the streams of a deployment's traffic, with their rates multiplied
+/// by a factor.
+pub(super) fn streams(
+    traffic: &[TrafficMix],
+    scale_factor: f64,
+) -> Vec<LoadStream> {
+    traffic.iter().map(|mix| stream(mix, scale_factor)).collect()
 }
 
 #[expect(
     clippy::cast_precision_loss,
     reason = "rates are far below 2^52 a second"
 )]
-fn stream(mix: &TrafficMix, factor: f64) -> LoadStream {
+fn stream(mix: &TrafficMix, scale_factor: f64) -> LoadStream {
     let size = |number: u64| usize::try_from(number).unwrap_or(usize::MAX);
     LoadStream {
         service: mix.service.as_str().to_owned(),
         class: mix.class,
-        requests_per_s: mix.requests_per_s as f64 * factor,
+        requests_per_s: mix.requests_per_s as f64 * scale_factor,
         callers: size(mix.callers).max(1),
         keys: size(mix.keys).max(1),
         zipf_exponent: mix.zipf_exponent,
@@ -221,9 +225,9 @@
     }
 }
 
-/// Tells once a second how far the run is.
+/// Prints the progress once a second.
 pub(super) async fn show_progress(progress: Arc<LoadProgress>) {
-    let mut every = tokio::time::interval(PROGRESS_EVERY);
+    let mut every = tokio::time::interval(PROGRESS_INTERVAL);
     loop {
         every.tick().await;
         let sent = progress.sent.load(Ordering::Relaxed);
--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -1,15 +1,16 @@
-//! The operators' command `goldcrestramp`, one module a subcommand.
+//! The operators' command `goldcrestramp`, with one module for each
+//! subcommand.
 //!
-//! Exit status: 0 when all is well, 1 when something is refused or a promise
-//! is broken, 2 for a wrong command line or bad input.
+//! Exit status: 0 on success, 1 if something is refused or a guarantee is
+//! violated, 2 for a wrong command line or bad input.
 
 mod apply;
 mod arguments;
 mod check;
+mod client;
 mod demo;
 mod exit;
 mod explain;
-mod link;
 mod load;
 mod status;
 mod text;
@@ -27,11 +28,11 @@
     pub name: &'static str,
     /// Its arguments and help.
     pub command: fn() -> Command,
-    /// Carries it out.
+    /// Runs it.
     pub run: fn(&ArgMatches) -> CommandExit,
 }
 
-/// Every subcommand, in the order of the help.
+/// All subcommands, in the order of the help.
 const ENTRIES: &[CommandEntry] = &[
     CommandEntry { name: "check", command: check::command, run: check::run },
     CommandEntry { name: "apply", command: apply::command, run: apply::run },
@@ -49,7 +50,7 @@
     CommandEntry { name: "demo", command: demo::command, run: demo::run },
 ];
 
-/// The whole command line.
+/// The complete command line.
 #[must_use]
 pub fn command() -> Command {
     Command::new("goldcrestramp")
@@ -60,7 +61,7 @@
         .subcommands(ENTRIES.iter().map(|entry| (entry.command)()))
 }
 
-/// Reads the command line and carries it out.
+/// Parses the command line and runs the subcommand.
 #[must_use]
 pub fn run() -> ExitCode {
     let matches = command().get_matches();
--- a/src/commands/status.rs
+++ b/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! `goldcrestramp status`: what VMs know of the deployment.
+//! `goldcrestramp status`: shows what VMs know of the deployment.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 
 use super::{
     CommandExit, arguments,
-    link::{self, OperatorLink},
+    client::{self, OperatorClient},
     text,
 };
 
@@ -31,12 +31,12 @@
         .arg(arguments::json())
 }
 
-/// Carries the subcommand out.
+/// Runs the subcommand.
 #[must_use]
 pub fn run(matches: &ArgMatches) -> CommandExit {
     let json = matches.get_flag("json");
-    show_repeatedly(matches, &async |link: &OperatorLink, vm: &str| {
-        let report = link.get::<StatusReport>(vm, "/status").await;
+    show_repeatedly(matches, &async |client: &OperatorClient, vm: &str| {
+        let report = client.get::<StatusReport>(vm, "/status").await;
         let report = report.map_err(|error| error.to_string())?;
         Ok(if json {
             json!({ "url": vm, "status": report }).to_string() + "\n"
@@ -46,14 +46,14 @@
     })
 }
 
-/// Shows each VM's answer, again and again with `--watch`.
+/// Prints each VM's report; with `--watch`, periodically.
 ///
-/// One VM that answers is enough for success.
+/// One VM that responds is enough for success.
 pub(super) fn show_repeatedly(
     matches: &ArgMatches,
-    show: &impl AsyncFn(&OperatorLink, &str) -> Result<String, String>,
+    show: &impl AsyncFn(&OperatorClient, &str) -> Result<String, String>,
 ) -> CommandExit {
-    let (link, vms) = match link::open(matches) {
+    let (client, vms) = match client::open(matches) {
         Ok(opened) => opened,
         Err(error) => {
             eprintln!("goldcrestramp: {error:#}");
@@ -61,19 +61,19 @@
         }
     };
     let every = matches.get_one::<u64>("watch").copied();
-    let shown = link::block_on(async {
+    let shown = client::block_on(async {
         loop {
-            let mut answered = false;
+            let mut responded = false;
             for vm in &vms {
-                match show(&link, vm).await {
+                match show(&client, vm).await {
                     Ok(text) => {
                         print!("{text}");
-                        answered = true;
+                        responded = true;
                     }
                     Err(why) => eprintln!("goldcrestramp: {vm}: {why}"),
                 }
             }
-            let Some(every) = every else { return answered };
+            let Some(every) = every else { return responded };
             tokio::time::sleep(Duration::from_secs(every)).await;
         }
     });
--- a/src/commands/text.rs
+++ b/src/commands/text.rs
@@ -1,4 +1,4 @@
-//! Reports as text for people.
+//! Formats reports as text for people.
 
 use std::fmt::{self, Write};
 
@@ -9,12 +9,12 @@
 };
 use goldcrestramp_types::TableVersion;
 
-/// Text for what is not known.
-const NONE: &str = "-";
+/// The text for an unknown value.
+const UNKNOWN: &str = "-";
 
-/// What a ticket moves and leaves.
+/// Formats what a ticket moves, and its warnings.
 pub(super) fn preview(preview: &TicketPreview) -> String {
-    written(|text| {
+    format_with(|text| {
         for domain in &preview.domains {
             writeln!(text, "  {}", capacity(domain))?;
         }
@@ -52,9 +52,9 @@
     Ok(())
 }
 
-/// What a VM knows.
+/// Formats what a VM knows.
 pub(super) fn status(report: &StatusReport) -> String {
-    written(|text| {
+    format_with(|text| {
         writeln!(
             text,
             "{} in {} ({}), deployment {}, {} ms old{}",
@@ -65,7 +65,8 @@
             report.age_ms,
             if report.leaving { ", leaving" } else { "" }
         )?;
-        let ticket = report.last_ticket.map_or(NONE.into(), |n| n.to_string());
+        let ticket =
+            report.last_ticket.map_or(UNKNOWN.into(), |n| n.to_string());
         writeln!(
             text,
             "  configuration: version {}, highest ticket {ticket}",
@@ -107,7 +108,7 @@
 }
 
 fn steward_view(view: &StewardView) -> String {
-    written(|text| {
+    format_with(|text| {
         let StewardView { vm, age_ms, deadline_left_ms, moves, .. } = view;
         let (begun, ended) = (moves.moving, moves.moved);
         write!(
@@ -131,7 +132,8 @@
             )?;
         }
         for server in &view.servers {
-            let keeper = server.keeper.as_ref().map_or(NONE, |k| k.as_str());
+            let keeper =
+                server.keeper.as_ref().map_or(UNKNOWN, |k| k.as_str());
             let (name, slices) = (&server.server, server.slices);
             write!(text, "    server {name}: {slices} slices, ")?;
             write!(text, "keeper {keeper}")?;
@@ -157,22 +159,22 @@
 }
 
 fn table_version(version: Option<TableVersion>) -> String {
-    version.map_or(NONE.into(), |version| {
+    version.map_or(UNKNOWN.into(), |version| {
         format!("{}.{}", version.term.number, version.sequence)
     })
 }
 
-/// Who owns a key.
+/// Formats the owner of a key and the reasons.
 pub(super) fn explain(report: &ExplainReport) -> String {
-    written(|text| {
+    format_with(|text| {
         let (service, key) = (&report.service, &report.key);
         let (slice, slices) = (report.slice, report.slices);
         writeln!(text, "{service} {key}: slice {slice} of {slices}")?;
-        let domain = report.domain.as_ref().map_or(NONE, |d| d.as_str());
-        let server = report.server.as_ref().map_or(NONE, |s| s.as_str());
-        let keeper = report.keeper.as_ref().map_or(NONE, |k| k.as_str());
+        let domain = report.domain.as_ref().map_or(UNKNOWN, |d| d.as_str());
+        let server = report.server.as_ref().map_or(UNKNOWN, |s| s.as_str());
+        let keeper = report.keeper.as_ref().map_or(UNKNOWN, |k| k.as_str());
         writeln!(text, "  owner {server} in {domain}, keeper {keeper}")?;
-        let token = report.token.map_or(NONE.into(), |token| {
+        let token = report.token.map_or(UNKNOWN.into(), |token| {
             format!("{}.{}", token.term.number, token.sequence)
         });
         let table = table_version(report.table);
@@ -185,8 +187,8 @@
     })
 }
 
-/// Collects what `write` writes; writing to a text never fails.
-fn written(write: impl FnOnce(&mut String) -> fmt::Result) -> String {
+/// Collects the output of `write`; writing to a `String` never fails.
+fn format_with(write: impl FnOnce(&mut String) -> fmt::Result) -> String {
     let mut text = String::new();
     match write(&mut text) {
         Ok(()) | Err(fmt::Error) => text,
--- a/src/daemon/logs.rs
+++ b/src/daemon/logs.rs
@@ -1,15 +1,15 @@
-//! Logs: lines for people, or JSON for machines.
+//! Sets up logging, as text lines or as JSON.
 
 use flexi_logger::{Logger, LoggerHandle};
 use goldcrestramp_config::{LogFormat, LogSettings};
 
-/// Starts logging to standard error; it ends when the handle is dropped.
+/// Starts logging to standard error; logging stops when the handle is dropped.
 ///
 /// # Errors
 ///
-/// A report when the level is not one, or logging has begun already.
+/// A report if the level is invalid or logging was started before.
 pub fn start(settings: &LogSettings) -> eyre::Result<LoggerHandle> {
-    // Libraries speak up only when something is wrong with them.
+    // Libraries log warnings and errors only.
     let level = &settings.level;
     let specification = format!("warn,goldcrestramp={level}");
     let logger = Logger::try_with_str(specification)?.log_to_stderr();
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -1,4 +1,4 @@
-//! The daemon's program: settings, logs, signals.
+//! The daemon: reads settings, sets up logs and handles signals.
 
 mod logs;
 
@@ -9,15 +9,16 @@
 use goldcrestramp_node::{NodeContext, NodeHandle};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// Exit status for a command line or settings that can't be used.
+/// The exit status for a command line or settings that can't be used.
 const EXIT_USAGE: u8 = 2;
-/// How often a stopping daemon says what it waits for.
-const REPORT_EVERY: Duration = Duration::from_secs(5);
+/// The interval at which a stopping daemon logs how many requests it waits
+/// for.
+const REPORT_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Runs the daemon until it is told to stop.
+/// Runs the daemon until a signal stops it.
 ///
-/// Exit status 0: stopped with nothing cut; 1: it failed, or a second
-/// signal ended it early; 2: the command line or the settings are bad.
+/// Exit status 0: it stopped without cutting off a request; 1: it failed, or a
+/// second signal ended it early; 2: the command line or the settings are bad.
 #[must_use]
 pub fn run() -> ExitCode {
     let matches = command().get_matches();
@@ -88,7 +89,7 @@
             log::info!("node: stopped, nothing was cut.");
             Ok(ExitCode::SUCCESS)
         }
-        () = report(context) => Ok(ExitCode::FAILURE),
+        () = report_waiting(context) => Ok(ExitCode::FAILURE),
         () = wait_signal(&mut terminate, &mut interrupt) => {
             log::warn!("node: ended by a second signal.");
             Ok(ExitCode::FAILURE)
@@ -96,10 +97,10 @@
     }
 }
 
-/// Says every few seconds what a stopping daemon waits for.
-async fn report(context: Arc<NodeContext>) {
+/// Logs periodically how many requests a stopping daemon waits for.
+async fn report_waiting(context: Arc<NodeContext>) {
     loop {
-        tokio::time::sleep(REPORT_EVERY).await;
+        tokio::time::sleep(REPORT_INTERVAL).await;
         log::info!("node: waits for {} requests.", context.requests());
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,16 +1,16 @@
 /*!
 A router for backend servers that each own keys exclusively.
 
-Every request reaches the sole owner of its key; fixed capacity is shared
-fairly; callers get true, whole answers while servers come, go and freeze.
-This crate is the front: it re-exports the parts, and holds the two thin
+Every request reaches the sole owner of its key, and fixed capacity is shared
+fairly. Callers get correct, complete responses even while servers start, stop
+or freeze. This crate re-exports the parts and holds the two thin
 programs `goldcrestrampd` (the daemon on an entry VM) and `goldcrestramp`
 (the command of operators).
 
 # The parts
 
 * [`types`]: names, slices, times, tokens and outcomes.
-* [`ownership`]: who may own, who may move; pure state machines.
+* [`ownership`]: ownership of slices and their moves; pure state machines.
 * [`decisions`]: admission, fairness, retries and placement; pure.
 * [`config`]: settings and change tickets.
 * [`platform`]: clients of the key-value service and the VM list.
