--- a/tests/harness.rs
+++ b/tests/harness.rs
@@ -1,4 +1,4 @@
-//! The process harness itself: what it starts, freezes, cuts and ends.
+//! Tests of the process harness: start, freeze, cut and kill.
 
 mod process;
 
@@ -7,12 +7,12 @@
 use process::{ProcessDeployment, TcpRelay, wait_until};
 use serde_json::json;
 
-/// Longer than an answer takes, short enough to wait for silence.
-const SILENCE: Duration = Duration::from_millis(300);
+/// The wait that shows silence: longer than a response takes.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(300);
 
-// A frozen server keeps its listener, so a caller's bytes are taken and
-// nothing comes back; once it goes on, it answers as if nothing had been.
-// A killed one refuses new connections.
+// A frozen server keeps its listener: it accepts a caller's bytes and does not
+// respond. After the thaw it responds as before. A killed server refuses new
+// connections.
 #[tokio::test]
 async fn a_server_can_be_frozen_thawed_and_killed() {
     let deployment = ProcessDeployment::spawn();
@@ -20,7 +20,8 @@
     let url = format!("http://{address}/log");
 
     server.freeze();
-    let frozen = deployment.http().get(&url).timeout(SILENCE).send().await;
+    let frozen =
+        deployment.http().get(&url).timeout(SILENCE_TIMEOUT).send().await;
     server.thaw();
     let thawed = deployment.server_log(address).await;
     server.kill();
@@ -31,29 +32,29 @@
     assert!(killed.is_err_and(|error| error.is_connect()));
 }
 
-// A cut relay takes bytes and passes none on; healed, it passes what was
-// held back, so the answer to the old request still comes.
+// A cut relay accepts bytes and forwards none. Once healed, it forwards the
+// delayed bytes, so the response to the old request still arrives.
 #[tokio::test]
-async fn a_cut_relay_holds_bytes_until_it_is_healed() {
+async fn a_cut_relay_delays_bytes_until_it_is_healed() {
     let deployment = ProcessDeployment::spawn();
-    let any = "127.0.0.1:0".parse().expect("an address");
+    let any = "127.0.0.1:0".parse().expect("address parses");
     let relay = TcpRelay::bind(any, deployment.platform_address).await;
     let url = format!("http://{}/vms", relay.address());
 
     relay.cut();
     let request = tokio::spawn(reqwest::get(url));
-    tokio::time::sleep(SILENCE).await;
+    tokio::time::sleep(SILENCE_TIMEOUT).await;
     let silent = !request.is_finished();
     relay.heal();
-    let healed = request.await.expect("no panic");
+    let healed = request.await.expect("task does not panic");
 
     assert!(silent);
-    assert_eq!(healed.expect("an answer").status(), 200);
+    assert_eq!(healed.expect("platform responds").status(), 200);
 }
 
-// A process that has ended is told apart from one that still runs.
+// An ended process is distinguished from a running one.
 #[tokio::test]
-async fn an_ended_process_is_seen() {
+async fn an_ended_process_is_detected() {
     let mut deployment = ProcessDeployment::spawn();
     let running = deployment.platform.ended();
 
--- a/tests/load_command.rs
+++ b/tests/load_command.rs
@@ -1,4 +1,5 @@
-//! `goldcrestramp load` against a real daemon: saved, drawn and compared.
+//! Tests `goldcrestramp load` against a real daemon: its figures can be saved,
+//! plotted and compared.
 
 mod process;
 
@@ -15,7 +16,7 @@
 const DOMAIN: &str = "sierra-a";
 /// The services of the example's mix of traffic.
 const SERVICES: [&str; 3] = ["stock-lookup", "restock-order", "count-export"];
-/// The example's rates times this are some 30 requests a second.
+/// The factor of the example's rates; it gives some 30 requests a second.
 const SCALE: &str = "0.05";
 
 /// One daemon, and one server for each service.
@@ -25,7 +26,7 @@
     _servers: Vec<ChildProcess>,
 }
 
-async fn loaded() -> LoadedDeployment {
+async fn spawn_loaded() -> LoadedDeployment {
     let deployment = ProcessDeployment::spawn();
     let mut servers = Vec::new();
     let mut rules: Vec<Value> = Vec::new();
@@ -63,15 +64,15 @@
     async fn wait_served(&self, service: &str) {
         let url = format!("http://{}/v1/{service}/k", self.daemon.callers);
         wait_until(service, async || {
-            let ask = self.deployment.http().get(&url);
-            let ask = ask.timeout(Duration::from_secs(5));
-            let answer = ask.send().await.ok()?;
+            let request = self.deployment.http().get(&url);
+            let request = request.timeout(Duration::from_secs(5));
+            let answer = request.send().await.ok()?;
             answer.status().is_success().then_some(())
         })
         .await;
     }
 
-    /// A file of this deployment's own.
+    /// Returns the path of a file that only this deployment uses.
     fn file(&self, name: &str) -> PathBuf {
         let host = self.daemon.callers.ip();
         let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
@@ -79,12 +80,12 @@
     }
 }
 
-/// Runs `goldcrestramp load` off the test's own thread.
-async fn load(arguments: &[&str]) -> Output {
+/// Runs `goldcrestramp load` on a blocking thread.
+async fn run_load(arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_goldcrestramp"));
     command.arg("load").args(arguments);
     let run = tokio::task::spawn_blocking(move || command.output());
-    run.await.expect("no panic").expect("it runs")
+    run.await.expect("task does not panic").expect("command runs")
 }
 
 fn text(output: &Output) -> String {
@@ -93,30 +94,31 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_run_is_saved_drawn_and_compared() {
-    let loaded = loaded().await;
+async fn a_run_can_be_saved_plotted_and_compared() {
+    let loaded = spawn_loaded().await;
     let target = loaded.daemon.callers.to_string();
     let files = ["before.json", "after.json", "run.svg"];
     let [before, after, plot] = files.map(|name| loaded.file(name));
-    let [before, after, plot] =
-        [&before, &after, &plot].map(|file| file.to_str().expect("text"));
-    let usual = ["--target", &target, "--scale", SCALE, "--seconds", "2"];
+    let [before, after, plot] = [&before, &after, &plot]
+        .map(|file| file.to_str().expect("path is UTF-8"));
+    let common = ["--target", &target, "--scale", SCALE, "--seconds", "2"];
 
-    let first = load(&[&usual[..], &["--save", before]].concat()).await;
+    let first = run_load(&[&common[..], &["--save", before]].concat()).await;
     let more = ["--seed", "2", "--save", after, "--plot", plot];
-    let second = load(&[&usual[..], &more].concat()).await;
-    let table = load(&["--compare", before, after]).await;
+    let second = run_load(&[&common[..], &more].concat()).await;
+    let table = run_load(&["--compare", before, after]).await;
 
     for output in [&first, &second, &table] {
         assert_eq!(output.status.code(), Some(0), "{}", text(output));
     }
-    let saved = std::fs::read(before).expect("a saved run");
-    let saved: LoadReport = serde_json::from_slice(&saved).expect("a report");
+    let saved = std::fs::read(before).expect("report is saved");
+    let saved: LoadReport =
+        serde_json::from_slice(&saved).expect("report parses");
     assert!(saved.requests > 0);
     assert_eq!(saved.done, saved.requests, "{saved:?}");
     let sums = saved.seconds.iter().map(|second| second.done + second.other);
     assert_eq!(sums.sum::<u64>(), saved.requests);
-    let picture = std::fs::read_to_string(plot).expect("a picture");
+    let picture = std::fs::read_to_string(plot).expect("plot is saved");
     assert!(picture.starts_with("<svg") && picture.contains("</svg>"));
     assert!(picture.contains("<polyline"), "curves are drawn");
     let table = text(&table);
@@ -124,13 +126,14 @@
         assert!(table.contains(row), "{row} in {table}");
     }
     for file in [before, after, plot] {
-        std::fs::remove_file(file).expect("removed");
+        std::fs::remove_file(file).expect("file is removed");
     }
 }
 
-/// Bad input ends with status 2 and says what is wrong; nothing is sent.
+/// Bad input ends with status 2 and a message that names the fault; nothing is
+/// sent.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn what_cannot_be_run_is_refused() {
+async fn invalid_arguments_are_refused() {
     let cases = [
         (vec!["--target", "192.0.2.1:80"], "loopback"),
         (vec!["--target", "127.0.0.1:1", "--scale", "0"], "above 0"),
@@ -140,10 +143,10 @@
         (vec![], "--target"),
     ];
     for (arguments, message) in cases {
-        let output = load(&arguments).await;
+        let output = run_load(&arguments).await;
 
-        let said = text(&output);
-        assert_eq!(output.status.code(), Some(2), "{arguments:?}: {said}");
-        assert!(said.contains(message), "{arguments:?}: {said}");
+        let printed = text(&output);
+        assert_eq!(output.status.code(), Some(2), "{arguments:?}: {printed}");
+        assert!(printed.contains(message), "{arguments:?}: {printed}");
     }
 }
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -1,4 +1,4 @@
-//! Operators drive real daemons with the real command.
+//! Tests the operators' command against real daemons.
 
 mod process;
 
@@ -10,7 +10,7 @@
 use process::{ChildProcess, DaemonProcess, ProcessDeployment, wait_until};
 use serde_json::{Value, json};
 
-/// Two VMs, one server each, in two failure domains.
+/// Two VMs in two failure domains, with one server each.
 struct OperatedDeployment {
     _deployment: ProcessDeployment,
     first: DaemonProcess,
@@ -18,7 +18,7 @@
     servers: Vec<(ChildProcess, String)>,
 }
 
-async fn operated() -> OperatedDeployment {
+async fn spawn_operated() -> OperatedDeployment {
     let deployment = ProcessDeployment::spawn();
     let servers = ["s1", "s2"].map(|name| {
         let (process, address) = deployment.server(name, &json!({}));
@@ -47,11 +47,11 @@
 }
 
 impl OperatedDeployment {
-    /// Ticket 1: both domains, one service, both servers.
+    /// The ticket with number 1: both domains, one service, both servers.
     fn first_ticket(&self) -> Value {
-        let server = |place: usize, domain: &str| {
-            json!({ "name": format!("s{}", place + 1), "service": "stock",
-                "domain": domain, "address": self.servers[place].1,
+        let server = |index: usize, domain: &str| {
+            json!({ "name": format!("s{}", index + 1), "service": "stock",
+                "domain": domain, "address": self.servers[index].1,
                 "slots": 4, "connections": 20, "checks_fence": true })
         };
         json!({ "ticket": 1,
@@ -68,44 +68,45 @@
         let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
         let path = directory.join(format!("{host}-{port}-{name}.jsonc"));
         let text = format!("// {name}\n{ticket:#}");
-        std::fs::write(&path, text).expect("a file");
+        std::fs::write(&path, text).expect("file is written");
         path
     }
 
-    /// Runs the command for both VMs, off the test's own thread.
-    async fn command(&self, arguments: &[&str]) -> Ended {
+    /// Runs the command with the addresses of both VMs, on a blocking thread.
+    async fn command(&self, arguments: &[&str]) -> CommandResult {
         let mut command = Command::new(env!("CARGO_BIN_EXE_goldcrestramp"));
         command.args(arguments);
         for daemon in [&self.first, &self.second] {
             command.args(["--vm", &format!("http://{}", daemon.operators)]);
         }
         let run = tokio::task::spawn_blocking(move || command.output());
-        let output = run.await.expect("no panic").expect("it runs");
-        Ended::new(&output)
+        let output =
+            run.await.expect("task does not panic").expect("command runs");
+        CommandResult::new(&output)
     }
 
-    async fn apply(&self, name: &str, ticket: &Value) -> Ended {
+    async fn apply(&self, name: &str, ticket: &Value) -> CommandResult {
         let path = self.write(name, ticket);
-        let path = path.to_str().expect("a path in text");
+        let path = path.to_str().expect("path is UTF-8");
         self.command(&["apply", path]).await
     }
 }
 
-/// What a command ended with.
+/// The exit status and the output of a command.
 #[derive(Debug)]
-struct Ended {
+struct CommandResult {
     status: Option<i32>,
     text: String,
 }
 
-impl Ended {
+impl CommandResult {
     fn new(output: &Output) -> Self {
         let bytes = [&*output.stdout, &*output.stderr].concat();
         let text = String::from_utf8_lossy(&bytes).into_owned();
         Self { status: output.status.code(), text }
     }
 
-    fn says(&self, status: i32, text: &str) {
+    fn assert_printed(&self, status: i32, text: &str) {
         assert_eq!(self.status, Some(status), "{}", self.text);
         assert!(self.text.contains(text), "{text} in {}", self.text);
     }
@@ -116,12 +117,13 @@
         "callers": [{ "name": "shop", "weight": weight }] })
 }
 
-// A ticket goes to one VM and is in force on both: the second VM's steward
-// watches the store. The same ticket again is known; another text under its
-// number is refused, and so is one that came too late for its caller.
+// A ticket is sent to one VM and applies to both: the second VM's steward
+// watches the store. The same ticket again is recognized. Another text under
+// its number is refused, and so is a ticket that is older than its caller's
+// last one.
 #[tokio::test]
-async fn a_ticket_comes_into_force_on_all_vms() {
-    let operated = operated().await;
+async fn a_ticket_is_in_force_on_all_vms() {
+    let operated = spawn_operated().await;
 
     let first = operated.apply("first", &operated.first_ticket()).await;
     let again = operated.apply("first", &operated.first_ticket()).await;
@@ -129,19 +131,19 @@
     let reused = operated.apply("reused", &caller(3, 4)).await;
     let late = operated.apply("late", &caller(2, 4)).await;
 
-    first.says(0, "in force on all 2 VMs");
-    again.says(0, "accepted already");
-    third.says(0, "accepted as version 2");
-    reused.says(1, "accepted with another text");
-    late.says(1, "shop was last touched by ticket 3");
+    first.assert_printed(0, "in force on all 2 VMs");
+    again.assert_printed(0, "accepted already");
+    third.assert_printed(0, "accepted as version 2");
+    reused.assert_printed(1, "accepted with another text");
+    late.assert_printed(1, "shop was last touched by ticket 3");
 }
 
-// Any VM explains a key once tables have come: slice, owner, keeper.
+// Any VM explains a key once it has the tables: slice, owner, keeper.
 #[tokio::test]
 async fn any_vm_shows_its_status_and_explains_a_key() {
-    let operated = operated().await;
+    let operated = spawn_operated().await;
     let first = operated.apply("first", &operated.first_ticket()).await;
-    first.says(0, "in force");
+    first.assert_printed(0, "in force");
 
     let explained = wait_until("an owner on both VMs", async || {
         let ended = operated.command(&["explain", "stock", "rice"]).await;
@@ -152,49 +154,50 @@
     let status = operated.command(&["status", "--json"]).await;
     let nothing = operated.command(&["explain", "none", "rice"]).await;
 
-    explained.says(0, "as vm-2 knows it");
+    explained.assert_printed(0, "as vm-2 knows it");
     let lines = status.text.lines().map(serde_json::from_str::<Value>);
-    let lines: Vec<_> = lines.map(|line| line.expect("JSON")).collect();
+    let lines: Vec<_> =
+        lines.map(|line| line.expect("output is JSON")).collect();
     assert_eq!(lines.len(), 2);
     for line in lines {
         assert_eq!(line["status"]["config_version"], 1);
         assert_eq!(line["status"]["steward"]["here"], true);
     }
-    nothing.says(1, "unknown-service");
+    nothing.assert_printed(1, "unknown-service");
 }
 
-// The store is cut off from the first VM: that VM takes no ticket, so the
-// command asks the next, and says which VM lags behind. Healed, the first
-// has it in force too.
+// The first VM is disconnected from the store and accepts no ticket, so the
+// command tries the next VM and names the one that lags. After the partition
+// heals, the first VM has the ticket in force too.
 #[tokio::test]
-async fn a_vm_cut_off_from_the_store_lags_and_is_named() {
-    let operated = operated().await;
+async fn a_vm_without_the_store_lags_and_is_named() {
+    let operated = spawn_operated().await;
     let first = operated.apply("first", &operated.first_ticket()).await;
-    first.says(0, "in force");
+    first.assert_printed(0, "in force");
     operated.first.platform_relay.cut();
 
     let path = operated.write("second", &caller(2, 3));
-    let path = path.to_str().expect("a path in text");
+    let path = path.to_str().expect("path is UTF-8");
     let cut = operated.command(&["apply", path, "--wait", "1"]).await;
     operated.first.platform_relay.heal();
     let healed = operated.command(&["apply", path]).await;
 
     let lag = format!("lags: http://{}", operated.first.operators);
-    cut.says(1, &lag);
+    cut.assert_printed(1, &lag);
     assert!(cut.text.contains("has version 1"), "{}", cut.text);
-    healed.says(0, "in force on all 2 VMs");
+    healed.assert_printed(0, "in force on all 2 VMs");
 }
 
-// The second VM stands still: it keeps its connections and answers nothing.
-// The command must not wait for it beyond what it was told, and name it;
-// once the VM goes on, it has the ticket in force too.
+// The second VM is frozen: it keeps its connections and does not respond. The
+// command must not wait longer for it than `--wait` allows, and must name it.
+// After the thaw the VM has the ticket in force too.
 #[tokio::test]
-async fn a_vm_that_stands_still_lags_and_is_named() {
-    let mut operated = operated().await;
+async fn a_frozen_vm_lags_and_is_named() {
+    let mut operated = spawn_operated().await;
     let first = operated.apply("first", &operated.first_ticket()).await;
-    first.says(0, "in force");
+    first.assert_printed(0, "in force");
     let path = operated.write("second", &caller(2, 3));
-    let path = path.to_str().expect("a path in text");
+    let path = path.to_str().expect("path is UTF-8");
     operated.second.process.freeze();
 
     let frozen = operated.command(&["apply", path, "--wait", "1"]).await;
@@ -205,17 +208,17 @@
         "lags: http://{}: no answer in time",
         operated.second.operators
     );
-    frozen.says(1, &lag);
-    thawed.says(0, "in force on all 2 VMs");
+    frozen.assert_printed(1, &lag);
+    thawed.assert_printed(0, "in force on all 2 VMs");
 }
 
-// What is wrong is told at its place, with status 2 for what can't be read
-// and 1 for what the configuration refuses; nothing is applied.
+// Faults are reported with their position, with status 2 for input that can't
+// be read and 1 for what the configuration refuses; nothing is applied.
 #[tokio::test]
 async fn check_and_apply_refuse_with_file_line_and_column() {
-    let operated = operated().await;
+    let operated = spawn_operated().await;
     let first = operated.apply("first", &operated.first_ticket()).await;
-    first.says(0, "in force");
+    first.assert_printed(0, "in force");
     let drain = |name: &str| {
         let mut ticket = operated.first_ticket();
         ticket["ticket"] = json!(5);
@@ -228,17 +231,18 @@
     let good = drain("s1");
     let twin = drain("twin");
     let bad = operated.write("bad", &json!({ "ticket": 0, "vms": [] }));
-    let text = |path: &PathBuf| path.to_str().expect("text").to_owned();
+    let text =
+        |path: &PathBuf| path.to_str().expect("path is UTF-8").to_owned();
 
     let good = operated.command(&["check", &text(&good)]).await;
     let refused = operated.command(&["check", &text(&twin)]).await;
     let malformed = operated.command(&["check", &text(&bad)]).await;
     let applied = operated.command(&["apply", &text(&bad)]).await;
 
-    good.says(0, "warning: sierra-a is left without a slot");
-    refused.says(1, "server/s1 listens there");
-    let place = ".jsonc:5:18: servers[0].address";
-    assert!(refused.text.contains(place), "{}", refused.text);
-    malformed.says(2, "vms: unknown field");
-    applied.says(2, "0 is not within 1 to");
+    good.assert_printed(0, "warning: sierra-a is left without a slot");
+    refused.assert_printed(1, "server/s1 listens there");
+    let position = ".jsonc:5:18: servers[0].address";
+    assert!(refused.text.contains(position), "{}", refused.text);
+    malformed.assert_printed(2, "vms: unknown field");
+    applied.assert_printed(2, "0 is not within 1 to");
 }
--- a/tests/process/child.rs
+++ b/tests/process/child.rs
@@ -1,4 +1,4 @@
-//! One started process.
+//! Spawns and signals one child process.
 
 use std::{
     fs::File,
@@ -10,7 +10,7 @@
 
 use rustix::process::{Pid, Signal, WaitOptions, kill_process, waitpid};
 
-/// A process that ends when this handle is dropped.
+/// A child process that is killed when this handle is dropped.
 #[derive(Debug)]
 pub struct ChildProcess {
     name: String,
@@ -23,8 +23,8 @@
     /// Starts `program`; its standard error goes to a file named `name`.
     pub fn spawn(program: &str, name: &str, arguments: &[&str]) -> Self {
         let log = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
-            .join(format!("{name}-{:08x}.log", rand_number()));
-        let file = File::create(&log).expect("a log file");
+            .join(format!("{name}-{:08x}.log", random_number()));
+        let file = File::create(&log).expect("log file is created");
         let child = Command::new(program)
             .args(arguments)
             .stdin(Stdio::null())
@@ -37,64 +37,66 @@
 
     /// Reads the line `listening ADDRESS` that a stand-in prints.
     pub fn listening(&mut self) -> SocketAddr {
-        let stdout = self.child.stdout.take().expect("a piped stdout");
+        let stdout = self.child.stdout.take().expect("stdout is piped");
         let mut line = String::new();
-        BufReader::new(stdout).read_line(&mut line).expect("a line");
+        BufReader::new(stdout)
+            .read_line(&mut line)
+            .expect("stdout is readable");
         let address = line.trim().strip_prefix("listening ");
         let address = address.unwrap_or_else(|| panic!("{line:?}"));
-        address.parse().expect("an address")
+        address.parse().expect("address parses")
     }
 
-    /// Ends the process at once, as the loss of its machine would.
+    /// Kills the process, as the loss of its machine would.
     pub fn kill(&mut self) {
         self.signal(Signal::KILL);
-        self.child.wait().expect("the ended process");
+        self.child.wait().expect("process has ended");
     }
 
-    /// Stops the process where it is; its sockets go on taking bytes.
+    /// Freezes the process with SIGSTOP; its sockets still accept bytes.
     ///
-    /// Returns once it stands still: on a busy machine it could else answer
-    /// one more request after the signal was sent.
+    /// Returns once the process is stopped: on a busy machine it could
+    /// otherwise respond to one more request after the signal was sent.
     pub fn freeze(&mut self) {
         self.signal(Signal::STOP);
         let id = Pid::from_child(&self.child);
-        waitpid(Some(id), WaitOptions::UNTRACED).expect("it has stopped");
+        waitpid(Some(id), WaitOptions::UNTRACED).expect("process is stopped");
         self.frozen = true;
     }
 
-    /// Lets a frozen process go on.
+    /// Continues a frozen process with SIGCONT.
     pub fn thaw(&mut self) {
         self.signal(Signal::CONT);
         self.frozen = false;
     }
 
-    /// Asks the process to end itself gracefully.
+    /// Asks the process to stop gracefully, with SIGTERM.
     pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// Whether the process has ended by itself, and with which status.
+    /// The exit status of the process if it has ended.
     pub fn ended(&mut self) -> Option<std::process::ExitStatus> {
-        self.child.try_wait().expect("the state of the process")
+        self.child.try_wait().expect("process status is readable")
     }
 
-    /// What the process has written to its standard error.
+    /// The output of the process on its standard error.
     pub fn log_text(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
 
     fn signal(&self, signal: Signal) {
-        kill_process(self.pid(), signal).expect("a process of this test");
+        kill_process(self.pid(), signal).expect("process exists");
     }
 
     fn pid(&self) -> Pid {
-        let id = i32::try_from(self.child.id()).expect("a process id");
-        Pid::from_raw(id).expect("a process id")
+        let id = i32::try_from(self.child.id()).expect("process id is valid");
+        Pid::from_raw(id).expect("process id is valid")
     }
 }
 
 impl Drop for ChildProcess {
-    /// Ends the process and waits, so that none outlives its test.
+    /// Kills the process and waits for it, so that none outlives its test.
     fn drop(&mut self) {
         if self.child.kill().is_ok() {
             let _status = self.child.wait();
@@ -106,8 +108,8 @@
     }
 }
 
-/// A number that no other process or test of this machine has.
-fn rand_number() -> u64 {
+/// Returns a random number, so that the log files of concurrent tests differ.
+fn random_number() -> u64 {
     use std::hash::{BuildHasher, RandomState};
     RandomState::new().hash_one(std::process::id())
 }
--- a/tests/process/deployment.rs
+++ b/tests/process/deployment.rs
@@ -1,4 +1,4 @@
-//! A small deployment of separate processes on loopback.
+//! Runs a small deployment as separate processes on loopback.
 
 use std::{
     net::{Ipv4Addr, SocketAddr, TcpListener},
@@ -11,19 +11,20 @@
 
 use super::{child::ChildProcess, relay::TcpRelay};
 
-/// Longer than anything a test waits for; only a failed test sees it.
-const WAIT_LIMIT: Duration = Duration::from_mins(1);
-/// Holding this port of a host claims the host; daemons' ports follow it.
+/// The timeout of waits, longer than any wait of a test that passes.
+const WAIT_TIMEOUT: Duration = Duration::from_mins(1);
+/// Binding this port of a host claims the host; the ports of daemons follow
+/// it.
 const CLAIM_PORT: u16 = 19_999;
-/// How often a condition is looked at.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+/// The interval at which a condition is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The platform, servers and daemons of one test.
 #[derive(Debug)]
 pub struct ProcessDeployment {
     /// The platform's process.
     pub platform: ChildProcess,
-    /// Where the platform listens.
+    /// The address of the platform.
     pub platform_address: SocketAddr,
     http: reqwest::Client,
     host: Ipv4Addr,
@@ -31,7 +32,7 @@
     _claim: TcpListener,
 }
 
-/// A running daemon and where its listeners are.
+/// A running daemon and the addresses of its listeners.
 #[derive(Debug)]
 pub struct DaemonProcess {
     /// The process.
@@ -42,15 +43,16 @@
     pub domain: String,
     /// Its region.
     pub region: String,
-    /// Where callers are served.
+    /// The listener for callers.
     pub callers: SocketAddr,
-    /// Where operators are served.
+    /// The listener for operators.
     pub operators: SocketAddr,
-    /// What stands between it and its peers; the address they know.
+    /// The relay before its listener for peers; peers know the relay's
+    /// address.
     pub peer_relay: TcpRelay,
-    /// What stands before its control listener; the address they know.
+    /// The relay before its control listener; peers know the relay's address.
     pub control_relay: TcpRelay,
-    /// What stands between it and the platform.
+    /// The relay between it and the platform.
     pub platform_relay: TcpRelay,
     settings: PathBuf,
 }
@@ -72,7 +74,7 @@
         Self { platform, platform_address, http, host, ports, _claim: claim }
     }
 
-    /// Starts a backend server that behaves as the JSON says.
+    /// Starts a backend server with this behaviour.
     pub fn server(
         &self,
         name: &str,
@@ -89,14 +91,14 @@
         log: Option<&Path>,
     ) -> (ChildProcess, SocketAddr) {
         let path = self.temporary(&format!("{name}.json"));
-        std::fs::write(&path, behaviour.to_string()).expect("a file");
+        std::fs::write(&path, behaviour.to_string()).expect("file is written");
         let listen = format!("{}:0", self.host);
-        let path = path.to_str().expect("a path in text");
+        let path = path.to_str().expect("path is UTF-8");
         let mut arguments =
             vec!["server", "--listen", &listen, "--behaviour", path];
         if let Some(log) = log {
             arguments.push("--log-file");
-            arguments.push(log.to_str().expect("a path in text"));
+            arguments.push(log.to_str().expect("path is UTF-8"));
         }
         let mut server = ChildProcess::spawn(
             env!("CARGO_BIN_EXE_goldcrestramp-standin"),
@@ -107,12 +109,12 @@
         (server, address)
     }
 
-    /// Starts a daemon; it may not serve yet when this returns.
+    /// Starts a daemon, which may not serve yet when this returns.
     pub async fn daemon(&self, vm: &str, domain: &str) -> DaemonProcess {
         self.daemon_in(vm, domain, "sierra").await
     }
 
-    /// Starts a daemon in a region of that name.
+    /// Starts a daemon in this region.
     pub async fn daemon_in(
         &self,
         vm: &str,
@@ -138,7 +140,7 @@
             "operators": { "listen": operators },
         });
         let path = self.temporary(&format!("{vm}.jsonc"));
-        std::fs::write(&path, settings.to_string()).expect("a file");
+        std::fs::write(&path, settings.to_string()).expect("file is written");
         let process = spawn_daemon(vm, &path);
         DaemonProcess {
             process,
@@ -154,37 +156,38 @@
         }
     }
 
-    /// The client that this deployment's tests share.
+    /// The HTTP client that this deployment's tests share.
     pub const fn http(&self) -> &reqwest::Client {
         &self.http
     }
 
-    /// Writes a first value into the platform's key-value service.
+    /// Creates a key in the platform's key-value service.
     pub async fn put_first(&self, key: &str, value: &Value) {
         let url = format!("http://{}/kv/{key}", self.platform_address);
         let request = self.http.put(url).header("if-none-match", "*");
-        let answer = request.body(value.to_string()).send().await;
-        let status = answer.expect("the platform's answer").status();
+        let response = request.body(value.to_string()).send().await;
+        let status = response.expect("platform responds").status();
         assert!(status.is_success(), "{key}: {status}");
     }
 
     /// Replaces the platform's VM list.
     pub async fn put_vms(&self, vms: &Value) {
         let url = format!("http://{}/vms", self.platform_address);
-        let answer = self.http.put(url).json(vms).send().await;
-        let status = answer.expect("the platform's answer").status();
+        let response = self.http.put(url).json(vms).send().await;
+        let status = response.expect("platform responds").status();
         assert!(status.is_success(), "VM list: {status}");
     }
 
-    /// What a server has executed, as its own log tells it.
+    /// Fetches a server's log of its executions and grants.
     pub async fn server_log(&self, server: SocketAddr) -> Value {
         let url = format!("http://{server}/log");
-        let answer = self.http.get(url).send().await;
-        let answer = answer.expect("the server's answer");
-        answer.json().await.expect("the server's log")
+        let response = self.http.get(url).send().await;
+        let response = response.expect("server responds");
+        response.json().await.expect("log parses")
     }
 
-    /// Asks as a caller does; `headers` tell caller, id and class.
+    /// Sends a request as a caller does; `headers` contain caller, id and
+    /// class.
     pub async fn ask(
         &self,
         daemon: &DaemonProcess,
@@ -199,7 +202,7 @@
         request.send().await
     }
 
-    /// Addresses on which nothing listens, nor will but whom they are for.
+    /// Returns addresses on which nothing else listens.
     pub fn free_addresses<const N: usize>(&self) -> [SocketAddr; N] {
         std::array::from_fn(|_| {
             let port = self.ports.fetch_add(1, Ordering::Relaxed);
@@ -207,7 +210,7 @@
         })
     }
 
-    /// A file of this deployment alone.
+    /// Returns the path of a temporary file that only this deployment uses.
     pub fn temporary(&self, name: &str) -> PathBuf {
         let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
         let port = self.platform_address.port();
@@ -216,29 +219,29 @@
 }
 
 impl DaemonProcess {
-    /// Starts the daemon again after it was killed: a replaced VM.
+    /// Restarts the daemon after it was killed, as a replaced VM.
     pub fn restart(&mut self) {
         self.process = spawn_daemon(&self.vm, &self.settings);
     }
 }
 
-/// Waits until `look` tells a value; fails the test after a minute.
+/// Polls until `poll` returns a value; fails the test after a minute.
 pub async fn wait_until<T>(
     what: &str,
-    mut look: impl AsyncFnMut() -> Option<T>,
+    mut poll: impl AsyncFnMut() -> Option<T>,
 ) -> T {
-    let limit = Instant::now() + WAIT_LIMIT;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     loop {
-        if let Some(value) = look().await {
+        if let Some(value) = poll().await {
             return value;
         }
-        assert!(Instant::now() < limit, "waited in vain: {what}");
-        tokio::time::sleep(LOOK_EVERY).await;
+        assert!(Instant::now() < deadline, "timed out waiting for: {what}");
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
 fn spawn_daemon(vm: &str, settings: &std::path::Path) -> ChildProcess {
-    let settings = settings.to_str().expect("a path in text");
+    let settings = settings.to_str().expect("path is UTF-8");
     ChildProcess::spawn(
         env!("CARGO_BIN_EXE_goldcrestrampd"),
         vm,
@@ -246,12 +249,13 @@
     )
 }
 
-/// A loopback host that is this deployment's alone while the claim lives.
+/// Claims a loopback host for this deployment; the claim ends when the
+/// listener is dropped.
 ///
-/// Drawing a port from the system and letting it go again was not enough: a
-/// relay or daemon of another test took it before its own daemon bound it,
-/// which then ended with "Address already in use". Here the ports are
-/// counted up on a claimed host, below those that the system hands out.
+/// Letting the system choose a port and releasing it was not enough: a relay
+/// or daemon of another test bound it before the deployment's own daemon,
+/// which then failed with "Address already in use". The ports are therefore
+/// counted up on a claimed host, below the range that the system assigns.
 fn claim_host() -> (Ipv4Addr, TcpListener) {
     let [_, _, high, low] = std::process::id().to_be_bytes();
     for last in 1..=u8::MAX {
--- a/tests/process/mod.rs
+++ b/tests/process/mod.rs
@@ -1,8 +1,8 @@
-//! Starts daemons and stand-ins as processes of their own, and makes them
-//! fail: kill, freeze, cut off.
+//! A test harness that runs daemons and stand-ins as separate processes and
+//! makes them fail: kill, freeze, disconnect.
 //!
-//! Every process is ended by its id when its handle is dropped, also when
-//! the test panics; its output is then printed.
+//! Every process is killed by its id when its handle is dropped, also when the
+//! test panics; its output is then printed.
 
 #![expect(
     dead_code,
@@ -19,5 +19,5 @@
     child::ChildProcess,
     deployment::{DaemonProcess, ProcessDeployment, wait_until},
     relay::TcpRelay,
-    trial::{ProcessTrial, TrialPlace, outcomes},
+    trial::{ProcessTrial, TrialDomain, outcomes},
 };
--- a/tests/process/relay.rs
+++ b/tests/process/relay.rs
@@ -1,4 +1,4 @@
-//! A TCP relay that can fall silent, as a cut network does.
+//! A TCP relay that can stop forwarding, like a partitioned network.
 
 use std::net::SocketAddr;
 
@@ -12,13 +12,13 @@
     task::JoinHandle,
 };
 
-/// Bytes carried at a time.
+/// Bytes that are forwarded at a time.
 const CHUNK_BYTES: usize = 16_384;
 
-/// Carries connections to a target until it is cut.
+/// Forwards connections to a target until it is cut.
 ///
-/// A cut relay breaks nothing off: bytes that were sent stay where they
-/// are until it is healed, as packets are sent again after a cut.
+/// A cut relay closes no connection: bytes in flight are delayed until it is
+/// healed, as TCP retransmits packets after a partition.
 #[derive(Debug)]
 pub struct TcpRelay {
     address: SocketAddr,
@@ -27,26 +27,26 @@
 }
 
 impl TcpRelay {
-    /// Listens at `address` and carries every connection to `target`.
+    /// Listens at `address` and forwards every connection to `target`.
     pub async fn bind(address: SocketAddr, target: SocketAddr) -> Self {
-        let listener = TcpListener::bind(address).await.expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind(address).await.expect("port is free");
+        let address = listener.local_addr().expect("listener has an address");
         let open = watch::Sender::new(true);
         let task = tokio::spawn(accept(listener, target, open.subscribe()));
         Self { address, open, task }
     }
 
-    /// Where it listens.
+    /// The address that the relay is bound to.
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Lets nothing pass from now on.
+    /// Stops forwarding.
     pub fn cut(&self) {
         self.open.send_replace(false);
     }
 
-    /// Lets everything pass again, also what was held back.
+    /// Resumes forwarding, including the delayed bytes.
     pub fn heal(&self) {
         self.open.send_replace(true);
     }
@@ -64,27 +64,27 @@
     open: watch::Receiver<bool>,
 ) {
     while let Ok((stream, _)) = listener.accept().await {
-        tokio::spawn(carry(stream, target, open.clone()));
+        tokio::spawn(forward(stream, target, open.clone()));
     }
 }
 
-/// Carries one connection until either side ends it.
-async fn carry(
-    near: TcpStream,
+/// Forwards one connection until either side closes it.
+async fn forward(
+    client: TcpStream,
     target: SocketAddr,
     mut open: watch::Receiver<bool>,
 ) {
     if open.wait_for(|open| *open).await.is_err() {
         return;
     }
-    let Ok(far) = TcpStream::connect(target).await else {
+    let Ok(server) = TcpStream::connect(target).await else {
         return;
     };
-    let (near_in, near_out) = near.into_split();
-    let (far_in, far_out) = far.into_split();
+    let (client_read, client_write) = client.into_split();
+    let (server_read, server_write) = server.into_split();
     tokio::join!(
-        copy(near_in, far_out, open.clone()),
-        copy(far_in, near_out, open),
+        copy(client_read, server_write, open.clone()),
+        copy(server_read, client_write, open),
     );
 }
 
--- a/tests/process/trial.rs
+++ b/tests/process/trial.rs
@@ -1,4 +1,5 @@
-//! Daemons and servers as processes, put to work while one thing fails.
+//! Runs daemons and servers as processes, under load while one fault is
+//! active.
 
 use std::{net::SocketAddr, path::PathBuf, sync::Arc, time::Duration};
 
@@ -17,17 +18,17 @@
 };
 
 /// A failure domain and its region.
-pub type TrialPlace = (&'static str, &'static str);
+pub type TrialDomain = (&'static str, &'static str);
 
-/// The one failure domain of most trials.
-const HOME: TrialPlace = ("sierra-a", "sierra");
-/// Keys that are asked for to see whether all is served.
-const PROBES: usize = 32;
+/// The only failure domain of most trials.
+const DEFAULT_DOMAIN: TrialDomain = ("sierra-a", "sierra");
+/// The number of keys that are probed to see whether all slices are served.
+const PROBE_KEYS: usize = 32;
 /// The seed of the first load, and the step to the next.
 const SEED: u64 = 100;
-/// How long requests arrive, and when the fault begins.
+/// How long requests arrive, in seconds, and when the fault starts.
 const LOAD_SECONDS: u64 = 5;
-const FAULT_AT: Duration = Duration::from_secs(1);
+const FAULT_DELAY: Duration = Duration::from_secs(1);
 
 /// A server's process, its listener and its log file.
 #[derive(Debug)]
@@ -35,31 +36,31 @@
     /// The process.
     pub process: ChildProcess,
     log: PathBuf,
-    lost: Option<MachineTime>,
-    /// As the configuration has it.
+    lost_at: Option<MachineTime>,
+    /// The server's rules in the configuration.
     rules: Value,
 }
 
 impl TrialServer {
-    /// Ends the server's process for good.
+    /// Kills the server's process for good.
     pub fn lose(&mut self) {
         self.process.kill();
-        self.lost = Some(MachineTime::now());
+        self.lost_at = Some(MachineTime::now());
     }
 }
 
 /// Daemons and servers of one service, in one failure domain or several.
 #[derive(Debug)]
 pub struct ProcessTrial {
-    /// The platform, and what tests ask it for.
+    /// The platform and the harness around it.
     pub deployment: ProcessDeployment,
     /// The daemons.
     pub daemons: Vec<DaemonProcess>,
     /// The servers.
     pub servers: Vec<TrialServer>,
-    /// The seed of the next load; requests' ids hold it.
+    /// The seed of the next load; it is part of the requests' ids.
     seed: u64,
-    /// The last ticket.
+    /// The number of the last ticket.
     ticket: u64,
 }
 
@@ -67,15 +68,18 @@
     /// Starts three daemons and three servers in one failure domain, and
     /// waits until every key is served.
     pub async fn spawn() -> Self {
-        Self::spawn_in(&[HOME; 3], &[HOME; 3]).await
+        Self::spawn_in(&[DEFAULT_DOMAIN; 3], &[DEFAULT_DOMAIN; 3]).await
     }
 
-    /// Starts a daemon and a server in each of these places, and waits
-    /// until every key is served.
-    pub async fn spawn_in(vms: &[TrialPlace], places: &[TrialPlace]) -> Self {
+    /// Starts a daemon in each domain of `vms` and a server in each of
+    /// `domains`, and waits until every key is served.
+    pub async fn spawn_in(
+        vms: &[TrialDomain],
+        domains: &[TrialDomain],
+    ) -> Self {
         let deployment = ProcessDeployment::spawn();
         let mut servers = Vec::new();
-        for (number, (domain, _)) in places.iter().enumerate() {
+        for (number, (domain, _)) in domains.iter().enumerate() {
             let name = format!("stock-{number}");
             servers.push(spawn_server(&deployment, &name, domain));
         }
@@ -104,13 +108,13 @@
         trial
     }
 
-    /// Puts the daemons on the platform's VM list.
+    /// Publishes the daemons in the platform's VM list.
     pub async fn list_vms(&self) {
         let list: Vec<Value> = self.daemons.iter().map(vm_entry).collect();
         self.deployment.put_vms(&json!(list)).await;
     }
 
-    /// Replaces a VM by one of another name and address.
+    /// Replaces a VM by one with another name and address.
     pub async fn replace_vm(&mut self, number: usize, name: &str) {
         let (domain, region) = {
             let old = &mut self.daemons[number];
@@ -122,7 +126,7 @@
         self.list_vms().await;
     }
 
-    /// Drains a server, or takes it back.
+    /// Drains a server, or ends its drain.
     pub async fn drain(&mut self, number: usize, drain: bool) {
         let rules = &mut self.servers[number].rules;
         rules["drain"] = json!(drain);
@@ -130,14 +134,14 @@
         self.apply(change).await;
     }
 
-    /// Declares a failure domain lost, or back.
-    pub async fn declare_lost(&mut self, place: TrialPlace, lost: bool) {
-        let (name, region) = place;
+    /// Declares a failure domain lost, or available again.
+    pub async fn declare_lost(&mut self, domain: TrialDomain, lost: bool) {
+        let (name, region) = domain;
         let rules = json!({ "name": name, "region": region, "lost": lost });
         self.apply(json!({ "domains": [rules] })).await;
     }
 
-    /// Gives a ticket to whichever running VM takes it.
+    /// Applies a ticket through the first running VM that accepts it.
     async fn apply(&mut self, mut ticket: Value) {
         self.ticket += 1;
         ticket["ticket"] = json!(self.ticket);
@@ -157,9 +161,9 @@
         .await;
     }
 
-    /// Waits until every probed key is served through a running daemon.
+    /// Waits until every probe key is served by a running daemon.
     pub async fn wait_served(&self) {
-        for number in 0..PROBES {
+        for number in 0..PROBE_KEYS {
             let path = format!("stock/probe-{number}");
             wait_until(&path, async || {
                 let done = self.is_served(&path).await;
@@ -172,19 +176,19 @@
     async fn is_served(&self, path: &str) -> bool {
         for daemon in &self.daemons {
             let url = format!("http://{}/v1/{path}", daemon.callers);
-            let ask = self.deployment.http().get(url);
-            let ask = ask.header("goldcrestramp-caller", "probe");
-            let ask = ask.timeout(Duration::from_secs(5));
-            if let Ok(answer) = ask.send().await {
+            let request = self.deployment.http().get(url);
+            let request = request.header("goldcrestramp-caller", "probe");
+            let request = request.timeout(Duration::from_secs(5));
+            if let Ok(answer) = request.send().await {
                 return answer.status().is_success();
             }
         }
         false
     }
 
-    /// Puts callers' requests through all daemons for some seconds, and
-    /// lets `fault` happen meanwhile.
-    pub async fn load_under(
+    /// Sends callers' requests through all daemons for some seconds, and runs
+    /// `fault` meanwhile.
+    pub async fn load_during(
         &mut self,
         fault: impl AsyncFnOnce(&mut Self),
     ) -> Vec<CallEntry> {
@@ -200,43 +204,46 @@
             under_way: 2_000,
             allow_remote: false,
         };
-        // Ids of another load would be resends that nobody meant.
+        // A seed that is used twice would repeat request ids, which count as
+        // resends.
         self.seed += SEED;
-        let failing = async {
-            tokio::time::sleep(FAULT_AT).await;
+        let inject = async {
+            tokio::time::sleep(FAULT_DELAY).await;
             fault(self).await;
         };
         let (calls, ()) =
-            tokio::join!(run_load(&plan, Arc::default()), failing);
-        calls.expect("a bounded plan")
+            tokio::join!(run_load(&plan, Arc::default()), inject);
+        calls.expect("plan is bounded")
     }
 
-    /// Judges a run by the servers' log files and the callers' entries.
+    /// Checks a run by the servers' log files and the callers' records.
     ///
     /// # Panics
     ///
-    /// When a promise was broken, or hardly anything was served.
-    pub fn assert_kept(&self, calls: &[CallEntry]) {
+    /// If a guarantee was violated, or fewer than a quarter of the requests
+    /// completed.
+    pub fn assert_guarantees(&self, calls: &[CallEntry]) {
         let log = self.log();
-        let figures = GuaranteeViolations::count(&log, calls);
+        let violations = GuaranteeViolations::count(&log, calls);
         let denied = trace_denied(&log, calls);
         let overlaps = trace_overlaps(&log);
-        assert!(figures.is_empty(), "{figures:?}\n{denied}\n{overlaps}");
+        assert!(violations.is_empty(), "{violations:?}\n{denied}\n{overlaps}");
         let done = calls
             .iter()
             .filter(|c| matches!(c.outcome, CallOutcome::Done { .. }));
         assert!(done.count() * 4 > calls.len(), "{}", outcomes(calls));
     }
 
-    /// What all servers wrote down, the killed ones' up to their end.
+    /// The logs of all servers; those of killed servers end with their kill.
     pub fn log(&self) -> ServerLog {
         let mut log = ServerLog::default();
         for server in &self.servers {
-            let mut own = ServerLog::read(&server.log).expect("a log file");
-            if let (Some(lost), Some(hold)) =
-                (server.lost, own.holds.last_mut())
+            let mut own =
+                ServerLog::read(&server.log).expect("log file is readable");
+            if let (Some(lost_at), Some(hold)) =
+                (server.lost_at, own.holds.last_mut())
             {
-                hold.until = hold.until.min(lost);
+                hold.until = hold.until.min(lost_at);
             }
             log.append(own);
         }
@@ -252,7 +259,7 @@
     }
 }
 
-/// How many calls had each outcome, as text.
+/// Formats the number of calls with each outcome.
 pub fn outcomes(calls: &[CallEntry]) -> String {
     let mut counts = std::collections::BTreeMap::<String, usize>::new();
     for call in calls {
@@ -266,12 +273,12 @@
     format!("{counts:?}")
 }
 
-/// The failure domains of these places, each once.
-fn domain_rules(places: &[TrialPlace]) -> Vec<Value> {
+/// The rules of these failure domains, without duplicates.
+fn domain_rules(domains: &[TrialDomain]) -> Vec<Value> {
     let mut seen = Vec::new();
-    for place in places {
-        if !seen.contains(place) {
-            seen.push(*place);
+    for domain in domains {
+        if !seen.contains(domain) {
+            seen.push(*domain);
         }
     }
     let rule = |(name, region)| json!({ "name": name, "region": region });
@@ -293,7 +300,7 @@
     let (process, address) =
         deployment.server_with_log(name, &behaviour, Some(&log));
     let rules = server_rules(name, domain, address);
-    TrialServer { process, log, lost: None, rules }
+    TrialServer { process, log, lost_at: None, rules }
 }
 
 fn server_rules(name: &str, domain: &str, address: SocketAddr) -> Value {
