--- a/goldcrestramp-standins/src/load/report.rs
+++ b/goldcrestramp-standins/src/load/report.rs
@@ -17,13 +17,13 @@
 /// time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LatencyFigures {
-    /// The median.
+    /// Half of the requests completed within this (the median).
     pub p50: f64,
-    /// The 99th percentile.
+    /// 99 of 100 requests completed within this.
     pub p99: f64,
-    /// The 99.9th percentile.
+    /// 999 of 1,000 requests completed within this.
     pub p999: f64,
-    /// The maximum.
+    /// All requests completed within this.
     pub max: f64,
 }
 
@@ -34,7 +34,7 @@
     pub done: u64,
     /// Requests due in this second with another outcome.
     pub other: u64,
-    /// The 99th percentile of latency, in milliseconds.
+    /// The latency of 99 of 100 responses, in milliseconds.
     pub p99: f64,
 }
 
--- a/goldcrestramp-standins/src/platform/faults.rs
+++ b/goldcrestramp-standins/src/platform/faults.rs
@@ -44,7 +44,7 @@
     pub latency_ms: u64,
     /// How connections are treated.
     pub outage: OutageKind,
-    /// The number of next writes whose responses are lost.
+    /// The number of upcoming writes whose responses are lost.
     pub lose_answers: u32,
     /// How they are lost.
     pub loss: LossKind,
--- a/goldcrestramp-standins/src/platform/routes.rs
+++ b/goldcrestramp-standins/src/platform/routes.rs
@@ -108,7 +108,7 @@
 
 #[expect(
     clippy::needless_pass_by_value,
-    reason = "warp passes values to its handlers"
+    reason = "warp hands its handlers values"
 )]
 fn decode_write(
     key: warp::path::Tail,
--- a/goldcrestramp-standins/src/server/behaviour.rs
+++ b/goldcrestramp-standins/src/server/behaviour.rs
@@ -92,7 +92,7 @@
     /// Draws the processing time of one request, in milliseconds.
     ///
     /// Half of the mean is fixed and half exponentially distributed, so that
-    /// some requests take several times the mean, as in production.
+    /// some requests take several times the mean, as real requests do.
     pub fn draw(&self, class: RequestClass, source: &mut StdRng) -> f64 {
         let mean = match class {
             RequestClass::Lookup => self.lookup_ms,
--- a/goldcrestramp-standins/src/server/faults.rs
+++ b/goldcrestramp-standins/src/server/faults.rs
@@ -19,15 +19,15 @@
     pub health_lie: Option<bool>,
     /// The busy slots that are reported in place of the true number.
     pub load_lie: Option<usize>,
-    /// The number of next responses that are replaced by the previous
+    /// The number of upcoming responses that are replaced by the previous
     /// request's.
     pub crossed: u32,
-    /// The number of next responses that break off half way.
+    /// The number of upcoming responses that break off half way.
     pub truncated: u32,
-    /// The number of next responses that end half way as if they were
+    /// The number of upcoming responses that end half way as if they were
     /// complete.
     pub shortened: u32,
-    /// The number of next responses that are sent twice in one body.
+    /// The number of upcoming responses that are sent twice in one body.
     pub doubled: u32,
 }
 
--- a/tests/process/deployment.rs
+++ b/tests/process/deployment.rs
@@ -188,7 +188,7 @@
 
     /// Sends a request as a caller does; `headers` contain caller, id and
     /// class.
-    pub async fn ask(
+    pub async fn send_request(
         &self,
         daemon: &DaemonProcess,
         path: &str,
