--- a/goldcrestramp-node/src/control/actor.rs
+++ b/goldcrestramp-node/src/control/actor.rs
@@ -220,7 +220,7 @@
         if self.asking || now < due {
             return;
         }
-        self.ask_at = now + self.timing.renew_every;
+        self.ask_at = now + self.timing.renew_interval;
         let report = self.report(now);
         if self.steward.leads(now) {
             self.feed.take(now, &report);
--- a/goldcrestramp-node/src/control/handlers.rs
+++ b/goldcrestramp-node/src/control/handlers.rs
@@ -100,7 +100,7 @@
         };
         let now = self.context.now();
         if matches!(answer, PermitAnswer::NotSteward { .. }) {
-            self.ask_at = now + self.timing.renew_every.percent(25);
+            self.ask_at = now + self.timing.renew_interval.percent(25);
         }
         self.keeper.permitted(now, sent, answer);
         self.send_orders();
--- a/goldcrestramp-node/src/control/measure.rs
+++ b/goldcrestramp-node/src/control/measure.rs
@@ -38,7 +38,7 @@
         }
         if !moves.is_empty() {
             log::info!("planner: {} moves are asked for.", moves.len());
-            self.steward_event(StewardEvent::MovesAsked(moves));
+            self.steward_event(StewardEvent::MovesRequested(moves));
         }
     }
 
--- a/goldcrestramp-node/src/convert/mod.rs
+++ b/goldcrestramp-node/src/convert/mod.rs
@@ -255,14 +255,14 @@
 
 pub(crate) fn permit_out(answer: &PermitAnswer) -> peer::PermitReply {
     match answer {
-        PermitAnswer::Permitted { term, sequence, valid, again, orders } => {
+        PermitAnswer::Permitted { term, sequence, valid, delay, orders } => {
             peer::PermitReply {
                 permitted: true,
                 term: Some(term_out(*term)),
                 valid_micros: valid.as_micros(),
                 orders: orders.iter().map(order_out).collect(),
                 sequence: *sequence,
-                again_micros: again.as_micros(),
+                again_micros: delay.as_micros(),
                 ..peer::PermitReply::default()
             }
         }
@@ -291,7 +291,7 @@
             term: term_in(reply.term),
             sequence: reply.sequence,
             valid: TimeSpan::from_micros(reply.valid_micros),
-            again: TimeSpan::from_micros(reply.again_micros),
+            delay: TimeSpan::from_micros(reply.again_micros),
             orders: orders?,
         });
     }
--- a/goldcrestramp-ownership/src/keeper/mod.rs
+++ b/goldcrestramp-ownership/src/keeper/mod.rs
@@ -100,7 +100,7 @@
     #[must_use]
     pub fn report(&mut self, now: LocalTime) -> KeeperReport {
         self.sequence += 1;
-        self.poll_at = now + self.timing.renew_every;
+        self.poll_at = now + self.timing.renew_interval;
         self.servers.retain(|_, kept| !kept.is_done(now));
         // A server without fences may have another keeper by now; only one
         // whose permit never lapsed may claim it from a new steward.
@@ -127,7 +127,7 @@
         sent: LocalTime,
         answer: PermitAnswer,
     ) {
-        let PermitAnswer::Permitted { term, sequence, valid, again, orders } =
+        let PermitAnswer::Permitted { term, sequence, valid, delay, orders } =
             answer
         else {
             return;
@@ -154,7 +154,7 @@
         }
         self.term = term;
         self.until = until;
-        self.poll_at = now + again.min(self.timing.renew_every);
+        self.poll_at = now + delay.min(self.timing.renew_interval);
         self.follow(now, orders);
         for kept in self.servers.values_mut() {
             kept.renew(now, sent, &self.timing);
--- a/goldcrestramp-ownership/src/keeper/server.rs
+++ b/goldcrestramp-ownership/src/keeper/server.rs
@@ -150,7 +150,7 @@
             self.run_permitted = true;
             self.next_at = self.next_at.min(now);
         }
-        if now.since(self.sent_at) >= timing.renew_every.percent(50) {
+        if now.since(self.sent_at) >= timing.renew_interval.percent(50) {
             self.next_at = self.next_at.min(now);
         }
     }
@@ -209,7 +209,7 @@
         }
         self.under_way = Some(SentOrder { sent: now, slices, void_at });
         self.sent_at = now;
-        self.next_at = now + timing.renew_every.percent(ORDER_PERCENT);
+        self.next_at = now + timing.renew_interval.percent(ORDER_PERCENT);
         Some((Arc::clone(&self.order.address), order))
     }
 
--- a/goldcrestramp-ownership/src/message.rs
+++ b/goldcrestramp-ownership/src/message.rs
@@ -167,7 +167,7 @@
         /// How long the permit lasts.
         valid: TimeSpan,
         /// When to report again, from when this answer arrived.
-        again: TimeSpan,
+        delay: TimeSpan,
         /// Every server that this VM keeps; it keeps no other.
         orders: Vec<ServerOrder>,
     },
--- a/goldcrestramp-ownership/src/roster.rs
+++ b/goldcrestramp-ownership/src/roster.rs
@@ -20,14 +20,14 @@
     pub domain: DomainName,
     /// Rises by one with each change; each change is of one voter.
     pub version: u64,
-    /// At most [`VoterRoster::LIMIT`] voters.
+    /// At most [`VoterRoster::MAX_VOTERS`] voters.
     pub voters: Vec<RosterVoter>,
 }
 
 impl VoterRoster {
     /// The most voters: losing two of five is survived, and a steward's
     /// messages do not grow with the number of VMs.
-    pub const LIMIT: usize = 5;
+    pub const MAX_VOTERS: usize = 5;
 
     /// How many confirmations make a majority.
     #[must_use]
--- a/goldcrestramp-ownership/src/steward/claim.rs
+++ b/goldcrestramp-ownership/src/steward/claim.rs
@@ -83,7 +83,7 @@
         if now < self.ask_at {
             return Vec::new();
         }
-        self.ask_at = now + timing.confirm_every;
+        self.ask_at = now + timing.confirm_interval;
         let ask = self.question(me, established);
         let own = established || self.needs_only_own(me);
         let voters = self.voters().into_iter();
--- a/goldcrestramp-ownership/src/steward/election.rs
+++ b/goldcrestramp-ownership/src/steward/election.rs
@@ -89,7 +89,7 @@
         claim.set_plan(now, plan, self.knowledge.floor);
         let mut effects = claim.asks(now, &self.me, false, &self.timing);
         effects.extend(claim.ask_own(&self.me));
-        let wait = self.timing.confirm_every.percent(ABSENT_PERCENT);
+        let wait = self.timing.confirm_interval.percent(ABSENT_PERCENT);
         let reduce_at = now + wait;
         let give_up = now + self.timing.missed_after;
         let claim = Box::new(claim);
@@ -137,7 +137,7 @@
         if let StewardRole::Leading(leading) = &self.role {
             self.moved += leading.moved;
         }
-        let not_before = now + self.timing.renew_every;
+        let not_before = now + self.timing.renew_interval;
         self.role = StewardRole::Follower { not_before, eager: false };
     }
 
--- a/goldcrestramp-ownership/src/steward/event.rs
+++ b/goldcrestramp-ownership/src/steward/event.rs
@@ -52,7 +52,7 @@
     /// The VMs of this domain on the platform's list.
     VmsRead(Vec<RosterVoter>),
     /// Placement asks for moves.
-    MovesAsked(Vec<SliceMove>),
+    MovesRequested(Vec<SliceMove>),
 }
 
 /// What the caller of a [`StewardMachine`](crate::StewardMachine) is to do.
--- a/goldcrestramp-ownership/src/steward/leader/mod.rs
+++ b/goldcrestramp-ownership/src/steward/leader/mod.rs
@@ -87,7 +87,7 @@
             timing,
             phase: LeadPhase::Extending,
             move_at,
-            unclaimed_at: now + timing.renew_every.percent(CLAIM_PERCENT),
+            unclaimed_at: now + timing.renew_interval.percent(CLAIM_PERCENT),
             sequence: 0,
             servers: BTreeMap::new(),
             keepers: KeeperBook::default(),
--- a/goldcrestramp-ownership/src/steward/leader/permit.rs
+++ b/goldcrestramp-ownership/src/steward/leader/permit.rs
@@ -62,18 +62,18 @@
         let settling = begun && self.servers.values().any(|s| !s.settled);
         let pending = kept.iter().any(|server| server.is_pending(moving));
         let hurry = pending || settling;
-        let mut again = self.timing.renew_every;
+        let mut delay = self.timing.renew_interval;
         if hurry {
-            again = self.timing.hurry_every;
+            delay = self.timing.moving_interval;
         }
         if !moving {
-            again = again.min(self.move_at.since(now));
+            delay = delay.min(self.move_at.since(now));
         }
         PermitAnswer::Permitted {
             term: self.claim.term,
             sequence,
             valid: until.since(now),
-            again,
+            delay,
             orders: kept.into_iter().map(LedServer::order_message).collect(),
         }
     }
--- a/goldcrestramp-ownership/src/steward/mod.rs
+++ b/goldcrestramp-ownership/src/steward/mod.rs
@@ -76,7 +76,7 @@
         // A present steward reaches this VM's voter, which stays silent
         // for a lease, at the latest with its next question after that.
         let silent = timing.lengthened(timing.lease);
-        let not_before = started + silent + timing.renew_every;
+        let not_before = started + silent + timing.renew_interval;
         Self {
             me: StewardIdentity { domain, vm, address, start },
             timing,
@@ -115,7 +115,7 @@
                 self.knowledge.vms = vms;
                 Vec::new()
             }
-            StewardEvent::MovesAsked(moves) => {
+            StewardEvent::MovesRequested(moves) => {
                 if let StewardRole::Leading(leading) = &mut self.role {
                     leading.take_moves(&moves);
                 }
--- a/goldcrestramp-ownership/src/steward/roster.rs
+++ b/goldcrestramp-ownership/src/steward/roster.rs
@@ -122,7 +122,7 @@
     /// With a VM that reports and is no voter yet.
     fn with_new(&self, now: LocalTime) -> Option<VoterRoster> {
         let counted = &self.claim.counted;
-        if counted.voters.len() >= VoterRoster::LIMIT {
+        if counted.voters.len() >= VoterRoster::MAX_VOTERS {
             return None;
         }
         let new = self.knowledge.vms.iter().find(|vm| {
--- a/goldcrestramp-ownership/src/timing.rs
+++ b/goldcrestramp-ownership/src/timing.rs
@@ -19,18 +19,18 @@
     /// Whatever a permit is older than this confirmation is lost to the
     /// keeper when the steward dies; with 200 ms, permits could end before
     /// the next steward was there.
-    pub confirm_every: TimeSpan,
+    pub confirm_interval: TimeSpan,
     /// How often a keeper asks its steward, and its servers.
     ///
     /// A fifth of the lease: four messages in a row may be lost.
-    pub renew_every: TimeSpan,
+    pub renew_interval: TimeSpan,
     /// A voter that has not been asked for so long may confirm another.
     pub missed_after: TimeSpan,
     /// How soon a keeper asks again while something of it is moving.
     ///
     /// A slice is unserved between its release and its grant; that gap is
     /// about two of these.
-    pub hurry_every: TimeSpan,
+    pub moving_interval: TimeSpan,
     /// By how much a clock may run faster or slower, in percent.
     pub drift_percent: u64,
     /// What a test may take out; everything is on otherwise.
@@ -42,10 +42,10 @@
     fn default() -> Self {
         Self {
             lease: TimeSpan::from_millis(1_000),
-            confirm_every: TimeSpan::from_millis(100),
-            renew_every: TimeSpan::from_millis(200),
+            confirm_interval: TimeSpan::from_millis(100),
+            renew_interval: TimeSpan::from_millis(200),
             missed_after: TimeSpan::from_millis(350),
-            hurry_every: TimeSpan::from_millis(20),
+            moving_interval: TimeSpan::from_millis(20),
             drift_percent: 2,
             safeguards: Safeguards::default(),
         }
--- a/goldcrestramp-ownership/tests/keeper.rs
+++ b/goldcrestramp-ownership/tests/keeper.rs
@@ -80,7 +80,7 @@
             term: token(1).term,
             sequence: report.sequence,
             valid: TimeSpan::from_millis(valid),
-            again: TimeSpan::from_millis(200),
+            delay: TimeSpan::from_millis(200),
             orders: vec![order],
         };
         self.keeper.permitted(at(now), at(now), answer);
--- a/goldcrestramp-ownership/tests/ownership/world/mod.rs
+++ b/goldcrestramp-ownership/tests/ownership/world/mod.rs
@@ -291,7 +291,7 @@
         for vm in 0..self.vms.len() {
             if !self.vms[vm].paused {
                 let moves = vec![wanted.clone()];
-                self.steward_event(vm, StewardEvent::MovesAsked(moves));
+                self.steward_event(vm, StewardEvent::MovesRequested(moves));
             }
         }
     }
--- a/goldcrestramp-platform/src/records/roster.rs
+++ b/goldcrestramp-platform/src/records/roster.rs
@@ -64,7 +64,7 @@
     if roster.voters.is_empty() {
         return Err(RecordError::OutOfRange("number of voters"));
     }
-    if roster.voters.len() > VoterRoster::LIMIT {
+    if roster.voters.len() > VoterRoster::MAX_VOTERS {
         return Err(RecordError::TooMany("voters"));
     }
     let mut names = BTreeSet::new();
