--- a/goldcrestramp-ownership/src/lib.rs
+++ b/goldcrestramp-ownership/src/lib.rs
@@ -1,22 +1,24 @@
 /*!
-Pure state machines that keep one owner a slice.
+Pure state machines that keep at most one owner per slice.
 
-Nobody's permission outlives that of whom it came from:
+A permission never outlives the permission it was derived from:
 
 1. A [`StewardMachine`] acts only while a majority of its failure domain's
    [`VoterRoster`] has confirmed its term within the last lease time.
-2. It permits each [`KeeperMachine`] for at most the rest of its own time.
-3. A keeper renews a server's grant for at most the rest of its permit.
-4. A server, here [`GrantHolder`], executes only until its grant's deadline
-   in its own clock.
+2. It permits each [`KeeperMachine`] to act for at most the remaining time
+   of its own term.
+3. A keeper renews a server's grant for at most the remaining time of its
+   permit.
+4. A server, modeled by [`GrantHolder`], starts requests only until its
+   grant's deadline on its own clock.
 
 No machine reads a clock, opens a socket or draws a random number: the
-present moment and every message come in as arguments, effects go out as
-values.
+current time and every message are arguments, effects are return values.
 
 # Example
 
-A server executes what it was granted, until the grant ends in its clock:
+A server starts requests of the granted slices until the grant's deadline on
+its own clock:
 
 ```
 use goldcrestramp_ownership::GrantHolder;
--- a/goldcrestramp-ownership/src/message.rs
+++ b/goldcrestramp-ownership/src/message.rs
@@ -1,4 +1,4 @@
-//! What the machines say to each other across VMs.
+//! The messages that the machines of different VMs exchange.
 
 use std::sync::Arc;
 
@@ -18,30 +18,33 @@
     pub address: Arc<str>,
     /// The steward's term.
     pub term: TermId,
-    /// The version of the roster by which the steward counts.
+    /// The version of the newest roster that the steward knows.
     pub roster: u64,
-    /// Whether a majority confirms the term already.
+    /// Whether a majority already confirms the term.
     pub established: bool,
     /// The version of the plan that the steward knows.
     pub plan: u64,
-    /// The oldest plan with which anybody may lead from now on.
+    /// The minimum plan version: voters that confirm this refuse stewards with
+    /// an older plan.
     pub floor: u64,
-    /// The roster whose majority has confirmed the term; zero before one
-    /// has.
+    /// The version of the roster whose majority has confirmed the term; zero
+    /// before a majority has.
     pub counted: u64,
 }
 
-/// A voter's answer.
+/// A voter's answer to a [`ConfirmAsk`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ConfirmAnswer {
-    /// The term is confirmed from when the question was sent.
+    /// The term is confirmed for a lease time from when the request was sent.
     Confirmed,
-    /// The voter has confirmed, or still follows, a higher or other term.
+    /// The voter has confirmed a higher term, still follows another
+    /// steward, knows a newer roster, or requires a newer plan.
     Refused {
         /// The highest term that the voter knows of.
         highest: TermId,
     },
-    /// The voter started too recently to know what it may confirm.
+    /// The voter abstains: it started too recently to know what an earlier
+    /// process on its VM has confirmed, or it knows no roster version yet.
     Silent,
 }
 
@@ -50,74 +53,79 @@
 pub struct SliceLoad {
     /// The slice.
     pub slice: SliceIndex,
-    /// Slot time that its requests took.
+    /// The slot time that its requests used.
     pub busy: TimeSpan,
 }
 
-/// What a keeper knows of one of its servers.
+/// A keeper's knowledge of the grant of one of its servers.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct ServerState {
-    /// A random number of the server's run; zero before its first answer.
+    /// The random number of the server's instance (one run of its process);
+    /// zero before its first response.
     pub run: u64,
     /// The token of its grant.
     pub token: FenceToken,
     /// The lowest token that it accepts.
     pub fence: FenceToken,
-    /// All that it may hold: what it said, what an unanswered order may
-    /// still make it hold, and what non-idempotent work still runs on.
+    /// Every slice that it may hold: those it reported, those that an
+    /// order without a response may still grant, and those on which
+    /// non-idempotent requests still run.
     ///
     /// A slice that is absent here has been released.
     pub held: SliceSet,
-    /// What it held last, also after its grant lapsed.
+    /// The slices of its last grant, kept after that grant has lapsed.
     pub last: SliceSet,
-    /// Whether its grant, and every order under way, has surely ended.
+    /// Whether its grant and every order in flight have certainly expired.
     pub lapsed: bool,
 }
 
-/// A keeper's knowledge of one server, as it travels.
+/// The part of a [`KeeperReport`] about one server.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ServerReport {
     /// The server.
     pub server: ServerName,
-    /// The token of the steward's order that the keeper works on.
+    /// The token of the steward's order that the keeper carries out.
     pub order: FenceToken,
-    /// Whether the keeper may send to it, not only ask it.
+    /// Whether the keeper may send it grants, and not only query it.
     pub keeps: bool,
-    /// Whether it has answered the keeper's last message.
+    /// Whether it has responded to the keeper's last message.
     pub reachable: bool,
-    /// Rises with each change of `state`; unique for a keeper's start.
+    /// Increases with each change of `state`; unique within a keeper's
+    /// process.
     pub version: u64,
-    /// Absent when the steward has seen this version already.
+    /// `None` if the steward has received this version already.
     pub state: Option<Box<ServerState>>,
-    /// Slot time used in the last interval.
+    /// The slot time used in the last interval.
     pub busy: TimeSpan,
-    /// The heaviest slices, bounded.
+    /// The slices of highest load, limited in number.
     pub loads: Vec<SliceLoad>,
 }
 
-/// A keeper's report, and its question for a permit.
+/// A keeper's report, which also requests a permit.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct KeeperReport {
     /// The keeper's VM.
     pub vm: VmName,
-    /// Where peers send it requests for keys.
+    /// The address at which peers send it requests.
     pub address: Arc<str>,
-    /// A random number of its process start.
+    /// The random number of its process start.
     pub start: u64,
-    /// Rises with each report; an answer to an earlier one is void.
+    /// Increases with each report; an answer to an earlier report is
+    /// ignored.
     pub sequence: u64,
-    /// The highest term that it has had a permit from.
+    /// The highest term that has given it a permit.
     ///
-    /// It takes none from a lower one, so a steward whose voters were all
-    /// replaced, and who therefore counts from the start, has to go above.
+    /// It accepts no permit of a lower term. A steward whose voters were
+    /// all replaced numbers its terms from the start again, so it has to
+    /// be elected under a term above this one.
     pub term: TermId,
-    /// Whether the VM is leaving: it gets no new servers.
+    /// Whether the VM is leaving; it is then assigned no more servers.
     pub leaving: bool,
     /// The servers that it keeps.
     pub servers: Vec<ServerReport>,
 }
 
-/// What a keeper is to make one server hold.
+/// The slices that a keeper is to grant to one server.
 #[expect(
     clippy::struct_excessive_bools,
     reason = "two facts of the server and two of the keeper, each apart"
@@ -128,52 +136,55 @@
     pub server: ServerName,
     /// Its service.
     pub service: ServiceName,
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: Arc<str>,
-    /// Whether it refuses old tokens.
+    /// Whether it refuses orders with tokens below its fence.
     pub checks_fence: bool,
-    /// How many requests it runs at once.
+    /// How many requests it runs concurrently.
     pub slots: u32,
-    /// How many connections it takes.
+    /// How many connections it accepts.
     pub connections: u32,
     /// The token of the order.
     pub token: FenceToken,
-    /// The slices are absent.
+    /// Whether `slices` and `release` are left out.
     ///
-    /// With the token that the keeper works on: carry on with that order.
-    /// With another token: extend whatever the server holds.
+    /// If `token` is that of the keeper's current order, the keeper
+    /// continues with that order. Otherwise it extends whatever the server
+    /// holds.
     pub extend_only: bool,
-    /// What it is to hold.
+    /// The slices that it is to hold.
     pub slices: SliceSet,
-    /// What it is to give up.
+    /// The slices that it is to release.
     pub release: SliceSet,
-    /// Only ask the server how it is: a former keeper may still act.
+    /// The keeper may only query the server's state, because a previous
+    /// keeper may still act on it.
     pub ask_only: bool,
-    /// Send it nothing more; report it until nothing is under way.
+    /// The keeper sends it no more orders, and reports it until none is in
+    /// flight.
     pub retire: bool,
-    /// The version of the keeper's knowledge that the steward has.
+    /// The version of the keeper's report that the steward has received.
     pub seen: u64,
 }
 
 /// A steward's answer to a keeper.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum PermitAnswer {
-    /// The keeper may act for so long from when it sent the question.
+    /// The keeper may act for `valid` from when it sent the report.
     Permitted {
         /// The steward's term.
         term: TermId,
-        /// The report that this answers.
+        /// The sequence number of the report that this answers.
         sequence: u64,
         /// How long the permit lasts.
         valid: TimeSpan,
-        /// When to report again, from when this answer arrived.
+        /// The delay until the next report, from when this answer arrives.
         delay: TimeSpan,
-        /// Every server that this VM keeps; it keeps no other.
+        /// Every server that this VM keeps; it keeps no others.
         orders: Vec<ServerOrder>,
     },
-    /// This VM is no steward.
+    /// This VM is not the steward.
     NotSteward {
-        /// Who may be, and where.
+        /// The VM that is probably the steward, and its control listener.
         steward: Option<(VmName, Arc<str>)>,
     },
 }
--- a/goldcrestramp-ownership/src/roster.rs
+++ b/goldcrestramp-ownership/src/roster.rs
@@ -4,32 +4,34 @@
 
 use goldcrestramp_types::{DomainName, VmName};
 
-/// One voter.
+/// A voter of a [`VoterRoster`].
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RosterVoter {
     /// The voter's VM.
     pub vm: VmName,
-    /// Its control listener.
+    /// The address of its control listener.
     pub address: Arc<str>,
 }
 
-/// The voters of a failure domain; kept in the store.
+/// The voters of a failure domain, as the store keeps them.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct VoterRoster {
     /// The failure domain.
     pub domain: DomainName,
-    /// Rises by one with each change; each change is of one voter.
+    /// Increases by one with each change; a change adds or removes one
+    /// voter.
     pub version: u64,
-    /// At most [`VoterRoster::MAX_VOTERS`] voters.
+    /// The voters, at most [`VoterRoster::MAX_VOTERS`].
     pub voters: Vec<RosterVoter>,
 }
 
 impl VoterRoster {
-    /// The most voters: losing two of five is survived, and a steward's
-    /// messages do not grow with the number of VMs.
+    /// The maximum number of voters. Five tolerate the loss of two, and the
+    /// limit keeps a steward's messages from growing with the number of
+    /// VMs.
     pub const MAX_VOTERS: usize = 5;
 
-    /// How many confirmations make a majority.
+    /// The number of confirmations that make a majority.
     #[must_use]
     pub fn majority(&self) -> usize {
         self.voters.len() / 2 + 1
@@ -40,7 +42,7 @@
         self.voters.iter().any(|voter| voter.vm == *vm)
     }
 
-    /// The next roster, without a voter.
+    /// The next version of the roster, without `vm`.
     pub(crate) fn without(&self, vm: &VmName) -> Self {
         let mut next = self.clone();
         next.voters.retain(|voter| voter.vm != *vm);
@@ -48,23 +50,25 @@
         next
     }
 
-    /// The next roster, without a voter that is not `here`, if those who
-    /// are here are then a majority and are none now.
+    /// The next version of the roster, without one voter that is not
+    /// `present`, if the voters present are a majority of it and are no
+    /// majority now.
     ///
-    /// This helps where voters are even in number: one of two, two of four.
+    /// This helps an even number of voters: when 1 of 2 or 2 of 4 is
+    /// present.
     pub(crate) fn without_silent(
         &self,
-        here: impl Fn(&VmName) -> bool,
+        present: impl Fn(&VmName) -> bool,
     ) -> Option<Self> {
-        let silent = self.voters.iter().find(|voter| !here(&voter.vm))?;
+        let silent = self.voters.iter().find(|voter| !present(&voter.vm))?;
         let reduced = self.without(&silent.vm);
-        let there = reduced.count(here);
-        let helps = there < self.majority() && there >= reduced.majority();
+        let after = reduced.count(present);
+        let helps = after < self.majority() && after >= reduced.majority();
         helps.then_some(reduced)
     }
 
-    /// How many voters are `here`.
-    pub(crate) fn count(&self, here: impl Fn(&VmName) -> bool) -> usize {
-        self.voters.iter().filter(|voter| here(&voter.vm)).count()
+    /// The number of voters that are `present`.
+    pub(crate) fn count(&self, present: impl Fn(&VmName) -> bool) -> usize {
+        self.voters.iter().filter(|voter| present(&voter.vm)).count()
     }
 }
--- a/goldcrestramp-ownership/src/safeguard.rs
+++ b/goldcrestramp-ownership/src/safeguard.rs
@@ -1,62 +1,72 @@
-//! Switches by which a test takes one safeguard out.
+//! Safeguards of the machines, and switches for tests to disable one.
 
-/// One safeguard of the machines.
+/// A rule of the machines that keeps a slice from having two owners.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Safeguard {
-    /// An extension is void after the end of the grant it extends.
+    /// A server refuses an extension after the end of the grant that it
+    /// extends.
     AcceptBy,
-    /// An order for a former run of a server is refused.
+    /// A server refuses an order for a previous instance (an earlier run of
+    /// its process).
     RunNumber,
     /// A server that checks fences refuses an old token.
     FenceCheck,
-    /// A voter that has just started confirms nobody for a lease.
+    /// A voter confirms nobody for a lease after its start.
     SilentStart,
-    /// A new steward moves nothing until the former one's time is over.
+    /// A new steward moves no slice until the previous one's time has
+    /// ended.
     MoveWait,
-    /// After a loss: the grant has lapsed, then a majority confirmed.
+    /// The slices of a lost server are moved only after its grant has lapsed
+    /// and a majority has confirmed the steward since.
     LossWait,
-    /// A permit ends with the steward's own time.
+    /// A permit ends no later than the steward's own time.
     PermitBound,
     /// Spans are shortened or lengthened for clocks of unequal rate.
     DriftAllowance,
-    /// The roster changes by one voter, the next after a majority.
+    /// A roster changes by one voter, and the next change waits until a
+    /// majority of the new roster has confirmed.
     RosterStep,
-    /// A server that checks no fence waits for its former keeper's permit.
+    /// A server without fences gets a new keeper only after the previous
+    /// keeper's permit has ended.
     KeeperWait,
-    /// An order that arrives after its own deadline is refused.
+    /// A server refuses an order that arrives after its own deadline.
     LateOrder,
-    /// A copy of an answered grant may still reach a server without fences.
+    /// A duplicate of an acknowledged grant is assumed to be able to reach a
+    /// server without fences still.
     GrantCopy,
-    /// A later, shorter permit of the same term ends no longer one.
+    /// A later, shorter permit does not shorten a longer one of the same
+    /// term.
     LongestPermit,
-    /// No extension prolongs what a late grant may bring back.
+    /// No extension prolongs slices that a late grant may have restored.
     NamedSet,
-    /// A server's new run is granted nothing under a permit of before it.
+    /// A server's new instance is granted nothing under a permit from before
+    /// its start.
     RunPermit,
-    /// A candidate reduces only a roster by which a steward has counted.
+    /// A candidate removes a voter only from a roster that a steward has
+    /// adopted.
     RosterAdopted,
-    /// A steward whose time has ended is not confirmed by a late answer.
+    /// A late confirmation does not revive a steward whose time has ended.
     LateAnswer,
 }
 
-/// All safeguards, less at most one.
+/// All safeguards, except for at most one.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Safeguards {
-    off: Option<Safeguard>,
+    disabled: Option<Safeguard>,
 }
 
 impl Safeguards {
-    /// Everything but `off`, for tests that must fail without it.
+    /// All safeguards but `disabled`, for tests that must fail without it.
     #[must_use]
-    pub const fn without(off: Safeguard) -> Self {
-        Self { off: Some(off) }
+    pub const fn without(disabled: Safeguard) -> Self {
+        Self { disabled: Some(disabled) }
     }
 
-    /// Whether this safeguard is in place.
+    /// Whether `safeguard` is active.
     #[must_use]
     pub const fn has(self, safeguard: Safeguard) -> bool {
-        match self.off {
-            Some(off) => off as u8 != safeguard as u8,
+        match self.disabled {
+            Some(disabled) => disabled as u8 != safeguard as u8,
             None => true,
         }
     }
--- a/goldcrestramp-ownership/src/steward/event.rs
+++ b/goldcrestramp-ownership/src/steward/event.rs
@@ -1,4 +1,4 @@
-//! What a steward is told, and what it tells its caller to do.
+//! The inputs and outputs of a steward.
 
 use std::sync::Arc;
 
@@ -13,105 +13,108 @@
     table::DomainTable,
 };
 
-/// What happens to a steward, besides a keeper's question.
+/// An input of a steward, apart from keepers' reports.
 #[derive(Clone, Debug)]
 pub enum StewardEvent {
     /// Time has passed; sent at least every 50 ms.
     Tick,
-    /// This VM's own voter last confirmed `ask` at `at`: who leads.
+    /// This VM's own voter confirmed `ask` at `at`, which shows who leads.
     StewardSeen {
-        /// The confirmed question.
+        /// The confirmed request.
         ask: ConfirmAsk,
         /// When it was confirmed.
         at: LocalTime,
     },
-    /// A voter answered what was asked of it at `sent`.
+    /// A voter answered the request that was sent to it at `sent`.
     Answered {
         /// The voter.
         voter: VmName,
-        /// When the question was sent.
+        /// When the request was sent.
         sent: LocalTime,
-        /// The term that it named.
+        /// The term that the request named.
         term: TermId,
-        /// The roster version that it named.
+        /// The roster version that the request named.
         roster: u64,
         /// The answer.
         answer: ConfirmAnswer,
     },
-    /// The roster as the store has it; `None`: the store has none.
+    /// The roster in the store; `None` if the store has none.
     RosterRead(Option<VoterRoster>),
-    /// The store took the roster that [`StewardEffect::SaveRoster`] asked
-    /// for, or refused it because another was there (read it again).
+    /// The store accepted the roster of a [`StewardEffect::SaveRoster`], or
+    /// refused it because it has another one, which has to be read.
     RosterSaved(Result<VoterRoster, ()>),
-    /// The configuration, and the slices of this domain.
+    /// The configuration and the slices of this domain were read.
     PlanRead(Arc<DomainPlan>),
-    /// The domain's record, or that the store has none.
+    /// The domain's record in the store; `None` if the store has none.
     RecordRead(Option<DomainRecord>),
-    /// The store took the record with this token.
+    /// The store accepted the record with this token.
     RecordSaved(FenceToken),
-    /// The VMs of this domain on the platform's list.
+    /// The VMs of this domain in the platform's VM list.
     VmsRead(Vec<RosterVoter>),
-    /// Placement asks for moves.
+    /// Placement requests moves.
     MovesRequested(Vec<SliceMove>),
 }
 
-/// What the caller of a [`StewardMachine`](crate::StewardMachine) is to do.
+/// An action that the caller of a
+/// [`StewardMachine`](crate::StewardMachine) has to carry out.
 #[derive(Clone, Debug)]
 pub enum StewardEffect {
-    /// Ask a voter, and give its answer back as an event.
+    /// Send a request to a voter, and pass its answer back as
+    /// [`StewardEvent::Answered`].
     AskVoter {
         /// The voter.
         voter: RosterVoter,
-        /// The question.
+        /// The request.
         ask: ConfirmAsk,
     },
-    /// Write the roster if the store still has the version before it.
+    /// Write the roster, provided the store has the version before it.
     SaveRoster(VoterRoster),
-    /// Tell this VM's [`VoterState`](crate::VoterState) which roster
-    /// version the store has.
+    /// Pass the roster version of the store to this VM's
+    /// [`VoterState`](crate::VoterState).
     LearnRoster(u64),
-    /// Tell it which version of the plan the store has.
+    /// Pass the plan version of the store to this VM's
+    /// [`VoterState`](crate::VoterState).
     LearnPlan(u64),
     /// Read the roster from the store again.
     ReadRoster,
-    /// Write the record if it is newer than what the store has.
+    /// Write the record if it is newer than the one in the store.
     SaveRecord(DomainRecord),
     /// Read the domain's record from the store.
     ReadRecord,
-    /// Stream this table to the domain and to other stewards.
+    /// Send this table to the domain and to the stewards of other domains.
     Publish(Arc<DomainTable>),
 }
 
-/// What a steward shows to operators.
+/// The state of a steward, as operators see it.
 #[derive(Clone, Debug, Default)]
 pub struct StewardStatus {
     /// Whether a majority confirms this VM now.
     pub leading: bool,
-    /// Its term, or the term that it follows.
+    /// The term that it leads or follows.
     pub term: TermId,
-    /// Until when it may act.
+    /// The end of its time, unless it is confirmed again.
     pub until: LocalTime,
-    /// Whether it may move slices already.
+    /// Whether it may already move slices.
     pub may_move: bool,
-    /// Moves begun and not ended.
+    /// Servers whose moves are in progress.
     pub moving: usize,
-    /// Slices moved since the process started.
+    /// The number of slices moved since the process started.
     pub moved: u64,
-    /// Each server's slices.
+    /// The slices that each server may hold.
     pub holders: FastMap<ServerName, SliceSet>,
     /// Each server's keeper.
     pub keepers: FastMap<ServerName, VmName>,
     /// The fencing token of each server's order.
     pub tokens: FastMap<ServerName, FenceToken>,
-    /// The servers that do not hold yet what they are to hold.
+    /// The servers that do not hold their target slices yet.
     pub due: FastMap<ServerName, DueSlices>,
 }
 
-/// How far a server is from what it is to hold.
+/// The number of slices by which a server differs from its target.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct DueSlices {
-    /// Slices that it is to get.
+    /// Slices that it still has to be granted.
     pub gains: usize,
-    /// Slices that it is to give up.
+    /// Slices that it still has to release.
     pub releases: usize,
 }
--- a/goldcrestramp-ownership/src/steward/identity.rs
+++ b/goldcrestramp-ownership/src/steward/identity.rs
@@ -1,4 +1,4 @@
-//! Who a steward is.
+//! The identity of a steward.
 
 use std::sync::Arc;
 
@@ -10,6 +10,6 @@
     pub(super) domain: DomainName,
     pub(super) vm: VmName,
     pub(super) address: Arc<str>,
-    /// A random number of the process.
+    /// The random number of the process start.
     pub(super) start: u64,
 }
--- a/goldcrestramp-ownership/src/timing.rs
+++ b/goldcrestramp-ownership/src/timing.rs
@@ -1,39 +1,46 @@
-//! The times on which the chain of deadlines rests.
+//! The timing from which all deadlines of a failure domain are derived.
 
 use goldcrestramp_types::TimeSpan;
 
 use crate::safeguard::{Safeguard, Safeguards};
 
-/// The times of a failure domain, the same on all of its VMs.
+/// The timing of a failure domain, equal on all of its VMs.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct TermTiming {
-    /// How long a confirmation lasts, from when it was asked for.
+    /// How long a confirmation is valid, from when it was requested.
     ///
-    /// A key is to be served again within 2 s of a loss, also of a rack:
-    /// the steward, the keeper and the server at once. That takes the
-    /// steward's detection, a lease until the new one may move slices, and
-    /// rounds to voters, keepers and servers. With 1.5 s it took 2.4 s.
+    /// A key must be served again within 2 s of a loss, including the loss
+    /// of a rack (steward, keeper and server at once). Recovery takes the
+    /// detection of the steward's loss, a lease until the new steward may
+    /// move slices, and round trips to voters, keepers and servers. With a
+    /// lease of 1.5 s it took 2.4 s.
     pub lease: TimeSpan,
-    /// How often a steward asks its voters.
+    /// The interval at which a steward requests confirmation from its
+    /// voters.
     ///
-    /// Whatever a permit is older than this confirmation is lost to the
-    /// keeper when the steward dies; with 200 ms, permits could end before
-    /// the next steward was there.
+    /// A permit ends with the confirmation that it is based on, so the age
+    /// of that confirmation shortens the time that a keeper has left when
+    /// the steward is lost. With 200 ms, permits could end before the next
+    /// steward was elected.
     pub confirm_interval: TimeSpan,
-    /// How often a keeper asks its steward, and its servers.
+    /// The interval at which a keeper contacts its steward and its servers.
     ///
-    /// A fifth of the lease: four messages in a row may be lost.
+    /// This is 1/5 of the lease, so four consecutive messages may be lost.
     pub renew_interval: TimeSpan,
-    /// A voter that has not been asked for so long may confirm another.
+    /// The silence after which a steward, keeper or server counts as lost.
+    ///
+    /// A voter that has not been asked for this time may confirm another
+    /// steward.
     pub missed_after: TimeSpan,
-    /// How soon a keeper asks again while something of it is moving.
+    /// The interval at which a keeper reports while slices of its servers
+    /// are moving.
     ///
-    /// A slice is unserved between its release and its grant; that gap is
-    /// about two of these.
+    /// A slice is unserved between its release and its grant. That gap
+    /// takes about two of these intervals.
     pub moving_interval: TimeSpan,
-    /// By how much a clock may run faster or slower, in percent.
+    /// The maximum deviation of a clock's rate, in percent.
     pub drift_percent: u64,
-    /// What a test may take out; everything is on otherwise.
+    /// The active safeguards: all of them, unless a test disables one.
     #[doc(hidden)]
     pub safeguards: Safeguards,
 }
@@ -53,10 +60,10 @@
 }
 
 impl TermTiming {
-    /// A span that is surely no longer than `span` on another clock.
+    /// Returns a span that certainly ends within `span` of another clock.
     ///
-    /// One clock may be fast while the other is slow, so twice the drift
-    /// is taken off: 0.98 / 1.02 is 0.9608, above 0.96.
+    /// One clock may be fast while the other is slow, so this subtracts
+    /// twice the drift: 0.98 / 1.02 is 0.9608, above 0.96.
     #[must_use]
     pub const fn shortened(&self, span: TimeSpan) -> TimeSpan {
         if !self.safeguards.has(Safeguard::DriftAllowance) {
@@ -65,10 +72,10 @@
         span.percent(100 - 2 * self.drift_percent)
     }
 
-    /// A span in which `span` has surely passed on another clock.
+    /// Returns a span in which `span` has certainly passed on another clock.
     ///
-    /// 1.02 / 0.98 is 1.0409, a little more than twice the drift, hence
-    /// one percent on top.
+    /// 1.02 / 0.98 is 1.0409, slightly more than twice the drift, so this
+    /// adds one more percent.
     #[must_use]
     pub const fn lengthened(&self, span: TimeSpan) -> TimeSpan {
         if !self.safeguards.has(Safeguard::DriftAllowance) {
--- a/goldcrestramp-ownership/src/voter.rs
+++ b/goldcrestramp-ownership/src/voter.rs
@@ -1,4 +1,4 @@
-//! A voter: confirms one steward at a time, from memory alone.
+//! A voter: confirms one steward at a time and stores nothing on disk.
 
 use goldcrestramp_types::LocalTime;
 
@@ -8,7 +8,7 @@
     timing::TermTiming,
 };
 
-/// What a VM remembers as a voter.
+/// The state of a VM as a voter, which is lost when its process ends.
 #[derive(Clone, Debug)]
 pub struct VoterState {
     silent_until: LocalTime,
@@ -19,11 +19,11 @@
 }
 
 impl VoterState {
-    /// A voter whose process started at `started`.
+    /// Creates a voter whose process started at `started`.
     ///
-    /// It confirms nobody for a lease time: by then all that an earlier
-    /// process on this VM may have confirmed has lapsed, so nothing needs
-    /// to be stored.
+    /// It confirms nobody for a lease time. Whatever an earlier process on
+    /// this VM has confirmed has lapsed by then, so nothing needs to be
+    /// stored.
     #[must_use]
     pub fn new(started: LocalTime, timing: TermTiming) -> Self {
         let mut silent_until = started;
@@ -33,29 +33,30 @@
         Self { silent_until, timing, latest: None, roster: None, floor: 0 }
     }
 
-    /// Takes the roster version that the store has, after a start.
+    /// Sets the roster version that the store has, after a start.
     ///
-    /// A voter that forgot a newer roster could give a candidate with an
-    /// old one its majority, which need not meet the present one: two
-    /// stewards. So a voter that knows no version confirms only a steward
-    /// that a majority confirms already.
+    /// A voter that forgot a newer roster could complete the majority of a
+    /// candidate with an old roster. That majority need not overlap the
+    /// current one, so there could be two stewards. Until a voter knows a
+    /// version, it confirms only a steward that a majority already
+    /// confirms.
     pub fn learn_roster(&mut self, version: u64) {
         if self.roster.is_none() {
             self.roster = Some(version);
         }
     }
 
-    /// Takes the plan's version that the store has, after a start.
+    /// Sets the plan version that the store has, after a start.
     ///
     /// A steward with a plan from before a slice left its domain would
-    /// grant that slice again, which another domain may own by now.
+    /// grant that slice again, although another domain may own it by now.
     pub fn learn_plan(&mut self, version: u64) {
         if self.latest.is_none() {
             self.floor = self.floor.max(version);
         }
     }
 
-    /// Answers a steward that asks to be confirmed.
+    /// Answers a steward or candidate that asks to be confirmed.
     pub fn confirm(
         &mut self,
         now: LocalTime,
@@ -73,7 +74,7 @@
         ConfirmAnswer::Confirmed
     }
 
-    /// The steward last confirmed, and when.
+    /// The last confirmed request, and when it was confirmed.
     #[must_use]
     pub fn latest(&self) -> Option<(&ConfirmAsk, LocalTime)> {
         self.latest.as_ref().map(|(ask, at)| (ask, *at))
@@ -85,7 +86,7 @@
             || !self.timing.safeguards.has(Safeguard::RosterStep)
     }
 
-    /// The highest term known, if the question has to be refused.
+    /// The highest known term if the request has to be refused.
     fn refusal(
         &self,
         now: LocalTime,
@@ -93,7 +94,7 @@
     ) -> Option<goldcrestramp_types::TermId> {
         let latest = self.latest.as_ref();
         let highest = latest.map(|(ask, _)| ask.term).unwrap_or_default();
-        // An old roster's majority need not meet the newest one's.
+        // An old roster's majority need not overlap the newest one's.
         let old = self.roster.is_some_and(|version| ask.roster < version);
         if old && self.timing.safeguards.has(Safeguard::RosterStep) {
             return Some(highest);
@@ -103,7 +104,7 @@
         }
         let (confirmed, at) = latest?;
         let missed = now.since(*at) >= self.timing.missed_after;
-        // The present steward itself may go on to a higher term at once.
+        // The current steward itself may start a higher term at once.
         let other = (ask.term.vm, ask.term.start)
             != (confirmed.term.vm, confirmed.term.start);
         (ask.term < confirmed.term || (other && !missed)).then_some(highest)
