--- a/goldcrestramp-ownership/src/steward/claim.rs
+++ b/goldcrestramp-ownership/src/steward/claim.rs
@@ -1,4 +1,4 @@
-//! A term that is claimed, and who has confirmed it.
+//! A claimed term and its confirmations.
 
 use std::sync::Arc;
 
@@ -12,29 +12,30 @@
     timing::TermTiming,
 };
 
-/// A voter's newest confirmation.
+/// A voter's newest confirmation of a term.
 #[derive(Clone, Copy, Debug)]
 struct VoterConfirmation {
     sent: LocalTime,
     roster: u64,
 }
 
-/// A term, and its confirmations.
+/// A term that this VM claims, and the confirmations of its voters.
 #[derive(Clone, Debug)]
 pub(super) struct TermClaim {
     pub(super) term: TermId,
-    /// The roster whose majority counts.
+    /// The roster whose majority decides.
     pub(super) counted: VoterRoster,
-    /// The roster that the store has taken and a majority not yet.
+    /// The roster that the store has accepted and no majority has confirmed
+    /// yet.
     pub(super) next: Option<VoterRoster>,
     confirmed: FastMap<VmName, VoterConfirmation>,
-    /// Who has answered at all.
+    /// The voters that have sent any answer.
     answered: FastSet<VmName>,
     ask_at: LocalTime,
-    /// What its questions say of plans.
+    /// The plan version that requests contain.
     plan: u64,
     floor: u64,
-    /// When the floor last rose.
+    /// When `floor` last increased.
     floor_at: LocalTime,
 }
 
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Sets what its questions say of plans from now on.
+    /// Sets the plan versions that requests contain from now on.
     pub(super) fn set_plan(&mut self, now: LocalTime, plan: u64, floor: u64) {
         self.plan = plan;
         if floor > self.floor {
@@ -63,16 +64,21 @@
     }
 
     /// Whether a majority refuses stewards with a plan below the floor.
+    ///
+    /// This holds once a majority has confirmed a request sent after the
+    /// floor last increased.
     pub(super) fn has_floor(&self) -> bool {
-        self.begun().is_some_and(|begun| begun > self.floor_at)
+        self.majority_at()
+            .is_some_and(|majority_at| majority_at > self.floor_at)
     }
 
-    /// Asks at the next tick, without waiting for the usual time.
-    pub(super) fn ask_soon(&mut self) {
+    /// Makes the next requests due at the next tick instead of after the
+    /// regular interval.
+    pub(super) fn request_soon(&mut self) {
         self.ask_at = LocalTime::default();
     }
 
-    /// The questions that are due, to everyone whose answer counts.
+    /// The requests that are due, to the voters of both rosters.
     pub(super) fn asks(
         &mut self,
         now: LocalTime,
@@ -84,7 +90,7 @@
             return Vec::new();
         }
         self.ask_at = now + timing.confirm_interval;
-        let ask = self.question(me, established);
+        let ask = self.request(me, established);
         let own = established || self.needs_only_own(me);
         let voters = self.voters().into_iter();
         voters
@@ -93,11 +99,11 @@
             .collect()
     }
 
-    /// The question to the own voter once only its answer is missing.
+    /// The request to the own voter, once only its confirmation is missing.
     ///
     /// A candidate that cannot win must not bind its own voter to a higher
-    /// term: after a partition that voter would refuse the present steward
-    /// for as long as it leads, and the domain would run with one less.
+    /// term. After a partition that voter would refuse the current steward
+    /// for as long as it leads, and the domain would have one voter less.
     pub(super) fn ask_own(
         &self,
         me: &StewardIdentity,
@@ -108,11 +114,11 @@
         }
         let voters = &self.counted.voters;
         let voter = voters.iter().find(|v| v.vm == me.vm)?.clone();
-        let ask = self.question(me, false);
+        let ask = self.request(me, false);
         Some(StewardEffect::AskVoter { voter, ask })
     }
 
-    fn question(&self, me: &StewardIdentity, established: bool) -> ConfirmAsk {
+    fn request(&self, me: &StewardIdentity, established: bool) -> ConfirmAsk {
         ConfirmAsk {
             domain: me.domain.clone(),
             vm: me.vm.clone(),
@@ -148,20 +154,20 @@
         self.next.as_ref().unwrap_or(&self.counted)
     }
 
-    /// Notes that a voter is there, whatever it answered.
-    pub(super) fn heard(&mut self, voter: VmName) {
+    /// Records that a voter is reachable, whatever it answered.
+    pub(super) fn record_answer(&mut self, voter: VmName) {
         self.answered.insert(voter);
     }
 
-    /// Whether a voter has answered this claim.
-    pub(super) fn has_heard(&self, voter: &VmName) -> bool {
+    /// Whether a voter has answered a request of this claim.
+    pub(super) fn has_answered(&self, voter: &VmName) -> bool {
         self.answered.contains(voter)
     }
 
-    /// Counts a confirmation from when its question was sent.
+    /// Records a confirmation, valid from when its request was sent.
     ///
-    /// Counting from the answer would let a steward act on for as long as
-    /// the answer took, while its voter has confirmed another.
+    /// If it were valid from when the answer arrived, a slow answer would
+    /// let a steward continue after its voter has confirmed another.
     pub(super) fn confirm(
         &mut self,
         voter: VmName,
@@ -175,15 +181,18 @@
         }
     }
 
-    /// When the newest majority began to confirm; `None` without one.
-    pub(super) fn begun(&self) -> Option<LocalTime> {
+    /// When the newest majority's oldest request was sent; `None` without a
+    /// majority.
+    pub(super) fn majority_at(&self) -> Option<LocalTime> {
         self.majority_of(&self.counted)
     }
 
     /// When this term's time ends, unless it is confirmed again.
     pub(super) fn until(&self, timing: &TermTiming) -> LocalTime {
-        let begun = self.begun();
-        begun.map_or(LocalTime::default(), |begun| begun + timing.lease)
+        let majority_at = self.majority_at();
+        majority_at.map_or(LocalTime::default(), |majority_at| {
+            majority_at + timing.lease
+        })
     }
 
     /// When a voter last confirmed this term.
@@ -191,16 +200,17 @@
         self.confirmed.get(voter).map(|confirmation| confirmation.sent)
     }
 
-    /// Counts by the next roster as soon as its majority has confirmed.
+    /// Adopts the next roster as soon as its majority has confirmed.
     ///
-    /// Majorities of rosters that differ by one voter meet; those of
+    /// Majorities of rosters that differ by one voter overlap. Those of
     /// rosters two changes apart need not, and each could have a steward.
     pub(super) fn adopt_next(&mut self, now: LocalTime, timing: &TermTiming) {
         let Some(next) = &self.next else {
             return;
         };
-        let begun = self.majority_of(next);
-        let fresh = begun.is_some_and(|begun| now < begun + timing.lease);
+        let majority_at = self.majority_of(next);
+        let fresh = majority_at
+            .is_some_and(|majority_at| now < majority_at + timing.lease);
         if fresh || !timing.safeguards.has(Safeguard::RosterStep) {
             self.counted = next.clone();
             self.next = None;
@@ -210,11 +220,11 @@
     fn majority_of(&self, roster: &VoterRoster) -> Option<LocalTime> {
         let confirmations =
             roster.voters.iter().filter_map(|v| self.confirmed.get(&v.vm));
-        let mut sents: Vec<LocalTime> = confirmations
+        let mut sent_times: Vec<LocalTime> = confirmations
             .filter(|confirmation| confirmation.roster >= roster.version)
             .map(|confirmation| confirmation.sent)
             .collect();
-        sents.sort_unstable_by(|a, b| b.cmp(a));
-        sents.get(roster.majority() - 1).copied()
+        sent_times.sort_unstable_by(|a, b| b.cmp(a));
+        sent_times.get(roster.majority() - 1).copied()
     }
 }
--- a/goldcrestramp-ownership/src/steward/election.rs
+++ b/goldcrestramp-ownership/src/steward/election.rs
@@ -1,4 +1,4 @@
-//! From follower to candidate to leader, and back.
+//! The transitions between follower, candidate and leader.
 
 use goldcrestramp_types::{LocalTime, TermId, TimeSpan, VmName};
 
@@ -12,22 +12,25 @@
     safeguard::Safeguard,
 };
 
-/// How long after the one before it a voter becomes a candidate.
+/// The delay of each voter's candidacy after that of the voter before it in
+/// the roster.
 ///
-/// Longer than the 50 ms between two ticks and a round to the voters: two
-/// that meet keep each other from a majority for 0.6 s.
-const TURN_MILLIS: u64 = 60;
+/// This is longer than the 50 ms between two ticks plus a round trip to the
+/// voters. Two simultaneous candidates keep each other from a majority for
+/// 0.6 s.
+const CANDIDATE_STAGGER_MS: u64 = 60;
 
-/// From when a candidate takes silence for absence, in percent of the time
-/// between two questions: a second one has then had time to be answered.
-const ABSENT_PERCENT: u64 = 150;
+/// When a candidate starts to treat voters without an answer as absent, in
+/// percent of the interval between two requests. At 150 the second request
+/// has had time to be answered.
+const REDUCE_AFTER_PERCENT: u64 = 150;
 
 impl StewardMachine {
     pub(super) fn tick(&mut self, now: LocalTime) -> Vec<StewardEffect> {
         match &mut self.role {
-            StewardRole::Follower { not_before, eager } => {
-                let (due, eager) = (*not_before, *eager);
-                self.campaign(now, due, eager)
+            StewardRole::Follower { not_before, immediate } => {
+                let (due, immediate) = (*not_before, *immediate);
+                self.campaign(now, due, immediate)
             }
             StewardRole::Candidate { give_up, .. } if now >= *give_up => {
                 self.follow(now);
@@ -41,12 +44,13 @@
                     return effects;
                 };
                 self.follow(now);
-                self.reducing = Some(roster.version);
+                self.pending_reduction = Some(roster.version);
                 vec![StewardEffect::SaveRoster(roster)]
             }
             StewardRole::Leading(leading) => {
-                // Left unconfirmed for a lease, it may have been replaced;
-                // it has to be elected again, under a higher term.
+                // It was not confirmed for a lease and may have been
+                // replaced. It has to be elected again, under a higher
+                // term.
                 if now >= leading.until() {
                     self.follow(now);
                     return Vec::new();
@@ -56,15 +60,15 @@
         }
     }
 
-    /// Becomes a candidate once the present steward has been missed.
+    /// Becomes a candidate once the current steward has timed out.
     ///
-    /// Voters come one after another, in the roster's order, so that two
-    /// do not keep each other from a majority.
+    /// Voters do so one after another, in the roster's order, so that two
+    /// candidates do not keep each other from a majority.
     pub(super) fn campaign(
         &mut self,
         now: LocalTime,
         not_before: LocalTime,
-        eager: bool,
+        immediate: bool,
     ) -> Vec<StewardEffect> {
         let (Some(roster), Some(_)) =
             (&self.knowledge.roster, &self.knowledge.plan)
@@ -75,10 +79,11 @@
         let Some(rank) = roster.voters.iter().position(own) else {
             return Vec::new();
         };
-        let turn = TimeSpan::from_millis(TURN_MILLIS * rank as u64);
+        let stagger =
+            TimeSpan::from_millis(CANDIDATE_STAGGER_MS * rank as u64);
         let seen = self.knowledge.seen.as_ref().map(|seen| seen.at);
         let missed = seen.unwrap_or_default() + self.timing.missed_after;
-        if !eager && now < missed.max(not_before) + turn {
+        if !immediate && now < missed.max(not_before) + stagger {
             return Vec::new();
         }
         let number = self.knowledge.highest + 1;
@@ -89,7 +94,7 @@
         claim.set_plan(now, plan, self.knowledge.floor);
         let mut effects = claim.asks(now, &self.me, false, &self.timing);
         effects.extend(claim.ask_own(&self.me));
-        let wait = self.timing.confirm_interval.percent(ABSENT_PERCENT);
+        let wait = self.timing.confirm_interval.percent(REDUCE_AFTER_PERCENT);
         let reduce_at = now + wait;
         let give_up = now + self.timing.missed_after;
         let claim = Box::new(claim);
@@ -98,15 +103,18 @@
     }
 
     /// The roster without a voter that does not answer this candidate, if
-    /// that makes those who answer a majority.
+    /// the voters that answer are a majority of the result.
     ///
-    /// A domain of two that loses one could else never elect again, though
-    /// the store is there to tell which of the two goes on: it takes one
-    /// change of a version. Only an adopted roster is reduced, by which a
-    /// steward has counted. Each of its majorities meets each of the one
-    /// without that voter, and a majority of it refuses older rosters. Of
-    /// one that nobody has adopted, the one before may still count: two
-    /// changes apart majorities need not meet, and each could elect.
+    /// Without this, a domain of two that loses one VM could never elect
+    /// again. The store decides which of the two continues, because it
+    /// accepts only one change of a version.
+    ///
+    /// Only an adopted roster is reduced, which is one by which a steward
+    /// has counted. Each of its majorities overlaps each majority of the
+    /// reduced roster, and a majority of it refuses older rosters. If
+    /// nobody has adopted a roster, the one before it may still be in use.
+    /// Majorities of rosters two changes apart need not overlap, and each
+    /// could elect a steward.
     fn reduced_roster(&self) -> Option<VoterRoster> {
         let StewardRole::Candidate { claim, .. } = &self.role else {
             return None;
@@ -114,17 +122,17 @@
         let roster = &claim.counted;
         let adopted = self.knowledge.adopted == roster.version
             || !self.timing.safeguards.has(Safeguard::RosterAdopted);
-        let here = |vm: &VmName| *vm == self.me.vm || claim.has_heard(vm);
+        let here = |vm: &VmName| *vm == self.me.vm || claim.has_answered(vm);
         roster.without_silent(here).filter(|_| adopted)
     }
 
-    /// Asks at once for a majority of the roster that this VM has reduced.
+    /// Becomes a candidate at once if this VM has reduced the saved roster.
     pub(super) fn roster_reduced(
         &mut self,
         now: LocalTime,
         saved: u64,
     ) -> Vec<StewardEffect> {
-        let mine = self.reducing.take() == Some(saved);
+        let mine = self.pending_reduction.take() == Some(saved);
         let following = matches!(self.role, StewardRole::Follower { .. });
         if mine && following {
             return self.campaign(now, now, true);
@@ -132,29 +140,31 @@
         Vec::new()
     }
 
-    /// Stops leading or asking; asks again after its voter is free.
+    /// Becomes a follower. It waits before its next candidacy until its own
+    /// voter may confirm another term.
     pub(super) fn follow(&mut self, now: LocalTime) {
         if let StewardRole::Leading(leading) = &self.role {
             self.moved += leading.moved;
         }
         let not_before = now + self.timing.renew_interval;
-        self.role = StewardRole::Follower { not_before, eager: false };
+        self.role = StewardRole::Follower { not_before, immediate: false };
     }
 
-    /// Stops leading under this term and asks at once for a higher one.
-    pub(super) fn go_above(&mut self, now: LocalTime, term: TermId) {
-        self.knowledge.note_term(term);
+    /// Stops leading under this term and becomes a candidate for a higher
+    /// one at the next tick.
+    pub(super) fn start_higher_term(&mut self, now: LocalTime, term: TermId) {
+        self.knowledge.observe_term(term);
         self.follow(now);
-        self.role = StewardRole::Follower { not_before: now, eager: true };
+        self.role = StewardRole::Follower { not_before: now, immediate: true };
     }
 
-    pub(super) fn saw(
+    pub(super) fn steward_seen(
         &mut self,
         now: LocalTime,
         ask: ConfirmAsk,
         at: LocalTime,
     ) -> Vec<StewardEffect> {
-        self.knowledge.note_term(ask.term);
+        self.knowledge.observe_term(ask.term);
         let higher = match &self.role {
             StewardRole::Follower { .. } => false,
             StewardRole::Candidate { claim, .. } => ask.term > claim.term,
@@ -171,16 +181,16 @@
         if named <= known {
             return Vec::new();
         }
-        // Without the newest roster this VM could not follow the steward.
+        // Without the newest roster this VM could not succeed the steward.
         self.read_roster_again(now)
     }
 
-    /// Reads the roster, at most once a lease.
+    /// Reads the roster, at most once per lease.
     ///
-    /// A steward that is lost just after it wrote a roster has told its
-    /// voters nothing of it. One that asks by the former roster gets no
-    /// majority where the lost VM was half of that, and without this read
-    /// nobody would ever lead the domain again.
+    /// A steward that is lost just after it wrote a roster has not sent it
+    /// to its voters. A candidate with the previous roster gets no majority
+    /// if the lost VM was half of that roster. Without this read nobody
+    /// would ever lead the domain again.
     fn read_roster_again(&mut self, now: LocalTime) -> Vec<StewardEffect> {
         if now < self.read_again_at {
             return Vec::new();
@@ -189,16 +199,16 @@
         vec![StewardEffect::ReadRoster]
     }
 
-    pub(super) fn answered(
+    pub(super) fn voter_answered(
         &mut self,
         now: LocalTime,
         from: Confirmation,
         answer: ConfirmAnswer,
     ) -> Vec<StewardEffect> {
-        // Left unconfirmed for a lease, it may have been replaced: an answer
-        // that comes later must not let its term go on. A voter that has
-        // started since, and has forgotten the newer roster, may give one.
-        if self.is_over(now) {
+        // A steward that was not confirmed for a lease may have been
+        // replaced, so a later answer must not extend its term. A voter that
+        // has restarted since and has lost the newer roster may send one.
+        if self.has_expired(now) {
             self.follow(now);
         }
         let claim = match &mut self.role {
@@ -209,27 +219,27 @@
         if claim.term != from.term {
             return Vec::new();
         }
-        claim.heard(from.voter.clone());
+        claim.record_answer(from.voter.clone());
         match answer {
             ConfirmAnswer::Confirmed => {
                 claim.confirm(from.voter, from.sent, from.roster);
                 self.confirmed(now)
             }
             ConfirmAnswer::Refused { highest } if highest > claim.term => {
-                self.knowledge.note_term(highest);
+                self.knowledge.observe_term(highest);
                 if let StewardRole::Leading(_) = &self.role {
-                    self.go_above(now, highest);
+                    self.start_higher_term(now, highest);
                 }
                 Vec::new()
             }
-            // It follows another, or knows a newer roster.
+            // The voter follows another steward or knows a newer roster.
             ConfirmAnswer::Refused { .. } => vec![StewardEffect::ReadRoster],
             ConfirmAnswer::Silent => Vec::new(),
         }
     }
 
-    /// Whether it leads and its time has ended.
-    fn is_over(&self, now: LocalTime) -> bool {
+    /// Whether this VM leads and its time has ended.
+    fn has_expired(&self, now: LocalTime) -> bool {
         let guarded = self.timing.safeguards.has(Safeguard::LateAnswer);
         let StewardRole::Leading(leading) = &self.role else {
             return false;
@@ -237,7 +247,7 @@
         guarded && now >= leading.until()
     }
 
-    /// Leads once a majority has confirmed.
+    /// Starts to lead once a majority has confirmed.
     pub(super) fn confirmed(&mut self, now: LocalTime) -> Vec<StewardEffect> {
         let StewardRole::Candidate { claim, .. } = &self.role else {
             return Vec::new();
@@ -251,7 +261,7 @@
         let claim = TermClaim::clone(claim);
         let leading = LeadingSteward::new(now, claim, &plan, self.timing);
         self.role = StewardRole::Leading(Box::new(leading));
-        // Others may have written since this VM last read.
+        // Others may have written the record since this VM last read it.
         self.knowledge.record_read = false;
         Vec::new()
     }
--- a/goldcrestramp-ownership/src/steward/keepers.rs
+++ b/goldcrestramp-ownership/src/steward/keepers.rs
@@ -1,7 +1,7 @@
-//! Which VM keeps which server.
+//! The assignment of servers to the VMs that keep them.
 //!
-//! A keeper change costs the server's requests a redirect, so a server
-//! stays with its keeper while that one reports and is not leaving.
+//! A change of keeper redirects the server's requests, so a server stays
+//! with its keeper while that VM reports and is not leaving.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -9,40 +9,40 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::{
-    message::KeeperReport, safeguard::Safeguard, steward::led::LedServer,
-    timing::TermTiming,
+    message::KeeperReport, safeguard::Safeguard,
+    steward::managed_server::ManagedServer, timing::TermTiming,
 };
 
 /// A VM that reports as a keeper.
 #[derive(Clone, Debug)]
-pub(super) struct LedKeeper {
+pub(super) struct KnownKeeper {
     pub(super) address: Arc<str>,
     start: u64,
     sequence: u64,
     leaving: bool,
-    heard_at: LocalTime,
+    reported_at: LocalTime,
     /// The end of the last permit given to it.
     pub(super) permit_until: LocalTime,
 }
 
-impl LedKeeper {
+impl KnownKeeper {
     fn is_live(&self, now: LocalTime, timing: &TermTiming) -> bool {
-        now.since(self.heard_at) < timing.missed_after
+        now.since(self.reported_at) < timing.missed_after
     }
 }
 
-/// The keepers that a steward has heard of.
+/// The keepers that have reported to a steward.
 #[derive(Clone, Debug, Default)]
-pub(super) struct KeeperBook {
-    keepers: FastMap<VmName, LedKeeper>,
+pub(super) struct KeeperTable {
+    keepers: FastMap<VmName, KnownKeeper>,
 }
 
-impl KeeperBook {
-    pub(super) fn get(&self, vm: &VmName) -> Option<&LedKeeper> {
+impl KeeperTable {
+    pub(super) fn get(&self, vm: &VmName) -> Option<&KnownKeeper> {
         self.keepers.get(vm)
     }
 
-    /// Whether the VM has reported lately.
+    /// Whether the VM has reported recently.
     pub(super) fn is_live(
         &self,
         now: LocalTime,
@@ -52,7 +52,7 @@
         self.keepers.get(vm).is_some_and(|k| k.is_live(now, timing))
     }
 
-    /// Whether the VM has reported lately, and that it is leaving.
+    /// Whether the VM has recently reported that it is leaving.
     pub(super) fn is_leaving(
         &self,
         now: LocalTime,
@@ -63,16 +63,16 @@
         keeper.is_some_and(|k| k.leaving && k.is_live(now, timing))
     }
 
-    /// Notes a report; `false` if a later one was noted before.
+    /// Records a report. Returns `false` if a later one was recorded before.
     ///
-    /// A restarted VM knows nothing of what its former process sent, so
-    /// its servers count as kept by nobody, until that process's permit
-    /// has ended or their fence has been raised.
-    pub(super) fn note(
+    /// A restarted VM does not know the orders of its previous process. Its
+    /// servers therefore lose their keeper until that process's permit has
+    /// ended or their fence has been raised.
+    pub(super) fn record_report(
         &mut self,
         now: LocalTime,
         report: &KeeperReport,
-        servers: &mut BTreeMap<ServerName, LedServer>,
+        servers: &mut BTreeMap<ServerName, ManagedServer>,
     ) -> bool {
         let known = self.keepers.get(&report.vm);
         let same = known.filter(|keeper| keeper.start == report.start);
@@ -86,29 +86,29 @@
                 release_servers(&report.vm, permit_until, servers);
             }
         }
-        let keeper = LedKeeper {
+        let keeper = KnownKeeper {
             address: Arc::clone(&report.address),
             start: report.start,
             sequence: report.sequence,
             leaving: report.leaving,
-            heard_at: now,
+            reported_at: now,
             permit_until,
         };
         self.keepers.insert(report.vm.clone(), keeper);
         true
     }
 
-    pub(super) fn note_permit(&mut self, vm: &VmName, until: LocalTime) {
+    pub(super) fn record_permit(&mut self, vm: &VmName, until: LocalTime) {
         if let Some(keeper) = self.keepers.get_mut(vm) {
             keeper.permit_until = keeper.permit_until.max(until);
         }
     }
 
-    /// Takes servers from keepers that are silent or leaving.
+    /// Removes servers from keepers that are silent or leaving.
     pub(super) fn release(
         &self,
         now: LocalTime,
-        servers: &mut BTreeMap<ServerName, LedServer>,
+        servers: &mut BTreeMap<ServerName, ManagedServer>,
         timing: &TermTiming,
     ) -> bool {
         let mut changed = false;
@@ -125,8 +125,9 @@
                 server.lose_keeper(keeper.permit_until);
                 changed = true;
             } else if leaving && !server.retiring {
-                // Without fences its late orders could undo a release:
-                // it says itself when none is under way any more.
+                // A server without fences would accept its late orders,
+                // which could undo a release. The keeper itself reports
+                // when none is in flight.
                 server.retiring = true;
                 changed = true;
             }
@@ -139,28 +140,28 @@
         keepers.any(|k| !k.leaving && k.is_live(now, timing))
     }
 
-    /// Gives servers without a keeper to live VMs.
+    /// Assigns servers without a keeper to live VMs.
     pub(super) fn assign(
         &self,
         now: LocalTime,
-        unclaimed: LocalTime,
-        begun: LocalTime,
-        servers: &mut BTreeMap<ServerName, LedServer>,
+        assign_unclaimed_at: LocalTime,
+        majority_at: LocalTime,
+        servers: &mut BTreeMap<ServerName, ManagedServer>,
         timing: &TermTiming,
     ) -> bool {
         let mut changed = false;
         let mut loads = self.loads(now, servers, timing);
         let waits = timing.safeguards.has(Safeguard::KeeperWait);
         for (name, server) in servers.iter_mut() {
-            let free = !waits || server.may_change_keeper(now, begun);
+            let free = !waits || server.may_change_keeper(now, majority_at);
             if let Some(vm) = server.keeper.clone() {
                 if free && server.probing {
-                    server.staff(vm);
+                    server.set_keeper(vm);
                     changed = true;
                 }
                 continue;
             }
-            if now < unclaimed {
+            if now < assign_unclaimed_at {
                 continue;
             }
             let Some(vm) = choose(name, &loads) else {
@@ -168,7 +169,7 @@
             };
             *loads.entry(vm.clone()).or_default() += 1;
             if free {
-                server.staff(vm);
+                server.set_keeper(vm);
                 changed = true;
             } else {
                 server.probe(vm);
@@ -177,14 +178,14 @@
         changed
     }
 
-    /// How many servers each VM keeps that may be given more.
+    /// The number of servers of each VM that may be assigned more.
     fn loads(
         &self,
         now: LocalTime,
-        servers: &BTreeMap<ServerName, LedServer>,
+        servers: &BTreeMap<ServerName, ManagedServer>,
         timing: &TermTiming,
     ) -> FastMap<VmName, usize> {
-        let live = |k: &LedKeeper| !k.leaving && k.is_live(now, timing);
+        let live = |k: &KnownKeeper| !k.leaving && k.is_live(now, timing);
         let usable = self.keepers.iter().filter(|(_, keeper)| live(keeper));
         let mut loads: FastMap<VmName, usize> =
             usable.map(|(vm, _)| (vm.clone(), 0)).collect();
@@ -200,7 +201,7 @@
 fn release_servers(
     vm: &VmName,
     until: LocalTime,
-    servers: &mut BTreeMap<ServerName, LedServer>,
+    servers: &mut BTreeMap<ServerName, ManagedServer>,
 ) {
     let kept = servers.values_mut().filter(|s| s.keeper.as_ref() == Some(vm));
     for server in kept {
@@ -208,7 +209,8 @@
     }
 }
 
-/// The least loaded VM; among equals the one of highest rendezvous weight.
+/// The VM that keeps the fewest servers, or of several the one of highest
+/// rendezvous weight.
 fn choose(
     server: &ServerName,
     loads: &FastMap<VmName, usize>,
--- a/goldcrestramp-ownership/src/steward/knowledge.rs
+++ b/goldcrestramp-ownership/src/steward/knowledge.rs
@@ -1,4 +1,4 @@
-//! What a steward knows in every role.
+//! The knowledge that a steward keeps in every role.
 
 use std::sync::Arc;
 
@@ -10,54 +10,56 @@
     roster::{RosterVoter, VoterRoster},
 };
 
-/// Who was last seen to lead, and when.
+/// The steward that this VM's voter last confirmed, and when.
 #[derive(Clone, Debug)]
 pub(super) struct SeenSteward {
     pub(super) ask: ConfirmAsk,
     pub(super) at: LocalTime,
 }
 
-/// What outlives a change of role.
+/// The knowledge that survives a change of role.
 #[derive(Clone, Debug, Default)]
 pub(super) struct StewardKnowledge {
     pub(super) roster: Option<VoterRoster>,
     pub(super) plan: Option<Arc<DomainPlan>>,
-    /// The newest record known, whether read or decided here.
+    /// The newest known record, either read or decided here.
     pub(super) record: DomainRecord,
-    /// Whether the store has answered for the record.
+    /// Whether the record has been read from the store.
     pub(super) record_read: bool,
     pub(super) vms: Vec<RosterVoter>,
     /// The newest roster by which a steward is known to have counted.
     pub(super) adopted: u64,
-    /// Whether a release was taken off the record since it was written.
-    pub(super) forgotten: bool,
-    /// The highest number of a term seen anywhere.
+    /// Whether a release was removed from the record since its last
+    /// decision.
+    pub(super) pruned: bool,
+    /// The highest term number seen so far.
     pub(super) highest: u64,
     pub(super) seen: Option<SeenSteward>,
-    /// The oldest plan with which anybody may lead.
+    /// The minimum plan version with which a VM may lead.
     pub(super) floor: u64,
 }
 
 impl StewardKnowledge {
-    pub(super) fn note_term(&mut self, term: TermId) {
+    pub(super) fn observe_term(&mut self, term: TermId) {
         self.highest = self.highest.max(term.number);
     }
 
-    /// Takes the store's record; true when the store's is older than ours.
+    /// Merges the store's record. Returns whether the store's record is
+    /// older than this one.
     ///
-    /// A store may come back with older data: what was acknowledged since
-    /// is then kept here and written again.
-    pub(super) fn take_record(&mut self, read: Option<DomainRecord>) -> bool {
+    /// A store may be restored with older data. Acknowledged writes that it
+    /// has lost are then kept here and written again.
+    pub(super) fn merge_record(&mut self, read: Option<DomainRecord>) -> bool {
         let first = !std::mem::replace(&mut self.record_read, true);
         let read = read.unwrap_or_default();
-        self.note_term(read.token.term);
+        self.observe_term(read.token.term);
         let older = read.token < self.record.token;
         let (mut newer, other) = if older {
             (std::mem::take(&mut self.record), read)
         } else {
             (read, std::mem::take(&mut self.record))
         };
-        // Decisions made before the first answer knew of no release.
+        // Decisions from before the first read did not know any release.
         for (service, slices) in other.released.iter().filter(|_| first) {
             let entry = newer.released.entry(service.clone()).or_default();
             entry.union_with(slices);
@@ -66,12 +68,12 @@
         older
     }
 
-    /// Takes releases off the record that the plan in force has followed
-    /// up; whether there were any.
+    /// Removes the releases that the current plan already includes. Returns
+    /// whether there were any since the last call.
     ///
-    /// One that stayed in the store would keep the slice from ever coming
-    /// back to this domain, though its servers may be the last.
-    pub(super) fn forget_releases(&mut self) -> bool {
+    /// A release that stayed in the store would keep the slice from ever
+    /// returning to this domain, even if its servers are the last ones.
+    pub(super) fn prune_releases(&mut self) -> bool {
         let Some(plan) = self.plan.clone() else {
             return false;
         };
@@ -79,16 +81,17 @@
             let released = self.record.released.get_mut(&service.service);
             let Some(released) = released else { continue };
             let before = released.len();
-            // What the service's record gives to another domain needs no
-            // protection against an old plan any more.
+            // A slice that the service's record assigns to another domain
+            // needs no more protection against an old plan.
             released.intersect_with(&service.slices);
-            self.forgotten |= released.len() != before;
+            self.pruned |= released.len() != before;
         }
-        std::mem::take(&mut self.forgotten)
+        std::mem::take(&mut self.pruned)
     }
 
-    /// Takes a plan unless it is older than the one in force.
-    pub(super) fn take_plan(&mut self, plan: Arc<DomainPlan>) -> bool {
+    /// Applies a plan unless it is older than or equal to the current one.
+    /// Returns whether it was applied.
+    pub(super) fn apply_plan(&mut self, plan: Arc<DomainPlan>) -> bool {
         let known = self.plan.as_ref();
         if known.is_some_and(|known| known.version > plan.version) {
             return false;
@@ -101,16 +104,17 @@
             self.floor = self.floor.max(plan.version);
         }
         self.plan = Some(plan);
-        self.forgotten = self.forget_releases();
+        self.pruned = self.prune_releases();
         true
     }
 
-    /// The version of the plan in force; zero before there is one.
+    /// The version of the current plan; zero before there is one.
     pub(super) fn plan_version(&self) -> u64 {
         self.plan.as_ref().map_or(0, |plan| plan.version)
     }
 
-    /// The slices of a service that servers of this domain may hold.
+    /// The slices of a service that servers of this domain may hold: neither
+    /// leaving nor released.
     pub(super) fn domain_slices(&self, service: &ServicePlan) -> SliceSet {
         let mut slices = service.slices.clone();
         slices.subtract(&service.leaving);
--- a/goldcrestramp-ownership/src/steward/leader/decide.rs
+++ b/goldcrestramp-ownership/src/steward/leader/decide.rs
@@ -1,4 +1,4 @@
-//! What each server is to hold, and the orders that bring it there.
+//! The target slices of each server, and the orders that lead to them.
 
 use goldcrestramp_types::{
     FastMap, FenceToken, ServerName, ServiceName, SliceSet,
@@ -8,13 +8,13 @@
 use crate::{
     plan::{DomainPlan, ServicePlan, StrandedCause},
     steward::{
-        knowledge::StewardKnowledge, led::LedServer, placement::place_service,
-        publish::note_decisions,
+        knowledge::StewardKnowledge, managed_server::ManagedServer,
+        placement::place_service, publish::record_decisions,
     },
 };
 
 impl LeadingSteward {
-    /// Sets targets and orders, if anything has changed.
+    /// Updates targets and orders if anything has changed.
     pub(super) fn decide(&mut self, knowledge: &mut StewardKnowledge) {
         let Some(plan) = knowledge.plan.clone() else {
             return;
@@ -30,34 +30,38 @@
             self.order_service(name);
         }
         self.drop_unlisted();
-        self.note_releases(&plan, knowledge);
-        self.note_stranded(&plan, knowledge);
-        self.sequence += u64::from(knowledge.forget_releases());
+        self.record_releases(&plan, knowledge);
+        self.record_stranded(&plan, knowledge);
+        self.sequence += u64::from(knowledge.prune_releases());
         let token =
             FenceToken { term: self.claim.term, sequence: self.sequence };
-        note_decisions(token, &self.servers, knowledge);
-        self.table.mark(true);
+        record_decisions(token, &self.servers, knowledge);
+        self.table.mark_dirty(true);
     }
 
-    /// Orders each server of a service what it may hold now.
+    /// Updates the order of each server of a service to the slices that it
+    /// may hold now.
     ///
-    /// A slice that another server may hold is left out until that one has
-    /// released it, or its grant has surely lapsed.
+    /// A slice that another server may hold is left out until that server
+    /// has released it or its grant has certainly lapsed.
     fn order_service(&mut self, service: &ServiceName) {
-        let of_service =
-            |(_, s): &(&ServerName, &LedServer)| s.plan.service == *service;
+        let of_service = |(_, s): &(&ServerName, &ManagedServer)| {
+            s.plan.service == *service
+        };
         let names: Vec<ServerName> = self
             .servers
             .iter()
             .filter(of_service)
             .map(|(name, _)| name.clone())
             .collect();
-        let unsettled =
-            names.iter().filter(|name| !self.servers[*name].settled).count();
+        let unsettled = names
+            .iter()
+            .filter(|name| !self.servers[*name].reconciled)
+            .count();
         let claims = OverlapCount::of(names.iter().map(|n| &self.servers[n]));
         for name in names {
             let server = &self.servers[&name];
-            if !server.settled {
+            if !server.reconciled {
                 continue;
             }
             let mut slices = server.target.clone();
@@ -72,60 +76,60 @@
             if let Some(server) = self.servers.get_mut(&name) {
                 let before = server.order.slices.take();
                 self.moved += gained(before.as_ref(), &slices);
-                server.instruct(token, slices);
+                server.set_order(token, slices);
             }
         }
     }
 
-    /// Forgets servers that the configuration dropped and that are empty.
+    /// Removes servers that are no longer configured and hold nothing.
     fn drop_unlisted(&mut self) {
         self.servers.retain(|_, server| {
-            server.listed || !server.settled || !server.bound.is_empty()
+            server.listed || !server.reconciled || !server.bound.is_empty()
         });
     }
 
-    /// Puts slices on record that have left the domain.
-    fn note_releases(
+    /// Adds slices that have left the domain to the record.
+    fn record_releases(
         &mut self,
         plan: &DomainPlan,
         knowledge: &mut StewardKnowledge,
     ) {
-        // First a majority has to refuse whoever does not know of it: a
-        // steward with an older plan would grant the slices again.
+        // First a majority has to refuse stewards with an older plan, because
+        // such a steward would grant the slices again.
         if !self.claim.has_floor() {
             self.dirty = true;
             return;
         }
         for service in plan.services.iter().filter(|s| !s.leaving.is_empty()) {
-            let mut gone = service.leaving.clone();
-            gone.intersect_with(&service.slices);
+            let mut departed = service.leaving.clone();
+            departed.intersect_with(&service.slices);
             let of_service =
-                |s: &&LedServer| s.plan.service == service.service;
+                |s: &&ManagedServer| s.plan.service == service.service;
             for server in self.servers.values().filter(of_service) {
-                if !server.settled {
-                    gone = SliceSet::new();
+                if !server.reconciled {
+                    departed = SliceSet::new();
                 }
-                gone.subtract(&server.bound);
+                departed.subtract(&server.bound);
             }
             let released = &mut knowledge.record.released;
             let entry = released.entry(service.service.clone()).or_default();
-            gone.subtract(entry);
-            if !gone.is_empty() {
-                entry.union_with(&gone);
+            departed.subtract(entry);
+            if !departed.is_empty() {
+                entry.union_with(&departed);
                 self.sequence += 1;
-                self.records.hurry();
+                self.records.mark_urgent();
             }
         }
     }
 
-    /// Puts on record for which services the domain has no server left.
-    fn note_stranded(
+    /// Records the services for which the domain has no server left.
+    fn record_stranded(
         &mut self,
         plan: &DomainPlan,
         knowledge: &mut StewardKnowledge,
     ) {
-        let settled = self.servers.values().all(|server| server.settled);
-        if !settled || !knowledge.record_read {
+        let reconciled = self.servers.values().all(|server| server.reconciled);
+        if !reconciled || !knowledge.record_read {
             return;
         }
         let services = plan.services.iter();
@@ -138,25 +142,26 @@
         if knowledge.record.stranded != stranded {
             knowledge.record.stranded = stranded;
             self.sequence += 1;
-            self.records.hurry();
+            self.records.mark_urgent();
         }
     }
 
-    /// Why no server here can be given slices of a service, if none can.
+    /// The reason why no server of this domain can be assigned slices of a
+    /// service; `None` if one can.
     ///
-    /// A server that only lacks a keeper is not given up on: it has one
-    /// within a second, while a move between domains is for good.
+    /// A server that only lacks a keeper still counts. It gets one within a
+    /// second, while a move between domains is permanent.
     fn stranded(&self, service: &ServicePlan) -> Option<StrandedCause> {
         let servers = self.servers.values();
-        let mut mine = servers
+        let mut own = servers
             .filter(|server| server.plan.service == service.service)
             .peekable();
-        if mine.peek().is_none() && service.slices.is_empty() {
+        if own.peek().is_none() && service.slices.is_empty() {
             return None;
         }
         let mut cause = StrandedCause::Lost;
-        for server in mine {
-            if server.is_gone() {
+        for server in own {
+            if server.is_given_up() {
                 continue;
             }
             if !server.is_leaving() {
@@ -177,14 +182,15 @@
     0
 }
 
-/// Which slices may be held by one server, and which by several.
+/// The slices that at least one server may hold, and those that several may
+/// hold.
 struct OverlapCount {
     any: SliceSet,
     several: SliceSet,
 }
 
 impl OverlapCount {
-    fn of<'a>(servers: impl Iterator<Item = &'a LedServer>) -> Self {
+    fn of<'a>(servers: impl Iterator<Item = &'a ManagedServer>) -> Self {
         let mut any = SliceSet::new();
         let mut several = SliceSet::new();
         for server in servers {
@@ -196,7 +202,7 @@
         Self { any, several }
     }
 
-    /// What others than the server with this bound may hold.
+    /// The slices that servers other than the one with this bound may hold.
     fn others(&self, bound: &SliceSet) -> SliceSet {
         let mut others = self.any.clone();
         others.subtract(bound);
--- a/goldcrestramp-ownership/src/steward/leader/mod.rs
+++ b/goldcrestramp-ownership/src/steward/leader/mod.rs
@@ -1,4 +1,4 @@
-//! A steward that a majority has confirmed.
+//! A leading steward, whose term a majority has confirmed.
 
 mod decide;
 mod permit;
@@ -17,67 +17,71 @@
         StewardEffect,
         claim::TermClaim,
         identity::StewardIdentity,
-        keepers::KeeperBook,
+        keepers::KeeperTable,
         knowledge::StewardKnowledge,
-        led::LedServer,
-        placement::take_move,
-        publish::{RecordKeeper, TablePublisher},
-        roster::{RosterChange, RosterView},
+        managed_server::ManagedServer,
+        placement::apply_move,
+        publish::{RecordWriter, TablePublisher},
+        roster::{RosterChange, RosterContext},
     },
     timing::TermTiming,
 };
 
-/// How long keepers have to claim their servers from a new steward.
+/// How long keepers have to claim their servers from a new steward, in
+/// percent of the renewal interval.
 ///
-/// One may just have asked the lost steward, and asks again once that
-/// question has timed out; meanwhile its server should not be given away.
-const CLAIM_PERCENT: u64 = 150;
+/// A keeper may just have reported to the lost steward and reports again once
+/// that request has timed out. Its servers should not be reassigned in the
+/// meantime.
+const CLAIM_TIMEOUT_PERCENT: u64 = 150;
 
-/// How far the takeover of the domain has come.
+/// The phase of the takeover of a domain.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum LeadPhase {
-    /// The former steward may still act: extend, move nothing.
+    /// The previous steward may still act: grants are extended, and no slice
+    /// moves.
     Extending,
-    /// Its time is over: every server is asked again, then slices move.
+    /// The previous steward's time has ended: every server is queried again,
+    /// then slices move.
     Moving,
 }
 
-/// The state of a steward that leads.
+/// The state of a leading steward.
 #[derive(Clone, Debug)]
 pub(in crate::steward) struct LeadingSteward {
     pub(in crate::steward) claim: TermClaim,
     timing: TermTiming,
     phase: LeadPhase,
-    /// When the former steward's time is surely over.
+    /// When the previous steward's time has certainly ended.
     move_at: LocalTime,
-    /// When servers that no keeper has claimed get one.
-    unclaimed_at: LocalTime,
+    /// When servers that no keeper has claimed are assigned one.
+    assign_unclaimed_at: LocalTime,
     sequence: u64,
-    pub(in crate::steward) servers: BTreeMap<ServerName, LedServer>,
-    pub(in crate::steward) keepers: KeeperBook,
-    /// Slices that this term has seen held, by service.
+    pub(in crate::steward) servers: BTreeMap<ServerName, ManagedServer>,
+    pub(in crate::steward) keepers: KeeperTable,
+    /// The slices that servers were known to hold in this term, by service.
     owned: FastMap<ServiceName, SliceSet>,
     dirty: bool,
-    /// Whether a lapse waits for a confirmation.
-    waits: bool,
+    /// Whether a lapse needs a later confirmation.
+    awaits_confirmation: bool,
     pub(in crate::steward) roster: RosterChange,
     table: TablePublisher,
-    pub(in crate::steward) records: RecordKeeper,
+    pub(in crate::steward) records: RecordWriter,
     pub(in crate::steward) moved: u64,
-    /// The highest term that anyone here has shown.
-    seen: TermId,
+    /// The highest term known to any voter, keeper or server of the domain.
+    highest_term: TermId,
 }
 
 impl LeadingSteward {
-    /// Takes the domain over, with a majority confirmed at `now`.
+    /// Takes over the domain, with a majority confirmed at `now`.
     pub(in crate::steward) fn new(
         now: LocalTime,
         claim: TermClaim,
         plan: &DomainPlan,
         timing: TermTiming,
     ) -> Self {
-        // The former steward's last confirmation began before this
-        // majority; its time ends a lease after that at the latest.
+        // The previous steward's last confirmation was requested before
+        // this majority was complete. Its time ends at most a lease later.
         let mut move_at = now + timing.lengthened(timing.lease);
         if !timing.safeguards.has(Safeguard::MoveWait) {
             move_at = now;
@@ -87,24 +91,25 @@
             timing,
             phase: LeadPhase::Extending,
             move_at,
-            unclaimed_at: now + timing.renew_interval.percent(CLAIM_PERCENT),
+            assign_unclaimed_at: now
+                + timing.renew_interval.percent(CLAIM_TIMEOUT_PERCENT),
             sequence: 0,
             servers: BTreeMap::new(),
-            keepers: KeeperBook::default(),
+            keepers: KeeperTable::default(),
             owned: FastMap::default(),
             dirty: true,
-            waits: false,
+            awaits_confirmation: false,
             roster: RosterChange::default(),
             table: TablePublisher::default(),
-            records: RecordKeeper::default(),
+            records: RecordWriter::default(),
             moved: 0,
-            seen: TermId::default(),
+            highest_term: TermId::default(),
         };
-        leading.take_plan(now, plan);
+        leading.apply_plan(now, plan);
         leading
     }
 
-    /// Until when it may act.
+    /// The end of its time, unless it is confirmed again.
     pub(in crate::steward) fn until(&self) -> LocalTime {
         self.claim.until(&self.timing)
     }
@@ -118,8 +123,8 @@
         FenceToken { term: self.claim.term, sequence: self.sequence }
     }
 
-    /// Follows a changed configuration.
-    pub(in crate::steward) fn take_plan(
+    /// Applies a changed configuration.
+    pub(in crate::steward) fn apply_plan(
         &mut self,
         now: LocalTime,
         plan: &DomainPlan,
@@ -127,8 +132,8 @@
         for server in self.servers.values_mut() {
             server.listed = false;
         }
-        // In its first moments a former steward's keepers may still act.
-        let former = self.move_at.max(now);
+        // Until `move_at`, keepers of the previous steward may still act.
+        let previous_until = self.move_at.max(now);
         for entry in &plan.servers {
             if let Some(server) = self.servers.get_mut(&entry.server) {
                 server.listed = true;
@@ -136,13 +141,14 @@
                 continue;
             }
             let token = self.next_token();
-            let server = LedServer::new(entry.clone(), token, former);
+            let server =
+                ManagedServer::new(entry.clone(), token, previous_until);
             self.servers.insert(entry.server.clone(), server);
         }
         self.dirty = true;
     }
 
-    /// Does what time brings.
+    /// Carries out everything that is due at `now`.
     pub(in crate::steward) fn tick(
         &mut self,
         now: LocalTime,
@@ -151,12 +157,12 @@
     ) -> Vec<StewardEffect> {
         self.claim.adopt_next(now, &self.timing);
         self.begin_moving(now);
-        self.staff(now, knowledge);
-        self.settle(now);
+        self.assign_keepers(now, knowledge);
+        self.confirm_lapses(now);
         self.decide(knowledge);
         let mut effects = self.claim.asks(now, me, true, &self.timing);
         if self.may_move() {
-            let view = RosterView {
+            let view = RosterContext {
                 me,
                 knowledge,
                 claim: &self.claim,
@@ -173,8 +179,10 @@
         effects
     }
 
-    /// The former steward's time is over: what servers hold from now on
-    /// only this one decides, once they have said what it is.
+    /// Starts the moving phase once the previous steward's time has ended.
+    ///
+    /// From then on only this steward decides which slices servers hold,
+    /// after they have reported those that they hold now.
     fn begin_moving(&mut self, now: LocalTime) {
         if self.may_move() || now < self.move_at {
             return;
@@ -187,26 +195,31 @@
                 server.end_takeover(now, token);
             }
         }
-        self.claim.ask_soon();
+        self.claim.request_soon();
     }
 
-    /// Gives servers keepers, and takes them from silent ones.
-    fn staff(&mut self, now: LocalTime, knowledge: &StewardKnowledge) {
+    /// Assigns keepers to servers, and removes servers from silent keepers.
+    fn assign_keepers(
+        &mut self,
+        now: LocalTime,
+        knowledge: &StewardKnowledge,
+    ) {
         let timing = self.timing;
         let released = self.keepers.release(now, &mut self.servers, &timing);
-        let unclaimed_at = self.unclaimed_at(now, knowledge);
+        let assign_unclaimed_at = self.assign_unclaimed_at(now, knowledge);
         let assigned = self.keepers.assign(
             now,
-            unclaimed_at,
-            self.claim.begun().unwrap_or_default(),
+            assign_unclaimed_at,
+            self.claim.majority_at().unwrap_or_default(),
             &mut self.servers,
             &timing,
         );
-        self.table.mark(released || assigned);
+        self.table.mark_dirty(released || assigned);
         self.raise_fences();
     }
 
-    /// Gives servers that changed their keeper a higher token.
+    /// Reissues the orders of servers whose keeper has changed under higher
+    /// tokens.
     fn raise_fences(&mut self) {
         let term = self.claim.term;
         for server in self.servers.values_mut() {
@@ -218,36 +231,38 @@
         }
     }
 
-    /// When servers that no keeper has claimed get one.
+    /// When servers that no keeper has claimed are assigned one.
     ///
-    /// After a cold start nobody claims any. The first VM to report would
-    /// then keep all of them for good, so the others get time to appear.
-    fn unclaimed_at(
+    /// After a cold start no keeper claims any. The first VM to report would
+    /// then keep all of them permanently, so the other VMs get time to
+    /// report.
+    fn assign_unclaimed_at(
         &self,
         now: LocalTime,
         knowledge: &StewardKnowledge,
     ) -> LocalTime {
-        let claimed = self.servers.values().any(|server| server.staffed);
+        let claimed = self.servers.values().any(|server| server.had_keeper);
         let mut vms = knowledge.vms.iter();
-        let here =
+        let present =
             |vm: &RosterVoter| self.keepers.is_live(now, &vm.vm, &self.timing);
-        if claimed || vms.all(here) {
-            return self.unclaimed_at;
+        if claimed || vms.all(present) {
+            return self.assign_unclaimed_at;
         }
-        self.unclaimed_at + self.timing.missed_after
+        self.assign_unclaimed_at + self.timing.missed_after
     }
 
-    /// Settles lapses that a majority has confirmed since.
-    fn settle(&mut self, now: LocalTime) {
-        let begun = self.claim.begun().unwrap_or_default();
-        let mut waits = false;
+    /// Clears the bounds of servers whose lapse a majority has confirmed.
+    fn confirm_lapses(&mut self, now: LocalTime) {
+        let majority_at = self.claim.majority_at().unwrap_or_default();
+        let mut awaits_confirmation = false;
         for server in self.servers.values_mut() {
-            self.dirty |= server.settle_lapse(begun);
-            waits |= server.awaits_confirmation(now, begun);
+            self.dirty |= server.confirm_lapse(majority_at);
+            awaits_confirmation |=
+                server.awaits_confirmation(now, majority_at);
         }
-        self.waits = waits;
-        if waits {
-            self.claim.ask_soon();
+        self.awaits_confirmation = awaits_confirmation;
+        if awaits_confirmation {
+            self.claim.request_soon();
         }
     }
 
@@ -272,34 +287,35 @@
         effects.extend(record.map(StewardEffect::SaveRecord));
     }
 
-    /// Takes the moves that placement asks for.
-    pub(in crate::steward) fn take_moves(&mut self, moves: &[SliceMove]) {
+    /// Applies the moves that placement requests.
+    pub(in crate::steward) fn apply_moves(&mut self, moves: &[SliceMove]) {
         for wanted in moves {
-            self.dirty |= take_move(wanted, &mut self.servers);
+            self.dirty |= apply_move(wanted, &mut self.servers);
         }
     }
 
-    /// Looks at everything again, after knowledge has changed.
+    /// Schedules a new decision, after knowledge has changed.
     pub(in crate::steward) fn reconsider(&mut self) {
         self.dirty = true;
     }
 
-    /// Notes a term that a voter, keeper or server of the domain has seen.
-    pub(in crate::steward) fn note_term(&mut self, term: TermId) {
-        self.seen = self.seen.max(term);
+    /// Records a term that a keeper of the domain has reported.
+    pub(in crate::steward) fn observe_term(&mut self, term: TermId) {
+        self.highest_term = self.highest_term.max(term);
     }
 
-    /// A term above this one that somebody here holds to, if any.
+    /// A known term above this one, if any.
     ///
-    /// Whoever does refuses this steward for as long as it leads: a voter
-    /// its confirmation, a keeper its permit, a server its grants.
+    /// Whoever follows it refuses this steward for as long as it leads: a
+    /// voter refuses its requests, a keeper its permits, a server its
+    /// grants.
     pub(in crate::steward) fn outranked_by(&self) -> Option<TermId> {
-        (self.seen > self.claim.term).then_some(self.seen)
+        (self.highest_term > self.claim.term).then_some(self.highest_term)
     }
 
-    /// The moves that are begun and not ended.
+    /// The number of servers whose order differs from their target.
     pub(in crate::steward) fn moving(&self) -> usize {
-        let due = |server: &&LedServer| {
+        let due = |server: &&ManagedServer| {
             server.order.slices.as_ref() != Some(&server.target)
         };
         self.servers.values().filter(due).count()
--- a/goldcrestramp-ownership/src/steward/leader/permit.rs
+++ b/goldcrestramp-ownership/src/steward/leader/permit.rs
@@ -1,4 +1,4 @@
-//! Reports of keepers, and the permits that answer them.
+//! Processes keepers' reports and answers them with permits.
 
 use goldcrestramp_types::{LocalTime, VmName};
 
@@ -6,11 +6,12 @@
 use crate::{
     message::{KeeperReport, PermitAnswer, ServerReport},
     safeguard::Safeguard,
-    steward::{knowledge::StewardKnowledge, led::LedServer},
+    steward::{knowledge::StewardKnowledge, managed_server::ManagedServer},
 };
 
 impl LeadingSteward {
-    /// Answers a keeper; `None` when this steward's time is over.
+    /// Answers a keeper. Returns `None` if this steward's time has ended, a
+    /// higher term is known, or a later report was processed before.
     pub(in crate::steward) fn permit(
         &mut self,
         now: LocalTime,
@@ -21,28 +22,28 @@
         if now >= until {
             return None;
         }
-        self.note_term(report.term);
+        self.observe_term(report.term);
         if self.outranked_by().is_some() {
             return None;
         }
-        if !self.keepers.note(now, &report, &mut self.servers) {
+        if !self.keepers.record_report(now, &report, &mut self.servers) {
             return None;
         }
         self.begin_moving(now);
         let (vm, sequence) = (report.vm.clone(), report.sequence);
-        self.note_absent(&report);
+        self.handle_unreported(&report);
         for server in report.servers {
-            self.learn(now, &vm, server);
+            self.apply_server_report(now, &vm, server);
         }
-        if self.dirty || self.waits {
+        if self.dirty || self.awaits_confirmation {
             self.raise_fences();
-            self.settle(now);
+            self.confirm_lapses(now);
         }
         self.decide(knowledge);
         if !self.timing.safeguards.has(Safeguard::PermitBound) {
             until = now + self.timing.lease;
         }
-        self.keepers.note_permit(&vm, until);
+        self.keepers.record_permit(&vm, until);
         Some(self.answer(now, &vm, sequence, until))
     }
 
@@ -55,15 +56,16 @@
     ) -> PermitAnswer {
         let moving = self.may_move();
         let servers = self.servers.values();
-        let mine = |server: &&LedServer| server.keeper.as_ref() == Some(vm);
-        let kept: Vec<&LedServer> = servers.filter(mine).collect();
-        // Free slices are placed once all servers have been heard.
-        let begun = moving && now < self.move_at + self.timing.lease;
-        let settling = begun && self.servers.values().any(|s| !s.settled);
+        let own = |server: &&ManagedServer| server.keeper.as_ref() == Some(vm);
+        let kept: Vec<&ManagedServer> = servers.filter(own).collect();
+        // Free slices are placed once all servers have reported.
+        let starting = moving && now < self.move_at + self.timing.lease;
+        let reconciling =
+            starting && self.servers.values().any(|s| !s.reconciled);
         let pending = kept.iter().any(|server| server.is_pending(moving));
-        let hurry = pending || settling;
+        let reports_soon = pending || reconciling;
         let mut delay = self.timing.renew_interval;
-        if hurry {
+        if reports_soon {
             delay = self.timing.moving_interval;
         }
         if !moving {
@@ -74,56 +76,65 @@
             sequence,
             valid: until.since(now),
             delay,
-            orders: kept.into_iter().map(LedServer::order_message).collect(),
+            orders: kept
+                .into_iter()
+                .map(ManagedServer::order_message)
+                .collect(),
         }
     }
 
-    /// Draws conclusions from what a keeper does not report.
+    /// Processes the absence of a keeper's servers from its report.
     ///
-    /// It remembers no order for such a server, so the next answer must
-    /// carry all of it. A retiring keeper has let go of the server; so has
-    /// one that the former steward told to, before the takeover.
-    fn note_absent(&mut self, report: &KeeperReport) {
+    /// The keeper has no order for such a server, so the next answer must
+    /// contain the full order. A retiring keeper has released the server, and
+    /// so has one that the previous steward retired before the takeover.
+    fn handle_unreported(&mut self, report: &KeeperReport) {
         let extending = !self.may_move();
         let keeper = self.keepers.get(&report.vm);
         let until = keeper.map(|k| k.permit_until).unwrap_or_default();
         for (name, server) in &mut self.servers {
-            let mine = server.keeper.as_ref() == Some(&report.vm);
+            let own = server.keeper.as_ref() == Some(&report.vm);
             let reported = || report.servers.iter().any(|s| s.server == *name);
-            if !mine || reported() {
+            if !own || reported() {
                 continue;
             }
             let fenced = server.plan.checks_fence || server.probing;
             let claimed = extending && !fenced;
             if server.retiring || claimed {
-                server.end_keeping(until);
-                self.table.mark(true);
+                server.clear_keeper(until);
+                self.table.mark_dirty(true);
             }
             server.forget_known();
         }
     }
 
-    fn learn(&mut self, now: LocalTime, vm: &VmName, report: ServerReport) {
+    fn apply_server_report(
+        &mut self,
+        now: LocalTime,
+        vm: &VmName,
+        report: ServerReport,
+    ) {
         let moving = self.may_move();
-        let begun = self.claim.begun().unwrap_or_default();
+        let majority_at = self.claim.majority_at().unwrap_or_default();
         let Some(server) = self.servers.get_mut(&report.server) else {
             return;
         };
         let other = server.keeper.as_ref() != Some(vm);
-        if other && report.keeps && server.is_claimable(now, begun) {
-            server.staff(vm.clone());
+        if other && report.keeps && server.is_claimable(now, majority_at) {
+            server.set_keeper(vm.clone());
             self.dirty = true;
-            self.table.mark(true);
+            self.table.mark_dirty(true);
         }
         if server.keeper.as_ref() != Some(vm) {
             return;
         }
         if let Some(state) = &report.state {
-            self.seen = self.seen.max(state.fence.term).max(state.token.term);
+            self.highest_term =
+                self.highest_term.max(state.fence.term).max(state.token.term);
         }
-        let before = facts(server);
-        let changed = server.learn(now, report, moving, &self.timing);
-        let after = facts(server);
+        let before = decision_inputs(server);
+        let changed = server.apply_report(now, report, moving, &self.timing);
+        let after = decision_inputs(server);
         if !changed && before == after {
             return;
         }
@@ -134,19 +145,19 @@
         }
         adopt_holdings(server);
         self.dirty = true;
-        self.table.mark(true);
+        self.table.mark_dirty(true);
     }
 }
 
-/// What decisions rest on, beside what the server holds.
-const fn facts(server: &LedServer) -> [bool; 4] {
+/// The facts on which decisions depend, apart from the slices held.
+const fn decision_inputs(server: &ManagedServer) -> [bool; 4] {
     let usable = server.is_eligible();
-    [server.settled, usable, server.lost, server.is_gone()]
+    [server.reconciled, usable, server.lost, server.is_given_up()]
 }
 
-/// A settled server keeps what it holds.
-fn adopt_holdings(server: &mut LedServer) {
-    if server.settled && server.order.slices.is_none() {
+/// Makes the slices of a newly reconciled server its target.
+fn adopt_holdings(server: &mut ManagedServer) {
+    if server.reconciled && server.order.slices.is_none() {
         server.target = server.bound.clone();
     }
 }
--- a/goldcrestramp-ownership/src/steward/led.rs
+++ b/goldcrestramp-ownership/src/steward/managed_server.rs
@@ -1,4 +1,4 @@
-//! A server as its steward sees it.
+//! The steward's state of a server.
 
 use std::sync::Arc;
 
@@ -12,23 +12,23 @@
     timing::TermTiming,
 };
 
-/// How long a server may take to answer for the first time in a term.
+/// How long a server may take to respond for the first time in a term.
 ///
-/// When a domain starts as a whole, its servers may be up seconds after its
-/// VMs. Taken for lost at once, all its slices would go to whichever domain
-/// was quicker, and stay there.
-const START_PATIENCE: TimeSpan = TimeSpan::from_millis(10_000);
+/// When a whole domain starts, its servers may start seconds after its VMs.
+/// If they counted as lost at once, all slices of the domain would move to
+/// whichever domain started first, and stay there.
+const START_TIMEOUT: TimeSpan = TimeSpan::from_millis(10_000);
 
-/// The order in force for a server.
+/// The current order for a server.
 #[derive(Clone, Debug)]
-pub(super) struct StandingOrder {
+pub(super) struct CurrentOrder {
     pub(super) token: FenceToken,
-    /// What it is to hold; `None`: extend what it holds.
+    /// The slices that it is to hold; `None` extends whatever it holds.
     pub(super) slices: Option<SliceSet>,
     pub(super) release: SliceSet,
 }
 
-/// What the server's keeper last reported.
+/// The last report of the server's keeper.
 #[derive(Clone, Debug)]
 struct KnownState {
     order: FenceToken,
@@ -36,59 +36,63 @@
     state: ServerState,
 }
 
-/// A server of the domain, in the term of one steward.
+/// A server of the domain, within one steward's term.
 #[expect(
     clippy::struct_excessive_bools,
-    reason = "independent facts, any of which may hold with any other"
+    /// The slices that it is to hold; `None` extends whatever it holds.
 )]
 #[derive(Clone, Debug)]
-pub(super) struct LedServer {
+pub(super) struct ManagedServer {
     pub(super) plan: ServerPlan,
-    /// Whether the configuration still has it.
+    /// Whether the configuration still contains it.
     pub(super) listed: bool,
     pub(super) keeper: Option<VmName>,
-    /// Whether the keeper may only ask, until a former one's permit ends.
+    /// Whether the keeper may only query it, until the permit of a previous
+    /// keeper ends.
     pub(super) probing: bool,
-    /// The keeper that routing tables name: the last that could send.
+    /// The keeper that routing tables name: the last one that was allowed
+    /// to send.
     pub(super) serving: Option<VmName>,
-    /// Whether its keeper is to stop, so that another can begin.
+    /// Whether its keeper has to stop, so that another can take over.
     pub(super) retiring: bool,
-    /// Until when a grant by a former keeper may last.
-    former_until: LocalTime,
-    /// Until when a former keeper may still act.
-    acting_until: LocalTime,
-    pub(super) order: StandingOrder,
-    /// Everything that it may hold.
+    /// Until when a grant by a previous keeper may be valid.
+    previous_grant_until: LocalTime,
+    /// Until when a previous keeper may still act.
+    previous_permit_until: LocalTime,
+    pub(super) order: CurrentOrder,
+    /// Every slice that it may hold: an upper bound.
     pub(super) bound: SliceSet,
-    /// What it is to hold in the end.
+    /// The slices that it is to hold eventually.
     pub(super) target: SliceSet,
     known: Option<KnownState>,
     reachable: bool,
     silent_since: Option<LocalTime>,
-    /// When its grant was first known to have ended.
+    /// When its grant was first known to have lapsed.
     lapsed_at: Option<LocalTime>,
-    /// Whether `bound` holds: it was asked after the former steward's time.
-    pub(super) settled: bool,
+    /// Whether `bound` is reliable, because the server was queried after
+    /// the previous steward's time.
+    pub(super) reconciled: bool,
     /// Whether it has had a keeper in this term.
-    pub(super) staffed: bool,
-    /// Whether its keeper has changed under the present token.
+    pub(super) had_keeper: bool,
+    /// Whether its keeper has changed under the current token.
     fence_due: bool,
-    /// Whether its slices go to others.
+    /// Whether it has timed out, so that its slices move to other servers.
     pub(super) lost: bool,
-    /// Whether it has answered any keeper in this term.
-    reached: bool,
-    /// Whether it is lost for so long that its domain may give up on it.
-    gone: bool,
+    /// Whether it has responded to any keeper in this term.
+    responded: bool,
+    /// Whether it is lost and not merely slow to start, so that its domain
+    /// may give up on it.
+    given_up: bool,
 }
 
-impl LedServer {
+impl ManagedServer {
     pub(super) fn new(
         plan: ServerPlan,
         token: FenceToken,
-        former_until: LocalTime,
+        previous_grant_until: LocalTime,
     ) -> Self {
         let order =
-            StandingOrder { token, slices: None, release: SliceSet::new() };
+            CurrentOrder { token, slices: None, release: SliceSet::new() };
         Self {
             plan,
             listed: true,
@@ -96,8 +100,8 @@
             probing: false,
             serving: None,
             retiring: false,
-            former_until,
-            acting_until: former_until,
+            previous_grant_until,
+            previous_permit_until: previous_grant_until,
             order,
             bound: SliceSet::new(),
             target: SliceSet::new(),
@@ -105,116 +109,123 @@
             reachable: false,
             silent_since: None,
             lapsed_at: None,
-            settled: false,
-            staffed: false,
+            reconciled: false,
+            had_keeper: false,
             fence_due: false,
             lost: false,
-            reached: false,
-            gone: false,
+            responded: false,
+            given_up: false,
         }
     }
 
-    /// The highest token that the server itself has shown.
+    /// The token of the grant that the server last reported.
     pub(super) fn shown_token(&self) -> FenceToken {
         self.known.as_ref().map(|k| k.state.token).unwrap_or_default()
     }
 
-    /// What it held last, if anything is known of it.
+    /// The slices that it held last, if its state is known.
     pub(super) fn last(&self) -> Option<&SliceSet> {
         self.known.as_ref().map(|known| &known.state.last)
     }
 
-    /// Whether its state has been reported since its keeper was named.
+    /// Whether its state has been reported since its keeper was assigned.
     pub(super) const fn is_known(&self) -> bool {
         self.known.is_some()
     }
 
-    /// Whether it may be given slices.
+    /// Whether it may be assigned slices.
     pub(super) const fn is_eligible(&self) -> bool {
-        let usable = self.settled && self.reachable && !self.lost;
+        let usable = self.reconciled && self.reachable && !self.lost;
         let kept = self.keeper.is_some() && !self.probing;
         usable && kept && !self.is_leaving()
     }
 
-    /// Whether it is lost, and not only slow to start.
-    pub(super) const fn is_gone(&self) -> bool {
-        self.gone
+    /// Whether it is lost, and not merely slow to start.
+    pub(super) const fn is_given_up(&self) -> bool {
+        self.given_up
     }
 
-    /// Whether its slices are to go elsewhere by the configuration.
+    /// Whether the configuration requires its slices to move elsewhere.
     pub(super) const fn is_leaving(&self) -> bool {
         !self.listed || self.plan.draining
     }
 
-    /// Asks the server anew, by a token that it has not seen.
+    /// Ends the takeover: queries the server again, under a token that it
+    /// has not seen.
     ///
-    /// One that was only asked so far, and holds nothing, can have got
-    /// nothing since: every former permit is over.
+    /// A server that was only queried so far and whose grant has lapsed
+    /// needs no second query. It cannot have been granted anything since,
+    /// because every previous permit has ended.
     pub(super) fn end_takeover(&mut self, now: LocalTime, token: FenceToken) {
-        self.note_lapse(now, true);
+        self.update_lapse(now, true);
         if self.probing && self.lapsed_at.is_some() {
             return;
         }
         self.order =
-            StandingOrder { token, slices: None, release: SliceSet::new() };
-        self.settled = false;
+            CurrentOrder { token, slices: None, release: SliceSet::new() };
+        self.reconciled = false;
         self.lapsed_at = None;
     }
 
-    /// Whether the next order has to raise the server's fence.
+    /// Whether the next order has to raise the server's fence, because its
+    /// keeper has changed.
     pub(super) const fn is_fence_due(&self) -> bool {
         self.fence_due
     }
 
-    /// Gives the same order under a higher token.
+    /// Reissues the same order under a higher token.
     ///
-    /// The new keeper's first message then raises the fence, and nothing
-    /// that the former one sent can start any more.
+    /// The new keeper's first message then raises the fence, and the server
+    /// starts nothing more that the previous keeper sent.
     pub(super) fn raise_fence(&mut self, token: FenceToken) {
         self.order.token = token;
         self.fence_due = false;
         self.lapsed_at = None;
     }
 
-    /// Gives a new order; what it allows counts as held from now on.
-    pub(super) fn instruct(&mut self, token: FenceToken, slices: SliceSet) {
+    /// Issues a new order. The slices that it grants count as held from now
+    /// on.
+    pub(super) fn set_order(&mut self, token: FenceToken, slices: SliceSet) {
         let mut release = self.bound.clone();
         release.subtract(&slices);
         self.bound.union_with(&slices);
-        self.order = StandingOrder { token, slices: Some(slices), release };
+        self.order = CurrentOrder { token, slices: Some(slices), release };
         self.lapsed_at = None;
     }
 
-    /// Whether a VM that says that it keeps the server may go on doing so.
+    /// Whether a VM that reports that it keeps the server may continue.
     ///
-    /// The one that kept it under the former steward may; later on a VM
-    /// may only if it could also be named as the keeper.
+    /// The VM that kept it under the previous steward may. After the server
+    /// has had a keeper in this term, a VM may only if it could also be
+    /// assigned as the keeper.
     pub(super) fn is_claimable(
         &self,
         now: LocalTime,
-        begun: LocalTime,
+        majority_at: LocalTime,
     ) -> bool {
         let kept = self.keeper.is_some() && !self.probing;
-        !kept && (!self.staffed || self.may_change_keeper(now, begun))
+        !kept && (!self.had_keeper || self.may_change_keeper(now, majority_at))
     }
 
-    /// Whether no former keeper can act on it unnoticed any more.
+    /// Whether no previous keeper can still act on it unnoticed.
     ///
-    /// A server that checks fences refuses the former one. At another, two
-    /// keepers could undo each other's orders: the former permit must have
-    /// ended, and a majority have confirmed after that. Otherwise a newer
-    /// steward may have prolonged that permit.
+    /// A server that checks fences refuses the previous keeper. On a server
+    /// without fences, two keepers could undo each other's orders, so the
+    /// previous permit must have ended and a majority must have confirmed
+    /// after that. Otherwise a newer steward may have extended that permit.
     pub(super) fn may_change_keeper(
         &self,
         now: LocalTime,
-        begun: LocalTime,
+        majority_at: LocalTime,
     ) -> bool {
-        let confirmed = begun > self.acting_until || !self.staffed;
-        self.plan.checks_fence || (now >= self.acting_until && confirmed)
+        let confirmed =
+            majority_at > self.previous_permit_until || !self.had_keeper;
+        self.plan.checks_fence
+            || (now >= self.previous_permit_until && confirmed)
     }
 
-    /// Names its keeper.
-    pub(super) fn staff(&mut self, keeper: VmName) {
+    /// Assigns its keeper.
+    pub(super) fn set_keeper(&mut self, keeper: VmName) {
         if self.keeper.as_ref() != Some(&keeper) {
             self.known = None;
             self.lapsed_at = None;
@@ -224,48 +235,53 @@
         self.serving = Some(keeper.clone());
         self.keeper = Some(keeper);
         self.probing = false;
-        self.staffed = true;
+        self.had_keeper = true;
     }
 
-    /// Names a VM that is to be its keeper and may only ask until then.
+    /// Assigns a VM that will be its keeper and may only query it until
+    /// then.
     ///
-    /// Whether the server is alive is then known when the wait is over.
+    /// It is then already known whether the server is alive when the wait
+    /// ends.
     pub(super) fn probe(&mut self, keeper: VmName) {
         self.keeper = Some(keeper);
         self.probing = true;
     }
 
-    /// Loses its keeper, whose permit ends at `until`.
+    /// Removes its keeper, whose permit ends at `until`.
     pub(super) fn lose_keeper(&mut self, until: LocalTime) {
-        self.acting_until = self.acting_until.max(until);
-        self.end_keeping(until);
+        self.previous_permit_until = self.previous_permit_until.max(until);
+        self.clear_keeper(until);
     }
 
-    /// Its keeper has let go of it; its grants may last until `until`.
-    pub(super) fn end_keeping(&mut self, until: LocalTime) {
+    /// Removes a keeper that has released it. That keeper's grants may be
+    /// valid until `until`.
+    pub(super) fn clear_keeper(&mut self, until: LocalTime) {
         self.keeper = None;
         self.probing = false;
         self.retiring = false;
-        self.former_until = self.former_until.max(until);
+        self.previous_grant_until = self.previous_grant_until.max(until);
         self.known = None;
         self.lapsed_at = None;
     }
 
-    /// Its keeper knows nothing of it, or not any more.
+    /// Discards its known state, because its keeper does not know it, or no
+    /// longer does.
     pub(super) fn forget_known(&mut self) {
         self.known = None;
         self.lapsed_at = None;
     }
 
-    /// Takes the report of its keeper; whether what it may hold changed.
-    pub(super) fn learn(
+    /// Applies the report of its keeper. Returns whether the slices that it
+    /// may hold changed.
+    pub(super) fn apply_report(
         &mut self,
         now: LocalTime,
         report: ServerReport,
         moving: bool,
         timing: &TermTiming,
     ) -> bool {
-        self.note_contact(now, report.reachable, timing);
+        self.update_reachability(now, report.reachable, timing);
         let mut fresh = report.state.is_some();
         if let Some(state) = report.state {
             let (order, version) = (report.order, report.version);
@@ -280,19 +296,19 @@
         known.order = report.order;
         let skips = !timing.safeguards.has(Safeguard::LossWait);
         if skips && self.lost {
-            return self.clear();
+            return self.clear_bound();
         }
-        if fresh && moving && self.is_answered() {
-            return self.take_answer();
+        if fresh && moving && self.is_acknowledged() {
+            return self.apply_answer();
         }
-        self.note_lapse(now, moving);
-        if fresh && !self.settled {
-            return self.widen();
+        self.update_lapse(now, moving);
+        if fresh && !self.reconciled {
+            return self.widen_bound();
         }
         false
     }
 
-    fn note_contact(
+    fn update_reachability(
         &mut self,
         now: LocalTime,
         reachable: bool,
@@ -302,43 +318,44 @@
         if reachable {
             self.silent_since = None;
             self.lost = false;
-            self.reached = true;
-            self.gone = false;
+            self.responded = true;
+            self.given_up = false;
             return;
         }
         let since = *self.silent_since.get_or_insert(now);
         let waits = timing.safeguards.has(Safeguard::LossWait);
         self.lost |= !waits || now.since(since) >= timing.missed_after;
-        let started = self.reached || now.since(since) >= START_PATIENCE;
-        self.gone = self.lost && started;
+        let started = self.responded || now.since(since) >= START_TIMEOUT;
+        self.given_up = self.lost && started;
     }
 
-    /// Whether the server itself has acted on the present order.
-    fn is_answered(&self) -> bool {
+    /// Whether the server itself has acted on the current order.
+    fn is_acknowledged(&self) -> bool {
         let token = self.order.token;
         let known = self.known.as_ref();
         known.is_some_and(|k| k.order == token && k.state.token == token)
     }
 
-    /// The server acted on the present order: it holds what it then said.
+    /// Applies the report of a server that has acted on the current order.
     ///
-    /// Once settled it can hold nothing but what this term has ordered, so
-    /// its bound only shrinks: work that outlived a lapse does not take
+    /// Once reconciled, it can hold only what this term has ordered, so its
+    /// bound only shrinks. Requests that outlived a lapse then do not take
     /// slices back from their next owner.
-    fn take_answer(&mut self) -> bool {
+    fn apply_answer(&mut self) -> bool {
         let Some(known) = &self.known else {
             return false;
         };
         let mut bound = known.state.held.clone();
-        if self.settled {
+        if self.reconciled {
             bound.intersect_with(&self.bound);
         }
         self.lapsed_at = None;
         self.replace_bound(bound)
     }
 
-    /// Before it is settled, it may hold all that anyone has reported.
-    fn widen(&mut self) -> bool {
+    /// Extends the bound of a server that is not reconciled: it may hold
+    /// every slice that any keeper has reported.
+    fn widen_bound(&mut self) -> bool {
         let Some(known) = &self.known else {
             return false;
         };
@@ -347,48 +364,50 @@
         before != self.bound
     }
 
-    fn note_lapse(&mut self, now: LocalTime, moving: bool) {
+    fn update_lapse(&mut self, now: LocalTime, moving: bool) {
         let token = self.order.token;
         let known = self.known.as_ref();
         let lapsed = known.is_some_and(|k| k.order == token && k.state.lapsed);
-        // A former keeper may have extended it without this one's knowing,
-        // so its permit must have ended too.
-        if lapsed && moving && now >= self.former_until {
+        // A previous keeper may have extended the grant without the current
+        // one's knowledge, so its permit must have ended too.
+        if lapsed && moving && now >= self.previous_grant_until {
             self.lapsed_at.get_or_insert(now);
         } else {
             self.lapsed_at = None;
         }
     }
 
-    /// Settles a lapse once a majority has confirmed after it.
+    /// Clears the bound after a lapse, once a majority has confirmed a
+    /// request sent after it. Returns whether anything changed.
     ///
-    /// A newer steward could have had the grant extended in time; then its
-    /// voters refuse this one, and no confirmation begun later comes.
-    /// Returns whether anything changed.
-    pub(super) fn settle_lapse(&mut self, begun: LocalTime) -> bool {
-        let confirmed = self.lapsed_at.is_some_and(|at| begun > at);
+    /// A newer steward could have had the grant extended in time. In that
+    /// case its voters refuse this steward, and no later request is
+    /// confirmed.
+    pub(super) fn confirm_lapse(&mut self, majority_at: LocalTime) -> bool {
+        let confirmed = self.lapsed_at.is_some_and(|at| majority_at > at);
         if !confirmed {
             return false;
         }
         self.lapsed_at = None;
-        self.clear()
+        self.clear_bound()
     }
 
-    /// Whether a lapse, of its grant or of its former keeper's permit,
-    /// waits for a confirmation begun after it.
+    /// Whether a lapse of its grant or of its previous keeper's permit needs
+    /// the confirmation of a request sent after it.
     pub(super) fn awaits_confirmation(
         &self,
         now: LocalTime,
-        begun: LocalTime,
+        majority_at: LocalTime,
     ) -> bool {
         let kept = self.keeper.is_some() && !self.probing;
-        let idle = !kept && now >= self.acting_until;
-        let keeper = idle && !self.may_change_keeper(now, begun);
+        let idle = !kept && now >= self.previous_permit_until;
+        let keeper = idle && !self.may_change_keeper(now, majority_at);
         self.lapsed_at.is_some() || keeper
     }
 
-    /// The server holds nothing but what its order may yet give it.
-    fn clear(&mut self) -> bool {
+    /// Reduces the bound to the slices that its current order may still
+    /// grant.
+    fn clear_bound(&mut self) -> bool {
         self.replace_bound(SliceSet::new())
     }
 
@@ -396,19 +415,19 @@
         if let Some(slices) = &self.order.slices {
             bound.union_with(slices);
         }
-        let changed = !self.settled || bound != self.bound;
-        self.settled = true;
+        let changed = !self.reconciled || bound != self.bound;
+        self.reconciled = true;
         self.bound = bound;
         changed
     }
 
-    /// Whether its keeper has news to bring or to get soon.
+    /// Whether its keeper will soon have an update to report or to receive.
     pub(super) fn is_pending(&self, moving: bool) -> bool {
         if self.lost {
             let stopped =
                 self.order.slices.as_ref().is_some_and(SliceSet::is_empty);
             let waits = stopped && !self.bound.is_empty();
-            return moving && (waits || !self.settled);
+            return moving && (waits || !self.reconciled);
         }
         let working = self.known.as_ref().is_none_or(|known| {
             known.order != self.order.token
@@ -418,7 +437,7 @@
         working || self.retiring || (moving && due)
     }
 
-    /// How far it is from what it is to hold.
+    /// The number of slices by which it differs from its target.
     pub(super) fn due(&self) -> DueSlices {
         let missing = |from: &SliceSet, what: &SliceSet| {
             let mut set = from.clone();
@@ -431,7 +450,7 @@
         }
     }
 
-    /// The order as its keeper gets it.
+    /// The order in the form that its keeper receives.
     pub(super) fn order_message(&self) -> ServerOrder {
         let known = self.known.as_ref();
         let has = known.is_some_and(|k| k.order == self.order.token);
--- a/goldcrestramp-ownership/src/steward/mod.rs
+++ b/goldcrestramp-ownership/src/steward/mod.rs
@@ -1,4 +1,4 @@
-//! The steward: who in the failure domain holds which slice.
+//! The steward: decides which server of a failure domain holds which slice.
 
 mod claim;
 mod election;
@@ -7,7 +7,7 @@
 mod keepers;
 mod knowledge;
 mod leader;
-mod led;
+mod managed_server;
 mod placement;
 mod publish;
 mod reads;
@@ -29,15 +29,17 @@
     timing::TermTiming,
 };
 
-/// The part that a steward plays, one after another.
+/// The current role of a steward.
 #[derive(Clone, Debug)]
 enum StewardRole {
-    /// Another leads, or nobody does yet; not a candidate before a moment.
+    /// Another leads, or nobody does yet. It does not become a candidate
+    /// before `not_before`.
     ///
-    /// One that is `eager` led just now and goes on under a higher term.
-    Follower { not_before: LocalTime, eager: bool },
-    /// Asks for a majority; from one moment on it takes silence for
-    /// absence, at a later one it gives up.
+    /// If `immediate` is set, it has just led and becomes a candidate at
+    /// once, under a higher term.
+    Follower { not_before: LocalTime, immediate: bool },
+    /// It asks for a majority. From `reduce_at` on it treats voters without
+    /// an answer as absent, and at `give_up` it stops asking.
     Candidate {
         claim: Box<TermClaim>,
         reduce_at: LocalTime,
@@ -54,16 +56,17 @@
     timing: TermTiming,
     knowledge: StewardKnowledge,
     role: StewardRole,
-    /// Slices moved in former terms.
+    /// Slices moved in previous terms.
     moved: u64,
-    /// The version of a reduced roster that this VM asked the store to take.
-    reducing: Option<u64>,
-    /// When a newer roster may be read for again.
+    /// The version of the reduced roster that this VM is writing to the
+    /// store.
+    pending_reduction: Option<u64>,
+    /// The earliest time of the next read for a newer roster.
     read_again_at: LocalTime,
 }
 
 impl StewardMachine {
-    /// A steward on a VM whose process has this start number.
+    /// Creates a steward on a VM whose process has the start number `start`.
     #[must_use]
     pub fn new(
         started: LocalTime,
@@ -73,22 +76,22 @@
         start: u64,
         timing: TermTiming,
     ) -> Self {
-        // A present steward reaches this VM's voter, which stays silent
-        // for a lease, at the latest with its next question after that.
+        // This VM's voter confirms nobody for a lease. A current steward
+        // reaches it with its next request after that at the latest.
         let silent = timing.lengthened(timing.lease);
         let not_before = started + silent + timing.renew_interval;
         Self {
             me: StewardIdentity { domain, vm, address, start },
             timing,
             knowledge: StewardKnowledge::default(),
-            role: StewardRole::Follower { not_before, eager: false },
+            role: StewardRole::Follower { not_before, immediate: false },
             moved: 0,
-            reducing: None,
+            pending_reduction: None,
             read_again_at: LocalTime::default(),
         }
     }
 
-    /// Takes an event and tells what to do.
+    /// Processes an event and returns the actions to carry out.
     pub fn handle(
         &mut self,
         now: LocalTime,
@@ -96,10 +99,12 @@
     ) -> Vec<StewardEffect> {
         match event {
             StewardEvent::Tick => self.tick(now),
-            StewardEvent::StewardSeen { ask, at } => self.saw(now, ask, at),
+            StewardEvent::StewardSeen { ask, at } => {
+                self.steward_seen(now, ask, at)
+            }
             StewardEvent::Answered { voter, sent, term, roster, answer } => {
                 let confirmation = Confirmation { voter, sent, term, roster };
-                self.answered(now, confirmation, answer)
+                self.voter_answered(now, confirmation, answer)
             }
             StewardEvent::RosterRead(read) => self.roster_read(now, read),
             StewardEvent::RosterSaved(saved) => self.roster_saved(now, saved),
@@ -107,7 +112,7 @@
             StewardEvent::RecordRead(read) => self.record_read(now, read),
             StewardEvent::RecordSaved(token) => {
                 if let StewardRole::Leading(leading) = &mut self.role {
-                    leading.records.saved(now, token);
+                    leading.records.acknowledge(now, token);
                 }
                 Vec::new()
             }
@@ -117,14 +122,14 @@
             }
             StewardEvent::MovesRequested(moves) => {
                 if let StewardRole::Leading(leading) = &mut self.role {
-                    leading.take_moves(&moves);
+                    leading.apply_moves(&moves);
                 }
                 Vec::new()
             }
         }
     }
 
-    /// Answers a keeper that reports and asks for its permit.
+    /// Processes a keeper's report and returns the permit.
     pub fn permit(
         &mut self,
         now: LocalTime,
@@ -135,7 +140,7 @@
         };
         let answer = leading.permit(now, report, &mut self.knowledge);
         if let Some(term) = leading.outranked_by() {
-            self.go_above(now, term);
+            self.start_higher_term(now, term);
             return self.not_steward(now);
         }
         answer.unwrap_or_else(|| self.not_steward(now))
@@ -149,7 +154,7 @@
         PermitAnswer::NotSteward { steward }
     }
 
-    /// Whether a majority confirms this VM now.
+    /// Whether this VM leads, confirmed by a majority, at `now`.
     #[must_use]
     pub fn leads(&self, now: LocalTime) -> bool {
         match &self.role {
@@ -162,8 +167,8 @@
 
     /// Whether this VM is one of several voters of its failure domain.
     ///
-    /// Before a planned stop it is to be one no more: whoever goes while it
-    /// counts may leave the others without a majority.
+    /// Before a planned stop a VM has to be removed from the roster: if it
+    /// stops as a voter, the others may be left without a majority.
     #[must_use]
     pub fn votes(&self) -> bool {
         let roster = match &self.role {
@@ -175,12 +180,12 @@
         roster.is_some_and(|r| r.voters.len() > 1 && r.has(&self.me.vm))
     }
 
-    /// Slices of each service that this domain holds and no server of it
-    /// surely serves, as far as a steward that may move them knows.
+    /// The number of slices of each service that belong to this domain and
+    /// are not certainly served by one of its servers.
     ///
-    /// What a lost server held counts from when its loss was noticed until
-    /// another server has it. `None`: this VM does not lead, or does not
-    /// know yet.
+    /// Slices of a lost server count from the detection of its loss until
+    /// another server holds them. Returns `None` if this VM does not lead
+    /// or may not move slices yet.
     #[must_use]
     pub fn unserved(&self) -> Option<Vec<(ServiceName, usize)>> {
         let StewardRole::Leading(leading) = &self.role else {
@@ -205,7 +210,7 @@
         leading.may_move().then(|| counts.collect())
     }
 
-    /// What operators are shown.
+    /// The status for operators.
     #[must_use]
     pub fn status(&self, now: LocalTime) -> StewardStatus {
         let mut status =
@@ -236,7 +241,7 @@
     }
 }
 
-/// Whose answer came to which question.
+/// The voter of an answer, and the request that it answers.
 struct Confirmation {
     voter: VmName,
     sent: LocalTime,
--- a/goldcrestramp-ownership/src/steward/placement.rs
+++ b/goldcrestramp-ownership/src/steward/placement.rs
@@ -1,4 +1,4 @@
-//! Which server is to hold which slice, where nobody asks for a move.
+//! Assigns slices without a target to servers, and applies requested moves.
 
 use std::collections::BTreeMap;
 
@@ -6,15 +6,16 @@
 
 use crate::{
     plan::{ServicePlan, SliceMove},
-    steward::{knowledge::StewardKnowledge, led::LedServer},
+    steward::{knowledge::StewardKnowledge, managed_server::ManagedServer},
 };
 
-type ServerMap = BTreeMap<ServerName, LedServer>;
+type ServerMap = BTreeMap<ServerName, ManagedServer>;
 
 /// Sets the targets of a service's servers.
 ///
-/// Nothing is placed until every server has said, after the former
-/// steward's time, what it holds: an unheard one may hold any slice.
+/// Nothing is placed until every server has reported, after the previous
+/// steward's time, which slices it holds. A server without a report may hold
+/// any slice.
 pub(super) fn place_service(
     service: &ServicePlan,
     knowledge: &StewardKnowledge,
@@ -23,7 +24,7 @@
 ) {
     let names = names_of(service, servers);
     let domain = knowledge.domain_slices(service);
-    let settled = names.iter().all(|name| servers[name].settled);
+    let reconciled = names.iter().all(|name| servers[name].reconciled);
     let usable = names.iter().any(|name| servers[name].is_eligible());
     let mut free = domain.clone();
     for name in &names {
@@ -31,17 +32,18 @@
             continue;
         };
         server.target.intersect_with(&free);
-        if settled && usable && (server.lost || server.is_leaving()) {
+        if reconciled && usable && (server.lost || server.is_leaving()) {
             server.target = SliceSet::new();
         }
         free.subtract(&server.target);
     }
-    if !settled || !usable || free.is_empty() {
+    if !reconciled || !usable || free.is_empty() {
         return;
     }
     if !knowledge.record_read {
-        // The store may say that others were released: only what servers
-        // of this domain are known to have held is certainly its own.
+        // The record in the store may list further slices as released. Only
+        // slices that servers of this domain are known to have held
+        // certainly belong to it.
         free.intersect_with(owned);
     }
     let names = eligible(&names, servers);
@@ -61,8 +63,8 @@
     usable.cloned().collect()
 }
 
-/// Gives slices back to who held them: its caches are warm, and a restart
-/// of the whole domain then moves nothing.
+/// Returns slices to the servers that held them. Their caches are warm, and a
+/// restart of the whole domain then moves nothing.
 fn restore_holders(
     free: &mut SliceSet,
     names: &[ServerName],
@@ -99,7 +101,8 @@
     server.target.union_with(&held);
 }
 
-/// Spreads the rest in blocks, in proportion to the servers' slots.
+/// Distributes the remaining slices in blocks, in proportion to the servers'
+/// slots.
 fn spread(free: &SliceSet, names: &[ServerName], servers: &mut ServerMap) {
     if free.is_empty() {
         return;
@@ -116,8 +119,8 @@
             fill(&mut server.target, quota, &mut rest);
         }
     }
-    // Quotas are rounded up and every server below its own was filled, so
-    // nothing can remain.
+    // Quotas are rounded up and every server below its quota was filled, so
+    // no slice can remain.
     debug_assert!(rest.next().is_none(), "quotas cover all slices");
 }
 
@@ -132,13 +135,14 @@
     }
 }
 
-/// Takes a move that placement asks for, if it can be carried out now.
-pub(super) fn take_move(wanted: &SliceMove, servers: &mut ServerMap) -> bool {
+/// Applies a requested move if it can be carried out now. Returns whether it
+/// was applied.
+pub(super) fn apply_move(wanted: &SliceMove, servers: &mut ServerMap) -> bool {
     let target = servers.get(&wanted.target);
     let fits = target.is_some_and(|server| {
         server.is_eligible() && server.plan.service == wanted.service
     });
-    let holds = |server: &&mut LedServer| {
+    let holds = |server: &&mut ManagedServer| {
         server.plan.service == wanted.service
             && server.target.contains(wanted.slice)
     };
--- a/goldcrestramp-ownership/src/steward/publish.rs
+++ b/goldcrestramp-ownership/src/steward/publish.rs
@@ -1,4 +1,4 @@
-//! What a steward tells others: routing tables and the store's record.
+//! The output of a steward: routing tables and the record in the store.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -10,28 +10,29 @@
 use crate::{
     plan::{DomainPlan, DomainRecord, ServicePlan},
     steward::{
-        keepers::KeeperBook, knowledge::StewardKnowledge, led::LedServer,
+        keepers::KeeperTable, knowledge::StewardKnowledge,
+        managed_server::ManagedServer,
     },
     table::{DomainTable, ServiceTable, TableServer},
 };
 
-type ServerMap = BTreeMap<ServerName, LedServer>;
+type ServerMap = BTreeMap<ServerName, ManagedServer>;
 
-/// The least time between two writes of the record.
+/// The minimum interval between two writes of the record.
 ///
-/// Moves come in bursts; the store takes a few hundred writes a second
+/// Moves occur in bursts, and the store accepts a few hundred writes a second
 /// from all failure domains together.
-const SAVE_EVERY: TimeSpan = TimeSpan::from_millis(500);
+const SAVE_INTERVAL: TimeSpan = TimeSpan::from_millis(500);
 
-/// The least time between two writes when another domain waits for one.
+/// The minimum interval between two writes when another domain waits for one.
 ///
-/// A release, or the loss of a service's last server: keys may be unserved
-/// until it is on record. Ten domains that all give slices away at once
-/// write a hundred times a second then.
-const SAVE_SOON: TimeSpan = TimeSpan::from_millis(100);
+/// This is the case after a release or after the loss of a service's last
+/// server, when keys may be unserved until the record is written. Ten domains
+/// that all release slices at once then write a hundred times a second.
+const URGENT_SAVE_INTERVAL: TimeSpan = TimeSpan::from_millis(100);
 
-/// When a write that got no answer is made again.
-const SAVE_AGAIN: TimeSpan = TimeSpan::from_millis(2_000);
+/// The delay after which a read or write without an answer is retried.
+const SAVE_RETRY_DELAY: TimeSpan = TimeSpan::from_millis(2_000);
 
 /// Publishes the routing table when it has changed.
 #[derive(Clone, Debug, Default)]
@@ -42,27 +43,28 @@
 }
 
 impl TablePublisher {
-    pub(super) fn mark(&mut self, changed: bool) {
+    pub(super) fn mark_dirty(&mut self, changed: bool) {
         self.dirty |= changed;
     }
 
-    /// The table, if it differs from the last one.
+    /// The table, if it differs from the last published one.
     ///
-    /// A new steward that has not heard of every server would name no
-    /// owner for what it does not know, and gateways would refuse requests
-    /// that the former table still leads to their owner. So it waits.
+    /// A new steward publishes nothing until every server is known. It
+    /// would name no owner for slices of unknown servers, and gateways
+    /// would refuse requests that the previous table still routes to their
+    /// owner.
     pub(super) fn table(
         &mut self,
         term: TermId,
         plan: &DomainPlan,
         servers: &ServerMap,
-        keepers: &KeeperBook,
+        keepers: &KeeperTable,
         moving: bool,
     ) -> Option<Arc<DomainTable>> {
-        let heard = |s: &LedServer| s.is_known() || s.settled || s.lost;
+        let heard = |s: &ManagedServer| s.is_known() || s.reconciled || s.lost;
         let first = self.published.is_none();
         let known = if moving {
-            servers.values().all(|server| server.settled || server.lost)
+            servers.values().all(|server| server.reconciled || server.lost)
         } else {
             servers.values().all(heard)
         };
@@ -89,7 +91,7 @@
 fn service_table(
     service: &ServicePlan,
     servers: &ServerMap,
-    keepers: &KeeperBook,
+    keepers: &KeeperTable,
 ) -> ServiceTable {
     let count = service.count.get() as usize;
     let mut table = ServiceTable {
@@ -115,9 +117,9 @@
     table
 }
 
-/// What requests should look for at a server: what it is to hold, and in
-/// a takeover what it holds.
-fn owned_slices(server: &LedServer) -> &SliceSet {
+/// The slices for which requests are routed to a server: its target, or
+/// during a takeover the slices that it may hold.
+fn owned_slices(server: &ManagedServer) -> &SliceSet {
     if server.order.slices.is_some() {
         return &server.target;
     }
@@ -126,8 +128,8 @@
 
 fn table_server(
     name: &ServerName,
-    server: &LedServer,
-    keepers: &KeeperBook,
+    server: &ManagedServer,
+    keepers: &KeeperTable,
 ) -> Option<TableServer> {
     let vm = server.serving.as_ref()?;
     let keeper = keepers.get(vm)?;
@@ -138,43 +140,44 @@
     })
 }
 
-/// Brings the domain's record to the store.
+/// Schedules the reads and writes of the domain's record.
 #[derive(Clone, Debug, Default)]
-pub(super) struct RecordKeeper {
-    /// The newest decision that the store has acknowledged.
+pub(super) struct RecordWriter {
+    /// The token of the newest record that the store has acknowledged.
     saved: FenceToken,
     saved_at: LocalTime,
-    /// When a write that is under way is made again.
-    again_at: Option<LocalTime>,
-    /// Whether another domain waits for what the record says.
+    /// When a write in flight is retried.
+    retry_at: Option<LocalTime>,
+    /// Whether another domain waits for a change of the record.
     urgent: bool,
     read_at: LocalTime,
 }
 
-impl RecordKeeper {
-    /// The record to write, if the store lacks it.
+impl RecordWriter {
+    /// The record to write, if the store lacks it and a write is due.
     pub(super) fn due(
         &mut self,
         now: LocalTime,
         knowledge: &StewardKnowledge,
     ) -> Option<DomainRecord> {
         let newer = knowledge.record.token > self.saved;
-        let pause = if self.urgent { SAVE_SOON } else { SAVE_EVERY };
-        let next_at = self.again_at.unwrap_or(self.saved_at + pause);
+        let interval =
+            if self.urgent { URGENT_SAVE_INTERVAL } else { SAVE_INTERVAL };
+        let next_at = self.retry_at.unwrap_or(self.saved_at + interval);
         if !newer || !knowledge.record_read || now < next_at {
             return None;
         }
-        self.again_at = Some(now + SAVE_AGAIN);
+        self.retry_at = Some(now + SAVE_RETRY_DELAY);
         self.urgent = false;
         Some(knowledge.record.clone())
     }
 
-    /// Another domain waits for the record as it now is.
-    pub(super) fn hurry(&mut self) {
+    /// Makes the next write urgent, because another domain waits for it.
+    pub(super) fn mark_urgent(&mut self) {
         self.urgent = true;
     }
 
-    /// Whether to read the record, which the store has not shown yet.
+    /// Whether to read the record, because it has not been read yet.
     pub(super) fn read_due(
         &mut self,
         now: LocalTime,
@@ -183,38 +186,38 @@
         if knowledge.record_read || now < self.read_at {
             return false;
         }
-        self.read_at = now + SAVE_AGAIN;
+        self.read_at = now + SAVE_RETRY_DELAY;
         true
     }
 
-    /// The store has the record with this token.
-    pub(super) fn saved(&mut self, now: LocalTime, token: FenceToken) {
+    /// Records that the store has the record with this token.
+    pub(super) fn acknowledge(&mut self, now: LocalTime, token: FenceToken) {
         self.saved = self.saved.max(token);
         self.saved_at = now;
-        self.again_at = None;
+        self.retry_at = None;
     }
 
-    /// The store turned out to have an older record: write it again.
-    pub(super) fn forget_saved(&mut self) {
+    /// Makes the record due again, because the store has an older one.
+    pub(super) fn reset_saved(&mut self) {
         self.saved = FenceToken::default();
         self.saved_at = LocalTime::default();
-        self.again_at = None;
+        self.retry_at = None;
     }
 }
 
-/// Notes the decisions in force as the newest record.
-pub(super) fn note_decisions(
+/// Stores the current targets as the newest record.
+pub(super) fn record_decisions(
     token: FenceToken,
     servers: &ServerMap,
     knowledge: &mut StewardKnowledge,
 ) {
-    let settled = servers.values().all(|server| server.settled);
+    let reconciled = servers.values().all(|server| server.reconciled);
     let holding = servers.iter().filter(|(_, s)| !s.target.is_empty());
-    // A half-known domain must not overwrite a record of all of it, nor
-    // one that the store has not shown yet.
+    // A partly known domain must not overwrite a complete record, nor one
+    // that has not been read yet.
     let read = knowledge.record_read;
     let record = &mut knowledge.record;
-    if !settled || !read || token <= record.token {
+    if !reconciled || !read || token <= record.token {
         return;
     }
     record.token = token;
--- a/goldcrestramp-ownership/src/steward/reads.rs
+++ b/goldcrestramp-ownership/src/steward/reads.rs
@@ -1,4 +1,4 @@
-//! What the store answers.
+//! The answers of the store.
 
 use std::sync::Arc;
 
@@ -22,16 +22,16 @@
         let learn = StewardEffect::LearnRoster(read.version);
         let known = self.knowledge.roster.as_ref();
         if let Some(known) = known.filter(|k| k.version > read.version) {
-            // The store came back with older data.
+            // The store was restored with older data.
             return vec![StewardEffect::SaveRoster(known.clone())];
         }
         self.knowledge.roster = Some(read.clone());
         if let StewardRole::Leading(leading) = &mut self.role {
-            leading.roster.answered();
+            leading.roster.complete();
             let counted = leading.claim.counted.version;
             if read.version == counted + 1 {
                 leading.claim.next = Some(read);
-                leading.claim.ask_soon();
+                leading.claim.request_soon();
             } else if read.version > counted + 1 {
                 self.follow(now);
             }
@@ -39,7 +39,8 @@
         vec![learn]
     }
 
-    /// The first VM of an empty domain makes the roster of itself.
+    /// Saves the known roster if the store has none. The first VM of an
+    /// empty domain creates a roster of itself alone.
     pub(super) fn roster_missing(&mut self) -> Vec<StewardEffect> {
         let roster = self.knowledge.roster.clone().unwrap_or_else(|| {
             let me = RosterVoter {
@@ -64,7 +65,7 @@
             return effects;
         }
         if let StewardRole::Leading(leading) = &mut self.role {
-            leading.roster.answered();
+            leading.roster.complete();
         }
         vec![StewardEffect::ReadRoster]
     }
@@ -74,15 +75,15 @@
         now: LocalTime,
         plan: &Arc<DomainPlan>,
     ) -> Vec<StewardEffect> {
-        if !self.knowledge.take_plan(Arc::clone(plan)) {
+        if !self.knowledge.apply_plan(Arc::clone(plan)) {
             return Vec::new();
         }
         let learn = StewardEffect::LearnPlan(plan.version);
         if let StewardRole::Leading(leading) = &mut self.role {
-            leading.take_plan(now, plan);
+            leading.apply_plan(now, plan);
             let floor = self.knowledge.floor;
             leading.claim.set_plan(now, plan.version, floor);
-            leading.claim.ask_soon();
+            leading.claim.request_soon();
         }
         vec![learn]
     }
@@ -93,18 +94,18 @@
         read: Option<DomainRecord>,
     ) -> Vec<StewardEffect> {
         let token = read.as_ref().map(|read| read.token).unwrap_or_default();
-        let older = self.knowledge.take_record(read);
+        let older = self.knowledge.merge_record(read);
         let StewardRole::Leading(leading) = &mut self.role else {
             return Vec::new();
         };
         if token.term > leading.claim.term {
-            self.go_above(now, token.term);
+            self.start_higher_term(now, token.term);
             return Vec::new();
         }
         if older {
-            leading.records.forget_saved();
+            leading.records.reset_saved();
         } else {
-            leading.records.saved(now, token);
+            leading.records.acknowledge(now, token);
         }
         leading.reconsider();
         Vec::new()
