--- a/goldcrestramp-ownership/src/steward/managed_server.rs
+++ b/goldcrestramp-ownership/src/steward/managed_server.rs
@@ -39,7 +39,7 @@
 /// A server of the domain, within one steward's term.
 #[expect(
     clippy::struct_excessive_bools,
-    /// The slices that it is to hold; `None` extends whatever it holds.
+    reason = "independent facts, any of which may hold with any other"
 )]
 #[derive(Clone, Debug)]
 pub(super) struct ManagedServer {
