--- a/goldcrestramp-ownership/src/steward/claim.rs
+++ b/goldcrestramp-ownership/src/steward/claim.rs
@@ -189,10 +189,8 @@
 
     /// When this term's time ends, unless it is confirmed again.
     pub(super) fn until(&self, timing: &TermTiming) -> LocalTime {
-        let majority_at = self.majority_at();
-        majority_at.map_or(LocalTime::default(), |majority_at| {
-            majority_at + timing.lease
-        })
+        let at = self.majority_at();
+        at.map_or(LocalTime::default(), |at| at + timing.lease)
     }
 
     /// When a voter last confirmed this term.
--- a/goldcrestramp-ownership/src/steward/managed_server.rs
+++ b/goldcrestramp-ownership/src/steward/domain_server.rs
@@ -42,7 +42,7 @@
     reason = "independent facts, any of which may hold with any other"
 )]
 #[derive(Clone, Debug)]
-pub(super) struct ManagedServer {
+pub(super) struct DomainServer {
     pub(super) plan: ServerPlan,
     /// Whether the configuration still contains it.
     pub(super) listed: bool,
@@ -85,7 +85,7 @@
     given_up: bool,
 }
 
-impl ManagedServer {
+impl DomainServer {
     pub(super) fn new(
         plan: ServerPlan,
         token: FenceToken,
--- a/goldcrestramp-ownership/src/steward/keepers.rs
+++ b/goldcrestramp-ownership/src/steward/keepers.rs
@@ -10,7 +10,7 @@
 
 use crate::{
     message::KeeperReport, safeguard::Safeguard,
-    steward::managed_server::ManagedServer, timing::TermTiming,
+    steward::domain_server::DomainServer, timing::TermTiming,
 };
 
 /// A VM that reports as a keeper.
@@ -72,7 +72,7 @@
         &mut self,
         now: LocalTime,
         report: &KeeperReport,
-        servers: &mut BTreeMap<ServerName, ManagedServer>,
+        servers: &mut BTreeMap<ServerName, DomainServer>,
     ) -> bool {
         let known = self.keepers.get(&report.vm);
         let same = known.filter(|keeper| keeper.start == report.start);
@@ -108,7 +108,7 @@
     pub(super) fn release(
         &self,
         now: LocalTime,
-        servers: &mut BTreeMap<ServerName, ManagedServer>,
+        servers: &mut BTreeMap<ServerName, DomainServer>,
         timing: &TermTiming,
     ) -> bool {
         let mut changed = false;
@@ -146,7 +146,7 @@
         now: LocalTime,
         assign_unclaimed_at: LocalTime,
         majority_at: LocalTime,
-        servers: &mut BTreeMap<ServerName, ManagedServer>,
+        servers: &mut BTreeMap<ServerName, DomainServer>,
         timing: &TermTiming,
     ) -> bool {
         let mut changed = false;
@@ -182,7 +182,7 @@
     fn loads(
         &self,
         now: LocalTime,
-        servers: &BTreeMap<ServerName, ManagedServer>,
+        servers: &BTreeMap<ServerName, DomainServer>,
         timing: &TermTiming,
     ) -> FastMap<VmName, usize> {
         let live = |k: &KnownKeeper| !k.leaving && k.is_live(now, timing);
@@ -201,7 +201,7 @@
 fn release_servers(
     vm: &VmName,
     until: LocalTime,
-    servers: &mut BTreeMap<ServerName, ManagedServer>,
+    servers: &mut BTreeMap<ServerName, DomainServer>,
 ) {
     let kept = servers.values_mut().filter(|s| s.keeper.as_ref() == Some(vm));
     for server in kept {
--- a/goldcrestramp-ownership/src/steward/leader/decide.rs
+++ b/goldcrestramp-ownership/src/steward/leader/decide.rs
@@ -8,7 +8,7 @@
 use crate::{
     plan::{DomainPlan, ServicePlan, StrandedCause},
     steward::{
-        knowledge::StewardKnowledge, managed_server::ManagedServer,
+        domain_server::DomainServer, knowledge::StewardKnowledge,
         placement::place_service, publish::record_decisions,
     },
 };
@@ -45,9 +45,8 @@
     /// A slice that another server may hold is left out until that server
     /// has released it or its grant has certainly lapsed.
     fn order_service(&mut self, service: &ServiceName) {
-        let of_service = |(_, s): &(&ServerName, &ManagedServer)| {
-            s.plan.service == *service
-        };
+        let of_service =
+            |(_, s): &(&ServerName, &DomainServer)| s.plan.service == *service;
         let names: Vec<ServerName> = self
             .servers
             .iter()
@@ -104,7 +103,7 @@
             let mut departed = service.leaving.clone();
             departed.intersect_with(&service.slices);
             let of_service =
-                |s: &&ManagedServer| s.plan.service == service.service;
+                |s: &&DomainServer| s.plan.service == service.service;
             for server in self.servers.values().filter(of_service) {
                 if !server.reconciled {
                     departed = SliceSet::new();
@@ -190,7 +189,7 @@
 }
 
 impl OverlapCount {
-    fn of<'a>(servers: impl Iterator<Item = &'a ManagedServer>) -> Self {
+    fn of<'a>(servers: impl Iterator<Item = &'a DomainServer>) -> Self {
         let mut any = SliceSet::new();
         let mut several = SliceSet::new();
         for server in servers {
--- a/goldcrestramp-ownership/src/steward/leader/mod.rs
+++ b/goldcrestramp-ownership/src/steward/leader/mod.rs
@@ -16,10 +16,10 @@
     steward::{
         StewardEffect,
         claim::TermClaim,
+        domain_server::DomainServer,
         identity::StewardIdentity,
         keepers::KeeperTable,
         knowledge::StewardKnowledge,
-        managed_server::ManagedServer,
         placement::apply_move,
         publish::{RecordWriter, TablePublisher},
         roster::{RosterChange, RosterContext},
@@ -57,13 +57,13 @@
     /// When servers that no keeper has claimed are assigned one.
     assign_unclaimed_at: LocalTime,
     sequence: u64,
-    pub(in crate::steward) servers: BTreeMap<ServerName, ManagedServer>,
+    pub(in crate::steward) servers: BTreeMap<ServerName, DomainServer>,
     pub(in crate::steward) keepers: KeeperTable,
     /// The slices that servers were known to hold in this term, by service.
     owned: FastMap<ServiceName, SliceSet>,
     dirty: bool,
     /// Whether a lapse needs a later confirmation.
-    awaits_confirmation: bool,
+    confirmation_due: bool,
     pub(in crate::steward) roster: RosterChange,
     table: TablePublisher,
     pub(in crate::steward) records: RecordWriter,
@@ -98,7 +98,7 @@
             keepers: KeeperTable::default(),
             owned: FastMap::default(),
             dirty: true,
-            awaits_confirmation: false,
+            confirmation_due: false,
             roster: RosterChange::default(),
             table: TablePublisher::default(),
             records: RecordWriter::default(),
@@ -142,7 +142,7 @@
             }
             let token = self.next_token();
             let server =
-                ManagedServer::new(entry.clone(), token, previous_until);
+                DomainServer::new(entry.clone(), token, previous_until);
             self.servers.insert(entry.server.clone(), server);
         }
         self.dirty = true;
@@ -254,14 +254,13 @@
     /// Clears the bounds of servers whose lapse a majority has confirmed.
     fn confirm_lapses(&mut self, now: LocalTime) {
         let majority_at = self.claim.majority_at().unwrap_or_default();
-        let mut awaits_confirmation = false;
+        let mut confirmation_due = false;
         for server in self.servers.values_mut() {
             self.dirty |= server.confirm_lapse(majority_at);
-            awaits_confirmation |=
-                server.awaits_confirmation(now, majority_at);
+            confirmation_due |= server.awaits_confirmation(now, majority_at);
         }
-        self.awaits_confirmation = awaits_confirmation;
-        if awaits_confirmation {
+        self.confirmation_due = confirmation_due;
+        if confirmation_due {
             self.claim.request_soon();
         }
     }
@@ -315,7 +314,7 @@
 
     /// The number of servers whose order differs from their target.
     pub(in crate::steward) fn moving(&self) -> usize {
-        let due = |server: &&ManagedServer| {
+        let due = |server: &&DomainServer| {
             server.order.slices.as_ref() != Some(&server.target)
         };
         self.servers.values().filter(due).count()
--- a/goldcrestramp-ownership/src/steward/leader/permit.rs
+++ b/goldcrestramp-ownership/src/steward/leader/permit.rs
@@ -6,7 +6,7 @@
 use crate::{
     message::{KeeperReport, PermitAnswer, ServerReport},
     safeguard::Safeguard,
-    steward::{knowledge::StewardKnowledge, managed_server::ManagedServer},
+    steward::{domain_server::DomainServer, knowledge::StewardKnowledge},
 };
 
 impl LeadingSteward {
@@ -35,7 +35,7 @@
         for server in report.servers {
             self.apply_server_report(now, &vm, server);
         }
-        if self.dirty || self.awaits_confirmation {
+        if self.dirty || self.confirmation_due {
             self.raise_fences();
             self.confirm_lapses(now);
         }
@@ -56,8 +56,8 @@
     ) -> PermitAnswer {
         let moving = self.may_move();
         let servers = self.servers.values();
-        let own = |server: &&ManagedServer| server.keeper.as_ref() == Some(vm);
-        let kept: Vec<&ManagedServer> = servers.filter(own).collect();
+        let own = |server: &&DomainServer| server.keeper.as_ref() == Some(vm);
+        let kept: Vec<&DomainServer> = servers.filter(own).collect();
         // Free slices are placed once all servers have reported.
         let starting = moving && now < self.move_at + self.timing.lease;
         let reconciling =
@@ -78,7 +78,7 @@
             delay,
             orders: kept
                 .into_iter()
-                .map(ManagedServer::order_message)
+                .map(DomainServer::order_message)
                 .collect(),
         }
     }
@@ -150,13 +150,13 @@
 }
 
 /// The facts on which decisions depend, apart from the slices held.
-const fn decision_inputs(server: &ManagedServer) -> [bool; 4] {
+const fn decision_inputs(server: &DomainServer) -> [bool; 4] {
     let usable = server.is_eligible();
     [server.reconciled, usable, server.lost, server.is_given_up()]
 }
 
 /// Makes the slices of a newly reconciled server its target.
-fn adopt_holdings(server: &mut ManagedServer) {
+fn adopt_holdings(server: &mut DomainServer) {
     if server.reconciled && server.order.slices.is_none() {
         server.target = server.bound.clone();
     }
--- a/goldcrestramp-ownership/src/steward/mod.rs
+++ b/goldcrestramp-ownership/src/steward/mod.rs
@@ -1,13 +1,13 @@
 //! The steward: decides which server of a failure domain holds which slice.
 
 mod claim;
+mod domain_server;
 mod election;
 mod event;
 mod identity;
 mod keepers;
 mod knowledge;
 mod leader;
-mod managed_server;
 mod placement;
 mod publish;
 mod reads;
--- a/goldcrestramp-ownership/src/steward/placement.rs
+++ b/goldcrestramp-ownership/src/steward/placement.rs
@@ -6,10 +6,10 @@
 
 use crate::{
     plan::{ServicePlan, SliceMove},
-    steward::{knowledge::StewardKnowledge, managed_server::ManagedServer},
+    steward::{domain_server::DomainServer, knowledge::StewardKnowledge},
 };
 
-type ServerMap = BTreeMap<ServerName, ManagedServer>;
+type ServerMap = BTreeMap<ServerName, DomainServer>;
 
 /// Sets the targets of a service's servers.
 ///
@@ -142,7 +142,7 @@
     let fits = target.is_some_and(|server| {
         server.is_eligible() && server.plan.service == wanted.service
     });
-    let holds = |server: &&mut ManagedServer| {
+    let holds = |server: &&mut DomainServer| {
         server.plan.service == wanted.service
             && server.target.contains(wanted.slice)
     };
--- a/goldcrestramp-ownership/src/steward/publish.rs
+++ b/goldcrestramp-ownership/src/steward/publish.rs
@@ -10,13 +10,13 @@
 use crate::{
     plan::{DomainPlan, DomainRecord, ServicePlan},
     steward::{
-        keepers::KeeperTable, knowledge::StewardKnowledge,
-        managed_server::ManagedServer,
+        domain_server::DomainServer, keepers::KeeperTable,
+        knowledge::StewardKnowledge,
     },
     table::{DomainTable, ServiceTable, TableServer},
 };
 
-type ServerMap = BTreeMap<ServerName, ManagedServer>;
+type ServerMap = BTreeMap<ServerName, DomainServer>;
 
 /// The minimum interval between two writes of the record.
 ///
@@ -61,7 +61,7 @@
         keepers: &KeeperTable,
         moving: bool,
     ) -> Option<Arc<DomainTable>> {
-        let heard = |s: &ManagedServer| s.is_known() || s.reconciled || s.lost;
+        let heard = |s: &DomainServer| s.is_known() || s.reconciled || s.lost;
         let first = self.published.is_none();
         let known = if moving {
             servers.values().all(|server| server.reconciled || server.lost)
@@ -119,7 +119,7 @@
 
 /// The slices for which requests are routed to a server: its target, or
 /// during a takeover the slices that it may hold.
-fn owned_slices(server: &ManagedServer) -> &SliceSet {
+fn owned_slices(server: &DomainServer) -> &SliceSet {
     if server.order.slices.is_some() {
         return &server.target;
     }
@@ -128,7 +128,7 @@
 
 fn table_server(
     name: &ServerName,
-    server: &ManagedServer,
+    server: &DomainServer,
     keepers: &KeeperTable,
 ) -> Option<TableServer> {
     let vm = server.serving.as_ref()?;
