--- a/goldcrestramp-ownership/tests/candidate_roster.rs
+++ b/goldcrestramp-ownership/tests/candidate_roster.rs
@@ -1,4 +1,4 @@
-//! A candidate whose roster is not the store's newest.
+//! A candidate whose roster is older than the one in the store.
 
 use std::sync::Arc;
 
@@ -9,16 +9,16 @@
 use goldcrestramp_types::{DomainName, LocalTime, TimeSpan, VmName};
 
 const TICK: TimeSpan = TimeSpan::from_millis(50);
-/// Ticks in ten leases.
+/// The number of ticks in ten leases.
 const TICKS: usize = 200;
 
 fn domain() -> DomainName {
-    DomainName::new("sierra-a").expect("a name")
+    DomainName::new("sierra-a").expect("name is valid")
 }
 
 fn voter(number: usize) -> RosterVoter {
     RosterVoter {
-        vm: VmName::new(&format!("vm-{number}")).expect("a name"),
+        vm: VmName::new(&format!("vm-{number}")).expect("name is valid"),
         address: Arc::from(format!("10.0.0.{number}:1")),
     }
 }
@@ -28,7 +28,7 @@
     VoterRoster { domain: domain(), version, voters }
 }
 
-/// The steward of vm-0 of a domain without servers, with this roster.
+/// The steward of vm-0 in a domain without servers, with this roster.
 fn steward(roster: VoterRoster) -> StewardMachine {
     let voter = voter(0);
     let timing = TermTiming::default();
@@ -57,13 +57,13 @@
     steward
 }
 
-// The steward, vm-1, wrote a roster with a third VM to the store and was
-// lost before it told anybody. vm-0 knows the roster of two: of these it is
-// no majority, so it is asked for nothing and refused by nobody, and must
-// look at the store itself. It may not do so in every round: the store's
-// rates are few.
+// The steward, vm-1, wrote a roster with a third VM to the store and was lost
+// before it sent it to anyone. vm-0 has the roster of two, of which it is no
+// majority. Nobody sends it requests or refusals, so it has to read the store
+// itself. It must not do so in every round, because the store accepts few
+// reads.
 #[test]
-fn a_candidate_without_a_majority_reads_the_roster_once_a_lease() {
+fn a_candidate_without_a_majority_reads_the_roster_once_per_lease() {
     let mut steward = steward(roster(2, &[1, 0]));
     let mut now = LocalTime::default();
     let mut reads = 0;
--- a/goldcrestramp-ownership/tests/ownership/world/arrival.rs
+++ b/goldcrestramp-ownership/tests/ownership/cluster/arrival.rs
@@ -1,4 +1,4 @@
-//! Messages arrive at VMs, servers and the store.
+//! The delivery of messages to VMs, servers and the store.
 
 use goldcrestramp_ownership::{
     ConfirmAnswer, ConfirmAsk, PermitAnswer, StewardEvent,
@@ -6,13 +6,13 @@
 use goldcrestramp_types::{LocalTime, TimeSpan};
 use goldcrestramp_wire::server::GrantReply;
 
-use super::World;
+use super::SimulatedCluster;
 use crate::{
     message::{Message, Node, Origin, VoterReply},
-    standin::service_name,
+    nodes::service_name,
 };
 
-impl World {
+impl SimulatedCluster {
     pub(super) fn deliver(&mut self, to: Node, message: Message) {
         match to {
             Node::Vm(vm) if self.vms[vm].process.is_none() => {}
@@ -24,8 +24,8 @@
             Node::Server(s) if self.servers[s].paused => {
                 self.servers[s].inbox.push_back(message);
             }
-            Node::Server(server) => self.serve(server, message),
-            Node::Store => self.store_call(message),
+            Node::Server(server) => self.receive_order(server, message),
+            Node::Store => self.receive_store_call(message),
         }
     }
 
@@ -33,9 +33,9 @@
         if !std::mem::take(&mut self.vms[vm].paused) {
             return;
         }
-        // Its timers may fire before what sat in its sockets is read.
+        // Its timers may fire before it reads the messages in its sockets.
         if self.random.chance(50) {
-            self.wake(vm);
+            self.run_machines(vm);
         }
         while let Some(message) = self.vms[vm].inbox.pop_front() {
             self.receive(vm, message);
@@ -45,7 +45,7 @@
     pub(super) fn resume_server(&mut self, server: usize) {
         self.servers[server].paused = false;
         while let Some(message) = self.servers[server].inbox.pop_front() {
-            self.serve(server, message);
+            self.receive_order(server, message);
         }
     }
 
@@ -75,18 +75,18 @@
                 self.send(Node::Vm(vm), Node::Vm(from.vm), message);
             }
             Message::Permit { start, sent, answer } if start == own => {
-                self.take_permit(vm, now, sent, answer);
+                self.apply_permit(vm, now, sent, answer);
             }
             Message::Reply { start, call, reply } if start == own => {
-                self.take_reply(vm, now, call, &reply);
+                self.apply_reply(vm, now, call, &reply);
             }
             Message::StoreReply { start, event } if start == own => {
-                self.note_saved(&event);
+                self.record_releases(&event);
                 self.steward_event(vm, *event);
             }
             _ => {}
         }
-        self.pump_keeper(vm);
+        self.run_keeper(vm);
     }
 
     pub(super) fn confirm(
@@ -104,7 +104,7 @@
         let answer = process.voter.confirm(now, &ask);
         if answer == ConfirmAnswer::Confirmed && known != Some(ask.vm.clone())
         {
-            process.ask_next = true;
+            process.try_next = true;
             process.poll_until = now;
         }
         let reply = VoterReply {
@@ -123,7 +123,7 @@
         }
     }
 
-    pub(super) fn take_permit(
+    pub(super) fn apply_permit(
         &mut self,
         vm: usize,
         now: LocalTime,
@@ -132,16 +132,16 @@
     ) {
         let Some(process) = &mut self.vms[vm].process else { return };
         process.poll_until = now;
-        process.asked.1 = true;
+        process.last_polled.1 = true;
         if matches!(answer, PermitAnswer::NotSteward { .. }) {
-            process.asked.1 = false;
-            process.ask_next = true;
+            process.last_polled.1 = false;
+            process.try_next = true;
             process.poll_until = now + TimeSpan::from_millis(50);
         }
         process.keeper.permitted(now, sent, answer);
     }
 
-    pub(super) fn take_reply(
+    pub(super) fn apply_reply(
         &mut self,
         vm: usize,
         now: LocalTime,
@@ -154,7 +154,7 @@
         }
     }
 
-    pub(super) fn serve(&mut self, server: usize, message: Message) {
+    pub(super) fn receive_order(&mut self, server: usize, message: Message) {
         let Message::Order { from, call, order } = message else { return };
         let entry = &mut self.servers[server];
         let time = entry.time(self.now);
@@ -175,7 +175,7 @@
         self.send(Node::Server(server), Node::Vm(from.vm), message);
     }
 
-    pub(super) fn store_call(&mut self, message: Message) {
+    pub(super) fn receive_store_call(&mut self, message: Message) {
         let Message::StoreCall { from, call } = message else { return };
         if let Some(event) = self.store.call(call) {
             let event = Box::new(event);
@@ -184,13 +184,13 @@
         }
     }
 
-    pub(super) fn note_saved(&mut self, event: &StewardEvent) {
+    pub(super) fn record_releases(&mut self, event: &StewardEvent) {
         let StewardEvent::RecordSaved(token) = event else { return };
         let mut records = self.store.records.iter();
         let saved = records.find(|record| record.token == *token);
         let released = saved.and_then(|r| r.released.get(&service_name()));
         if let Some(released) = released {
-            self.gone.union_with(released);
+            self.released.union_with(released);
         }
     }
 }
--- a/goldcrestramp-ownership/tests/ownership/world/binding.rs
+++ b/goldcrestramp-ownership/tests/ownership/cluster/binding.rs
@@ -1,12 +1,12 @@
-//! A VM's machines bound to time and messages, as a node does.
+//! Connects a VM's machines to time and messages, as a node does.
 
 use goldcrestramp_ownership::{StewardEffect, StewardEvent};
 use goldcrestramp_types::{LocalTime, TimeSpan};
 
-use super::{CALL_TIMEOUT, Event, TICK, World};
+use super::{CALL_TIMEOUT, Event, SimulatedCluster, TICK};
 use crate::message::{Message, Node, Origin, StoreCall};
 
-impl World {
+impl SimulatedCluster {
     pub(super) fn tick(&mut self, vm: usize, start: u64) {
         let current = self.vms[vm].process.as_ref().map(|p| p.start);
         if current != Some(start) {
@@ -14,19 +14,19 @@
         }
         self.schedule(TICK, Event::Tick(vm, start));
         if !self.vms[vm].paused {
-            self.wake(vm);
+            self.run_machines(vm);
         }
         self.check_keepers();
     }
 
-    pub(super) fn wake(&mut self, vm: usize) {
-        self.refresh(vm);
+    pub(super) fn run_machines(&mut self, vm: usize) {
+        self.read_store(vm);
         self.steward_event(vm, StewardEvent::Tick);
-        self.pump_keeper(vm);
+        self.run_keeper(vm);
     }
 
-    /// Reads the store once a second, as the node's watches would.
-    pub(super) fn refresh(&mut self, vm: usize) {
+    /// Reads the store once a second, in place of the node's watches.
+    pub(super) fn read_store(&mut self, vm: usize) {
         let now = self.vms[vm].clock.local(self.now);
         let Some(process) = &mut self.vms[vm].process else { return };
         if now < process.read_at {
@@ -93,18 +93,18 @@
         }
     }
 
-    pub(super) fn pump_keeper(&mut self, vm: usize) {
+    pub(super) fn run_keeper(&mut self, vm: usize) {
         let now = self.vms[vm].clock.local(self.now);
         let Some(process) = &mut self.vms[vm].process else { return };
         let start = process.start;
         let orders = process.keeper.orders(now);
-        let due = now >= process.keeper.poll_at() || process.ask_next;
+        let due = now >= process.keeper.poll_at() || process.try_next;
         let due = due && now >= process.poll_until;
         for (name, _, order) in orders {
             let position = self.servers.iter().position(|s| s.name == name);
-            let to = position.expect("a known server");
-            self.numbers += 1;
-            let call = self.numbers;
+            let to = position.expect("server is known");
+            self.last_number += 1;
+            let call = self.last_number;
             let Some(process) = &mut self.vms[vm].process else { return };
             process.calls.insert(call, (name, now));
             let from = Origin { vm, start };
@@ -118,18 +118,18 @@
         }
     }
 
-    /// Reports to the steward last seen, or to each VM in turn.
+    /// Reports to the steward last seen, or to one VM after another.
     pub(super) fn poll(&mut self, vm: usize, now: LocalTime) {
         let count = self.vms.len();
         let Some(process) = &mut self.vms[vm].process else { return };
         process.polls += 1;
-        process.ask_next = false;
+        process.try_next = false;
         let seen = process.voter.latest();
         let fresh =
             seen.filter(|(_, at)| now.since(*at) < TimeSpan::from_millis(700));
         let name = fresh.map(|(ask, _)| ask.vm.clone());
         let polls = process.polls;
-        let hint = process.asked.1.then_some(process.asked.0);
+        let hint = process.last_polled.1.then_some(process.last_polled.0);
         process.poll_until = now + CALL_TIMEOUT;
         let report = process.keeper.report(now);
         let from = Origin { vm, start: process.start };
@@ -137,13 +137,13 @@
             name.and_then(|n| self.vms.iter().position(|v| v.name == n));
         let to = known.or(hint).unwrap_or((vm + polls) % count);
         if let Some(process) = &mut self.vms[vm].process {
-            process.asked = (to, false);
+            process.last_polled = (to, false);
         }
         let message = Message::Report { from, report, sent: now };
         self.send(Node::Vm(vm), Node::Vm(to), message);
     }
 
-    pub(super) fn time_out(&mut self, vm: usize, start: u64, call: u64) {
+    pub(super) fn expire_call(&mut self, vm: usize, start: u64, call: u64) {
         let now = self.vms[vm].clock.local(self.now);
         let Some(process) = &mut self.vms[vm].process else { return };
         if process.start != start {
--- a/goldcrestramp-ownership/tests/ownership/world/mod.rs
+++ b/goldcrestramp-ownership/tests/ownership/cluster/mod.rs
@@ -1,4 +1,5 @@
-//! A failure domain in one thread: time, messages, faults, and the oracle.
+//! A failure domain simulated in one thread: time, messages, faults, and the
+//! oracle.
 
 mod arrival;
 mod binding;
@@ -17,8 +18,8 @@
 use crate::{
     fault::Fault,
     message::{Message, Node},
+    nodes::{Clock, Server, Store, Vm, make_plan, service_name},
     random::SeededRandom,
-    standin::{Clock, Server, Store, Vm, make_plan, service_name},
 };
 
 const TICK: u64 = 50_000;
@@ -31,34 +32,34 @@
     Deliver { to: Node, message: Message },
 }
 
-/// Clock rates of VMs and servers, in per mille.
+/// The clock rates of VMs and servers, in per mille.
 const RATES: [u64; 8] = [980, 1_020, 1_000, 990, 1_020, 980, 1_010, 1_000];
 
 #[derive(Debug)]
-pub struct World {
+pub struct SimulatedCluster {
     pub now: u64,
     pub vms: Vec<Vm>,
     pub servers: Vec<Server>,
     pub store: Store,
-    /// What the oracle found wrong; must stay empty.
+    /// The violations that the oracle found; must stay empty.
     pub violations: Vec<String>,
     /// Slices that an acknowledged record says have left the domain.
-    gone: SliceSet,
+    released: SliceSet,
     leaving: SliceSet,
     timing: TermTiming,
     random: SeededRandom,
     events: BTreeMap<(u64, u64), Event>,
     sequence: u64,
-    numbers: u64,
-    weather: (u64, u64, u64),
+    last_number: u64,
+    network: (u64, u64, u64),
     cuts: BTreeSet<(Node, Node)>,
     slow: BTreeMap<(Node, Node), u64>,
     list_empty: bool,
     plan_version: u64,
 }
 
-impl World {
-    /// A world whose servers check fences as told, all started.
+impl SimulatedCluster {
+    /// Starts a cluster with one server for each entry of `checks_fence`.
     pub fn new(
         vms: usize,
         checks_fence: &[bool],
@@ -68,7 +69,7 @@
         Self::with_timing(vms, checks_fence, timing)
     }
 
-    /// The same with other times.
+    /// Like [`SimulatedCluster::new`], with another timing.
     pub fn with_timing(
         vms: usize,
         checks_fence: &[bool],
@@ -76,11 +77,11 @@
     ) -> Self {
         let clock = |index: usize| Clock {
             base: 1_000_000_000 * (1 + index as u64),
-            born: 0,
+            started_at: 0,
             per_mille: RATES[index % RATES.len()],
         };
         let servers = checks_fence.iter().enumerate();
-        let mut world = Self {
+        let mut cluster = Self {
             now: 0,
             vms: (0..vms).map(|i| Vm::new(i, clock(i))).collect(),
             servers: servers
@@ -88,37 +89,38 @@
                 .collect(),
             store: Store::default(),
             violations: Vec::new(),
-            gone: SliceSet::new(),
+            released: SliceSet::new(),
             leaving: SliceSet::new(),
             timing,
             random: SeededRandom(1),
             events: BTreeMap::new(),
             sequence: 0,
-            numbers: 0,
-            weather: (0, 0, 5),
+            last_number: 0,
+            network: (0, 0, 5),
             cuts: BTreeSet::new(),
             slow: BTreeMap::new(),
             list_empty: false,
             plan_version: 0,
         };
-        world.replan();
-        world.relist();
-        (0..vms).for_each(|vm| world.fault(&Fault::StartVm(vm)));
-        let count = world.servers.len();
-        (0..count).for_each(|s| world.fault(&Fault::StartServer(s)));
-        world
+        cluster.update_plan();
+        cluster.update_vm_list();
+        (0..vms).for_each(|vm| cluster.fault(&Fault::StartVm(vm)));
+        let count = cluster.servers.len();
+        (0..count).for_each(|s| cluster.fault(&Fault::StartServer(s)));
+        cluster
     }
 
-    /// Lets so many milliseconds pass.
+    /// Lets `millis` milliseconds pass.
     pub fn run(&mut self, millis: u64) {
         let end = self.now + millis * 1_000;
         while let Some(entry) = self.events.first_entry() {
             if entry.key().0 > end {
                 break;
             }
-            let ((at, _), event) = self.events.pop_first().expect("present");
+            let ((at, _), event) =
+                self.events.pop_first().expect("entry is present");
             self.now = at;
-            self.happen(event);
+            self.process_event(event);
         }
         self.now = end;
         self.check_keepers();
@@ -131,13 +133,13 @@
                 self.random = SeededRandom(seed);
                 self.run(millis);
             }
-            Fault::Weather { loss, double, late } => {
-                self.weather = (loss, double, late);
+            Fault::Network { loss, duplicate, delay } => {
+                self.network = (loss, duplicate, delay);
             }
             Fault::KillVm(vm) => self.vms[vm].process = None,
             Fault::StartVm(vm) => {
-                self.numbers += 1;
-                let start = self.numbers;
+                self.last_number += 1;
+                let start = self.last_number;
                 self.vms[vm].launch(self.now, start, timing);
                 self.schedule(1, Event::Tick(vm, start));
             }
@@ -145,12 +147,12 @@
             Fault::ResumeVm(vm) => self.resume_vm(vm),
             Fault::KillServer(server) => self.servers[server].holder = None,
             Fault::StartServer(server) => {
-                self.numbers += 1;
-                let run = self.numbers;
+                self.last_number += 1;
+                let run = self.last_number;
                 let entry = &mut self.servers[server];
-                // Its clock starts anew with the machine.
+                // Its clock restarts with the machine.
                 entry.clock.base = 0;
-                entry.clock.born = self.now;
+                entry.clock.started_at = self.now;
                 entry.launch(run, timing.safeguards);
             }
             Fault::PauseServer(server) => self.servers[server].paused = true,
@@ -167,12 +169,12 @@
                 self.slow.clear();
             }
             Fault::StoreDown => self.store.down = true,
-            Fault::StoreMute => self.store.mute = true,
+            Fault::StoreDropsReplies => self.store.drops_replies = true,
             Fault::StoreUp => {
                 self.store.down = false;
-                self.store.mute = false;
+                self.store.drops_replies = false;
             }
-            Fault::StoreOld => self.roll_back(),
+            Fault::StoreRestored => self.restore_older_record(),
             Fault::ListEmpty(empty) => self.list_empty = empty,
             Fault::Delist(vm, gone) => self.vms[vm].listed = !gone,
             Fault::Drain(server, draining) => {
@@ -185,18 +187,18 @@
                 }
             }
             Fault::Move(slice, server) => self.ask_move(slice, server),
-            Fault::GiveAway(slice) => {
+            Fault::Release(slice) => {
                 let slice = SliceIndex::new(u32::from(slice));
-                self.leaving.insert(slice.expect("in range"));
+                self.leaving.insert(slice.expect("slice is in range"));
             }
         }
-        self.relist();
-        self.replan();
+        self.update_vm_list();
+        self.update_plan();
     }
 
     /// Ends all faults and lets the domain recover.
     pub fn recover(&mut self) {
-        self.fault(&Fault::Weather { loss: 0, double: 0, late: 5 });
+        self.fault(&Fault::Network { loss: 0, duplicate: 0, delay: 5 });
         self.fault(&Fault::HealLinks);
         self.fault(&Fault::StoreUp);
         self.fault(&Fault::ListEmpty(false));
@@ -231,25 +233,25 @@
     }
 
     fn send(&mut self, from: Node, to: Node, message: Message) {
-        let (loss, double, late) = self.weather;
-        if self.random.chance(double) {
-            self.send_one(from, to, message.clone(), loss, late);
+        let (loss, duplicate, max_delay) = self.network;
+        if self.random.chance(duplicate) {
+            self.send_copy(from, to, message.clone(), loss, max_delay);
         }
-        self.send_one(from, to, message, loss, late);
+        self.send_copy(from, to, message, loss, max_delay);
     }
 
-    fn send_one(
+    fn send_copy(
         &mut self,
         from: Node,
         to: Node,
         message: Message,
         loss: u64,
-        late: u64,
+        max_delay: u64,
     ) {
         let dropped = from != to && self.random.chance(loss);
-        let mut delay = 200 + self.random.below(late * 200);
+        let mut delay = 200 + self.random.below(max_delay * 200);
         if self.random.chance(20) {
-            delay += self.random.below(late * 1_000);
+            delay += self.random.below(max_delay * 1_000);
         }
         if dropped || self.cuts.contains(&(from, to)) {
             return;
@@ -258,7 +260,7 @@
         self.schedule(delay, Event::Deliver { to, message });
     }
 
-    fn happen(&mut self, event: Event) {
+    fn process_event(&mut self, event: Event) {
         match event {
             Event::Tick(vm, start) => self.tick(vm, start),
             Event::Timeout { vm, start, call } => {
@@ -267,17 +269,19 @@
                     self.schedule(10_000, event);
                     return;
                 }
-                self.time_out(vm, start, call);
+                self.expire_call(vm, start, call);
             }
             Event::Deliver { to, message } => self.deliver(to, message),
         }
     }
 
-    fn roll_back(&mut self) {
+    fn restore_older_record(&mut self) {
         if self.store.records.len() > 1 {
-            let newest = self.store.records.pop().expect("present");
-            // What left the domain is in the planner's record as well.
-            let last = self.store.records.last_mut().expect("present");
+            let newest = self.store.records.pop().expect("entry is present");
+            // The planner's record also contains the slices that have left
+            // the domain.
+            let last =
+                self.store.records.last_mut().expect("entry is present");
             last.released = newest.released;
         }
     }
@@ -285,7 +289,8 @@
     fn ask_move(&mut self, slice: u16, server: usize) {
         let wanted = SliceMove {
             service: service_name(),
-            slice: SliceIndex::new(u32::from(slice)).expect("in range"),
+            slice: SliceIndex::new(u32::from(slice))
+                .expect("slice is in range"),
             target: self.servers[server].name.clone(),
         };
         for vm in 0..self.vms.len() {
@@ -296,7 +301,7 @@
         }
     }
 
-    fn relist(&mut self) {
+    fn update_vm_list(&mut self) {
         let listed = self.vms.iter().filter(|vm| vm.listed);
         self.store.vms = listed.map(Vm::as_voter).collect();
         if self.list_empty {
@@ -304,7 +309,7 @@
         }
     }
 
-    fn replan(&mut self) {
+    fn update_plan(&mut self) {
         let version = self.plan_version;
         let plan = make_plan(version, &self.servers, &self.leaving);
         if self.store.plan.as_deref() != Some(&plan) {
--- a/goldcrestramp-ownership/tests/ownership/world/oracle.rs
+++ b/goldcrestramp-ownership/tests/ownership/cluster/oracle.rs
@@ -1,13 +1,13 @@
-//! What is true of the world, seen from outside the machines.
+//! The state of a simulated cluster as observed from outside the machines.
 
 use goldcrestramp_ownership::StewardStatus;
 use goldcrestramp_types::{FenceToken, SliceIndex, SliceSet, TermId};
 
-use super::World;
-use crate::standin::{Vm, slice_count};
+use super::SimulatedCluster;
+use crate::nodes::{Vm, slice_count};
 
-impl World {
-    /// The slices on which a request would be executed now.
+impl SimulatedCluster {
+    /// The slices for which a request would be executed now.
     pub fn served(&self) -> SliceSet {
         let mut served = SliceSet::new();
         for vm in self.vms.iter().filter(|vm| !vm.paused) {
@@ -31,16 +31,16 @@
         served
     }
 
-    /// The slices that are to be served.
+    /// The slices that have to be served.
     pub fn expected(&self) -> SliceSet {
         let mut slices: SliceSet = slice_count().indices().collect();
         slices.subtract(&self.leaving);
         slices
     }
 
-    /// The longest time for which some slice was unserved, in ms, while so
-    /// many milliseconds passed.
-    pub fn worst_gap(&mut self, millis: u64) -> u64 {
+    /// Lets `millis` milliseconds pass, and returns the longest time in ms
+    /// for which some slice was unserved meanwhile.
+    pub fn longest_gap(&mut self, millis: u64) -> u64 {
         let mut since = [None::<u64>; 16];
         let mut worst = 0;
         for _ in 0..millis / 10 {
@@ -59,9 +59,10 @@
         worst
     }
 
-    /// Which server may execute a slice now.
+    /// The server that may execute requests of a slice now.
     pub fn owner(&self, slice: u16) -> Option<usize> {
-        let slice = SliceIndex::new(u32::from(slice)).expect("in range");
+        let slice =
+            SliceIndex::new(u32::from(slice)).expect("slice is in range");
         (0..self.servers.len()).find(|s| self.may_start(*s, slice))
     }
 
@@ -76,20 +77,20 @@
         process.map(|p| p.steward.status(now)).unwrap_or_default()
     }
 
-    /// Whether a VM is one of several voters, as it knows itself.
+    /// Whether a VM is one of several voters, by its own knowledge.
     pub fn votes(&self, vm: usize) -> bool {
         let process = self.vms[vm].process.as_ref();
         process.is_some_and(|p| p.steward.votes())
     }
 
-    /// The VM that keeps a server, as its steward has it.
+    /// The VM that keeps a server, by its steward's knowledge.
     pub fn keeper_of(&self, server: usize) -> Option<usize> {
         let status = self.status(self.leader()?);
         let keeper = status.keepers.get(&self.servers[server].name)?;
         self.vms.iter().position(|vm| vm.name == *keeper)
     }
 
-    /// The slices of servers that other VMs than this one keep.
+    /// The slices of servers that are kept by other VMs than this one.
     pub fn slices_kept_by_others(&self, vm: usize) -> SliceSet {
         let kept = |slice: &SliceIndex| {
             let owner = self.owner(slice.get());
@@ -98,7 +99,7 @@
         slice_count().indices().filter(kept).collect()
     }
 
-    /// The slices that the store's newest record gives to somebody.
+    /// The slices that have a holder in the store's newest record.
     pub fn recorded(&self) -> SliceSet {
         let mut slices = SliceSet::new();
         let record = self.store.records.last();
@@ -115,8 +116,8 @@
         holder.is_some_and(|h| h.may_start(time, slice, highest_token()))
     }
 
-    /// The oracle: no slice may be started at two servers, and none that
-    /// has left the domain at any.
+    /// Oracle: no slice may be started at two servers, and no slice that has
+    /// left the domain at any.
     pub(super) fn check_owners(&mut self, server: usize) {
         for slice in slice_count().indices() {
             if !self.may_start(server, slice) {
@@ -132,14 +133,14 @@
                 );
                 self.violations.push(text);
             }
-            if self.gone.contains(slice) {
+            if self.released.contains(slice) {
                 let text = format!("slice {} came back", slice.get());
                 self.violations.push(text);
             }
         }
     }
 
-    /// The oracle: a server that checks no fence has one keeper.
+    /// Oracle: a server that checks no fences has one keeper.
     pub(super) fn check_keepers(&mut self) {
         for server in self.servers.iter().filter(|s| !s.checks_fence) {
             let keeps = |vm: &&Vm| {
--- a/goldcrestramp-ownership/tests/ownership/fault.rs
+++ b/goldcrestramp-ownership/tests/ownership/fault.rs
@@ -1,4 +1,4 @@
-//! What may happen to the world.
+//! The faults and changes that can be applied to a simulated cluster.
 
 use proptest::prelude::*;
 
@@ -7,16 +7,17 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// Time passes; the seed decides delays and losses.
+    /// Time passes; the seed determines delays and losses.
     Run {
         millis: u64,
         seed: u64,
     },
-    /// From now on messages are lost, doubled, or late by up to `late`.
-    Weather {
+    /// From now on messages are lost or duplicated with these percentages,
+    /// and delayed by up to about `delay` ms.
+    Network {
         loss: u64,
-        double: u64,
-        late: u64,
+        duplicate: u64,
+        delay: u64,
     },
     KillVm(usize),
     StartVm(usize),
@@ -26,43 +27,44 @@
     StartServer(usize),
     PauseServer(usize),
     ResumeServer(usize),
-    /// Two VMs do not reach each other.
+    /// Two VMs cannot reach each other.
     CutVms(usize, usize),
     CutServer(usize, usize),
     CutStore(usize),
-    /// Messages from a VM to a server are late by so many milliseconds.
+    /// Messages from a VM to a server are delayed by this many milliseconds.
     SlowServer(usize, usize, u64),
     HealLinks,
     StoreDown,
     StoreUp,
-    /// Writes take effect and their answers are lost.
-    StoreMute,
-    /// The store comes back with an older record.
-    StoreOld,
-    /// The VM list turns empty, or whole again.
+    /// Writes take effect, but their answers are lost.
+    StoreDropsReplies,
+    /// The store is restored with an older record.
+    StoreRestored,
+    /// The VM list becomes empty, or complete again.
     ListEmpty(bool),
     Delist(usize, bool),
     Drain(usize, bool),
     LeavingVm(usize, bool),
     Move(u16, usize),
-    /// The planner wants these slices out of the domain.
-    GiveAway(u16),
+    /// The planner moves this slice out of the domain.
+    Release(u16),
 }
 
-/// Any fault of a domain of so many VMs; time passes between most of them.
+/// Generates any fault of a domain of `vms` VMs; time passes between most of
+/// them.
 pub fn any_fault(vms: usize) -> impl Strategy<Value = Fault> {
     let vm = move || 0..vms;
     let server = || 0..SERVERS;
     let run = prop_oneof![1..60_u64, 60..700_u64, 700..3_000_u64];
-    let calm = Just(Fault::Weather { loss: 0, double: 0, late: 5 });
-    let rough = (0..40_u64, 0..20_u64, 5..2_500_u64).prop_map(
-        |(loss, double, late)| Fault::Weather { loss, double, late },
+    let reliable = Just(Fault::Network { loss: 0, duplicate: 0, delay: 5 });
+    let unreliable = (0..40_u64, 0..20_u64, 5..2_500_u64).prop_map(
+        |(loss, duplicate, delay)| Fault::Network { loss, duplicate, delay },
     );
     prop_oneof![
         40 => (run, any::<u64>())
             .prop_map(|(millis, seed)| Fault::Run { millis, seed }),
-        4 => calm,
-        3 => rough,
+        4 => reliable,
+        3 => unreliable,
         2 => vm().prop_map(Fault::KillVm),
         4 => vm().prop_map(Fault::StartVm),
         3 => vm().prop_map(Fault::PauseVm),
@@ -75,11 +77,11 @@
         3 => (vm(), server()).prop_map(|(a, b)| Fault::CutServer(a, b)),
         1 => vm().prop_map(Fault::CutStore),
         2 => (vm(), server(), 100..2_500_u64)
-            .prop_map(|(a, b, late)| Fault::SlowServer(a, b, late)),
+            .prop_map(|(a, b, delay)| Fault::SlowServer(a, b, delay)),
         4 => Just(Fault::HealLinks),
         2 => prop_oneof![
-            Just(Fault::StoreDown), Just(Fault::StoreMute),
-            Just(Fault::StoreOld),
+            Just(Fault::StoreDown), Just(Fault::StoreDropsReplies),
+            Just(Fault::StoreRestored),
         ],
         3 => Just(Fault::StoreUp),
         1 => any::<bool>().prop_map(Fault::ListEmpty),
@@ -88,6 +90,6 @@
         2 => (vm(), any::<bool>())
             .prop_map(|(a, b)| Fault::LeavingVm(a, b)),
         6 => (0..16_u16, server()).prop_map(|(a, b)| Fault::Move(a, b)),
-        1 => (0..16_u16).prop_map(Fault::GiveAway),
+        1 => (0..16_u16).prop_map(Fault::Release),
     ]
 }
--- a/goldcrestramp-ownership/tests/ownership/fuzz.rs
+++ b/goldcrestramp-ownership/tests/ownership/fuzz.rs
@@ -1,4 +1,5 @@
-//! Any order of faults: no slice has two owners, and all recover.
+//! Fuzz tests: under any sequence of faults no slice has two owners, and the
+//! domain recovers afterwards.
 
 use std::{sync::atomic::Ordering, thread};
 
@@ -10,17 +11,16 @@
 use proptest_state_machine::ReferenceStateMachine;
 
 use crate::{
+    cluster::SimulatedCluster,
     fault::{Fault, VMS, any_fault},
-    world::World,
 };
 
-/// Faults of one case.
+/// The number of faults in one case.
 const STEPS: usize = 100;
 const SEED: u64 = 0x60_1D;
 const DEFAULT_CASES: u32 = 256;
 
-/// Which faults may come next in a domain of so many VMs: any, whatever
-/// came before.
+/// The faults of a domain of `COUNT` VMs, each independent of those before.
 #[derive(Debug)]
 struct AnyFaults<const COUNT: usize>;
 
@@ -39,35 +39,40 @@
     fn apply(_state: (), _transition: &Fault) {}
 }
 
-/// What the oracle finds wrong with a run of faults, if anything.
-pub fn judge(faults: &[Fault], safeguards: Safeguards) -> Option<String> {
-    judge_domain(VMS, faults, safeguards)
+/// The first violation that a sequence of faults causes, if any.
+pub fn first_failure(
+    faults: &[Fault],
+    safeguards: Safeguards,
+) -> Option<String> {
+    first_failure_of(VMS, faults, safeguards)
 }
 
-/// The same in a domain of so many VMs.
-pub fn judge_domain(
+/// Like [`first_failure`], in a domain of `vms` VMs.
+pub fn first_failure_of(
     vms: usize,
     faults: &[Fault],
     safeguards: Safeguards,
 ) -> Option<String> {
-    let mut world = World::new(vms, &[true, false, true, false], safeguards);
-    world.run(4_000);
+    let mut cluster =
+        SimulatedCluster::new(vms, &[true, false, true, false], safeguards);
+    cluster.run(4_000);
     for fault in faults {
-        world.fault(fault);
-        if let Some(violation) = world.violations.first() {
+        cluster.fault(fault);
+        if let Some(violation) = cluster.violations.first() {
             return Some(violation.clone());
         }
     }
-    world.recover();
-    if let Some(violation) = world.violations.first() {
+    cluster.recover();
+    if let Some(violation) = cluster.violations.first() {
         return Some(violation.clone());
     }
-    let served = world.served();
-    let missing = world.expected().iter().find(|s| !served.contains(*s));
+    let served = cluster.served();
+    let missing = cluster.expected().iter().find(|s| !served.contains(*s));
     missing.map(|slice| format!("slice {} is not served", slice.get()))
 }
 
-/// The smallest run of faults found that the oracle objects to.
+/// Searches for a sequence of faults that causes a violation, and returns the
+/// smallest one found.
 pub fn search<const COUNT: usize>(
     cases: u32,
     seed: u64,
@@ -86,7 +91,7 @@
         if let Some(seen) = seen {
             seen.store(faults.len(), Ordering::SeqCst);
         }
-        match judge_domain(COUNT, &faults, safeguards) {
+        match first_failure_of(COUNT, &faults, safeguards) {
             Some(violation) => Err(TestCaseError::fail(violation)),
             None => Ok(()),
         }
@@ -104,21 +109,22 @@
     std::env::var(name).ok().and_then(|text| text.parse().ok())
 }
 
-/// How many cases to run; `scale` of them, in percent.
+/// The number of cases to run: `scale` percent of the configured number.
 fn cases(scale: u32) -> u32 {
     let cases = from_environment("GOLDCRESTRAMP_FUZZ_CASES");
     cases.unwrap_or(DEFAULT_CASES) * scale / 100
 }
 
-/// The seed of the first part; a search of one's own takes another.
+/// The seed of the first part, which a separate search may override.
 fn first_seed() -> u64 {
     from_environment("GOLDCRESTRAMP_FUZZ_SEED").unwrap_or(SEED)
 }
 
 fn search_all<const COUNT: usize>(cases: u32) {
     let threads = thread::available_parallelism().map_or(1, usize::from);
-    let threads = u32::try_from(threads.min(12)).expect("small");
-    // The seeds depend on no machine: 16 parts, whoever runs them.
+    let threads = u32::try_from(threads.min(12)).expect("thread count fits");
+    // The seeds must not depend on the machine, so there are always 16 parts,
+    // whatever the number of threads.
     let parts: Vec<u64> = (0..16).collect();
     let share = cases.div_ceil(16);
     for group in parts.chunks(threads as usize) {
@@ -142,14 +148,15 @@
     search_all::<VMS>(cases(100));
 }
 
-// One of two is no majority of two: such a domain lives by the reduction of
-// its roster, and each VM may reduce it while the other still leads.
+// One of two voters is no majority, so such a domain recovers only by the
+// reduction of its roster. Each VM may reduce it while the other still leads.
 #[test]
 fn any_faults_leave_one_owner_in_a_domain_of_two() {
     search_all::<2>(cases(50));
 }
 
-// Three are the least that need no reduction, and become two by one.
+// Three is the smallest number of voters that tolerates a loss without a
+// reduction of the roster. One reduction makes them two.
 #[test]
 fn any_faults_leave_one_owner_in_a_domain_of_three() {
     search_all::<3>(cases(50));
--- a/goldcrestramp-ownership/tests/ownership/late_grants.rs
+++ b/goldcrestramp-ownership/tests/ownership/late_grants.rs
@@ -1,22 +1,22 @@
-//! Runs of faults in which a late grant undid what came after it, at a
-//! server that checks no fences. They stay as they were found.
+//! Sequences of faults in which a late grant undid later orders, at a server
+//! that checks no fences. They are kept as the fuzzer found them.
 
 use goldcrestramp_ownership::Safeguards;
 
 use crate::{
     fault::Fault,
-    fuzz::judge_domain,
-    regressions::{run, weather},
+    fuzz::first_failure_of,
+    regressions::{network, run},
 };
 
 /// In a domain of four VMs.
-fn among_four() -> Vec<Fault> {
+fn with_four_vms() -> Vec<Fault> {
     vec![
         Fault::Drain(0, true),
         run(1769, 15042952885731358107),
-        weather(0, 0, 974),
+        network(0, 0, 974),
         run(45, 2776601345750153239),
-        weather(0, 0, 5),
+        network(0, 0, 5),
         run(35, 0),
         run(2795, 8198115809090612021),
         Fault::HealLinks,
@@ -37,7 +37,7 @@
         Fault::KillVm(3),
         Fault::ResumeServer(2),
         Fault::ListEmpty(true),
-        Fault::GiveAway(0),
+        Fault::Release(0),
         Fault::StartVm(2),
         Fault::KillServer(1),
         run(1924, 15575063265930027122),
@@ -47,10 +47,10 @@
         run(159, 6694620138456421252),
         Fault::CutServer(0, 2),
         run(1094, 14625932120740294129),
-        weather(24, 19, 2376),
+        network(24, 19, 2376),
         run(59, 12309426761041428708),
         run(2866, 8375263496746536910),
-        weather(18, 2, 472),
+        network(18, 2, 472),
         run(271, 6421618357075812245),
         Fault::KillVm(0),
         run(784, 2801291033516821605),
@@ -82,7 +82,7 @@
 }
 
 /// In a domain of three VMs.
-fn among_three() -> Vec<Fault> {
+fn with_three_vms() -> Vec<Fault> {
     vec![
         run(1802, 14412948276250347820),
         run(2178, 4652513048429857570),
@@ -93,7 +93,7 @@
         run(284, 747063470275067617),
         Fault::PauseVm(1),
         run(164, 0),
-        weather(13, 18, 216),
+        network(13, 18, 216),
         run(934, 13619424171119888803),
         run(599, 197212263814635681),
         Fault::CutVms(1, 2),
@@ -113,7 +113,7 @@
         run(1811, 3273126744865208760),
         Fault::StartServer(2),
         Fault::HealLinks,
-        weather(0, 0, 5),
+        network(0, 0, 5),
         Fault::CutStore(1),
         run(2284, 11437785711587147271),
         Fault::HealLinks,
@@ -131,29 +131,29 @@
         run(2643, 13657060831608552523),
         run(638, 9977539423046427391),
         Fault::ResumeServer(1),
-        weather(18, 8, 308),
+        network(18, 8, 308),
         run(1383, 10694446197819317479),
         run(1791, 11757829709695917704),
     ]
 }
 
-/// A grant that was forgotten, in a domain of three VMs.
-fn forgotten_among_three() -> Vec<Fault> {
+/// In a domain of three VMs, where a keeper had lost track of a grant.
+fn lost_grant() -> Vec<Fault> {
     vec![
         Fault::StoreDown,
         run(26, 0),
         run(33, 0),
         run(2156, 9734171605935463771),
-        weather(38, 15, 2100),
+        network(38, 15, 2100),
         run(2485, 7473184008592157642),
         Fault::StoreUp,
         Fault::CutServer(1, 3),
-        weather(0, 0, 5),
+        network(0, 0, 5),
         run(479, 15544952922021677414),
         Fault::LeavingVm(0, true),
         run(916, 8436869398337533746),
         Fault::HealLinks,
-        weather(0, 10, 1315),
+        network(0, 10, 1315),
         run(575, 15559076093219259664),
         Fault::StartVm(1),
         Fault::StoreUp,
@@ -165,7 +165,7 @@
         Fault::StartServer(0),
         run(1689, 4568698246420048130),
         run(605, 12677092485105067355),
-        weather(0, 0, 5),
+        network(0, 0, 5),
         Fault::KillVm(2),
         Fault::StartServer(2),
         Fault::SlowServer(1, 1, 199),
@@ -176,11 +176,11 @@
 }
 
 #[test]
-fn what_late_grants_once_did_is_over() {
+fn known_sequences_with_late_grants_pass() {
     for (vms, faults) in
-        [(4, among_four()), (3, among_three()), (3, forgotten_among_three())]
+        [(4, with_four_vms()), (3, with_three_vms()), (3, lost_grant())]
     {
-        let wrong = judge_domain(vms, &faults, Safeguards::default());
+        let wrong = first_failure_of(vms, &faults, Safeguards::default());
         assert_eq!(wrong, None, "among {vms}");
     }
 }
--- a/goldcrestramp-ownership/tests/ownership/message.rs
+++ b/goldcrestramp-ownership/tests/ownership/message.rs
@@ -1,4 +1,4 @@
-//! What travels between the nodes of the world.
+//! The messages between the nodes of a simulated cluster.
 
 use goldcrestramp_ownership::{
     ConfirmAnswer, ConfirmAsk, DomainRecord, KeeperReport, PermitAnswer,
@@ -7,7 +7,7 @@
 use goldcrestramp_types::{LocalTime, TermId, VmName};
 use goldcrestramp_wire::server::{GrantOrder, GrantReply};
 
-/// A machine of the world.
+/// A node of a simulated cluster.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Node {
     Vm(usize),
@@ -15,7 +15,7 @@
     Store,
 }
 
-/// The process of a VM that sent a message.
+/// The VM process that sent a message.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Origin {
     pub vm: usize,
--- a/goldcrestramp-ownership/tests/ownership/mutations.rs
+++ b/goldcrestramp-ownership/tests/ownership/mutations.rs
@@ -1,7 +1,7 @@
-//! Each safeguard taken out makes a test fail.
+//! Each safeguard is needed: a test fails without it.
 //!
-//! Every test runs one story twice: with all safeguards nothing is wrong,
-//! without the one that it names the oracle objects.
+//! Every test runs one scenario twice. With all safeguards there is no
+//! violation; without the named one the oracle finds a violation.
 
 use std::sync::Arc;
 
@@ -15,187 +15,199 @@
 };
 use goldcrestramp_wire::server::GrantOrder;
 
-use crate::{fault::Fault, standin::domain_name, world::World};
+use crate::{cluster::SimulatedCluster, fault::Fault, nodes::domain_name};
 
-/// Runs a story in many phases; what the oracle first objects to.
-fn first_wrong(phases: u64, story: impl Fn(u64) -> World) -> Option<String> {
-    (0..phases).find_map(|phase| story(phase).violations.first().cloned())
+/// Runs a scenario in several phases, and returns the first violation.
+fn first_violation(
+    phases: u64,
+    scenario: impl Fn(u64) -> SimulatedCluster,
+) -> Option<String> {
+    (0..phases).find_map(|phase| scenario(phase).violations.first().cloned())
 }
 
-fn assert_needed(
+fn assert_required(
     safeguard: Safeguard,
     phases: u64,
-    story: impl Fn(Safeguards, u64) -> World,
+    scenario: impl Fn(Safeguards, u64) -> SimulatedCluster,
 ) {
-    let with = first_wrong(phases, |p| story(Safeguards::default(), p));
+    let with = first_violation(phases, |p| scenario(Safeguards::default(), p));
     let off = Safeguards::without(safeguard);
-    let without = first_wrong(phases, |p| story(off, p));
+    let without = first_violation(phases, |p| scenario(off, p));
     assert_eq!(with, None, "with all safeguards");
     assert!(without.is_some(), "nothing is wrong without {safeguard:?}");
 }
 
-fn started(safeguards: Safeguards, checks: &[bool], phase: u64) -> World {
-    let mut world = World::new(4, checks, safeguards);
-    world.run(8_000);
-    world.fault(&Fault::Run { millis: 13 * phase, seed: phase });
-    world
+fn started_cluster(
+    safeguards: Safeguards,
+    checks: &[bool],
+    phase: u64,
+) -> SimulatedCluster {
+    let mut cluster = SimulatedCluster::new(4, checks, safeguards);
+    cluster.run(8_000);
+    cluster.fault(&Fault::Run { millis: 13 * phase, seed: phase });
+    cluster
 }
 
-/// A server whose keeper is, or is not, the steward's own VM.
-fn server_kept(world: &World, by_leader: bool) -> usize {
-    let leader = world.leader();
-    let mut servers = 0..world.servers.len();
-    let found = servers.find(|s| (world.keeper_of(*s) == leader) == by_leader);
+/// Finds a server whose keeper is, or is not, the steward's own VM.
+fn find_server(cluster: &SimulatedCluster, by_leader: bool) -> usize {
+    let leader = cluster.leader();
+    let mut servers = 0..cluster.servers.len();
+    let found =
+        servers.find(|s| (cluster.keeper_of(*s) == leader) == by_leader);
     found.expect("servers are spread over VMs")
 }
 
-fn cut_off(world: &mut World, vm: usize) {
-    for other in 0..world.vms.len() {
-        world.fault(&Fault::CutVms(vm, other));
+fn isolate_vm(cluster: &mut SimulatedCluster, vm: usize) {
+    for other in 0..cluster.vms.len() {
+        cluster.fault(&Fault::CutVms(vm, other));
     }
 }
 
-// A keeper is paused and its server checks no fence. Without the wait the
-// next keeper begins while the first may wake and send.
+// A keeper is paused and its server checks no fences. Without the wait the
+// next keeper starts while the first one may still resume and send.
 #[test]
-fn a_server_without_fences_waits_for_its_former_keeper() {
-    assert_needed(Safeguard::KeeperWait, 4, |safeguards, phase| {
-        let mut world = started(safeguards, &[false; 4], phase);
-        let server = server_kept(&world, false);
-        let keeper = world.keeper_of(server).expect("it is kept");
-        world.fault(&Fault::PauseVm(keeper));
-        world.run(3_000);
-        world
+fn a_server_without_fences_waits_for_its_previous_keeper() {
+    assert_required(Safeguard::KeeperWait, 4, |safeguards, phase| {
+        let mut cluster = started_cluster(safeguards, &[false; 4], phase);
+        let server = find_server(&cluster, false);
+        let keeper = cluster.keeper_of(server).expect("server has a keeper");
+        cluster.fault(&Fault::PauseVm(keeper));
+        cluster.run(3_000);
+        cluster
     });
 }
 
 // A keeper is cut off from its steward and its last order is late. The next
-// keeper has raised the fence; without it the late order is taken.
+// keeper has raised the fence; without it the late order is accepted.
 #[test]
-fn a_server_refuses_the_orders_of_its_former_keeper() {
-    assert_needed(Safeguard::FenceCheck, 20, |safeguards, phase| {
-        let mut world = started(safeguards, &[true; 4], phase);
-        let server = server_kept(&world, false);
-        let keeper = world.keeper_of(server).expect("it is kept");
-        let leader = world.leader().expect("one leads");
-        world.fault(&Fault::SlowServer(keeper, server, 450));
-        world.fault(&Fault::CutVms(keeper, leader));
-        world.run(3_000);
-        world
+fn a_server_refuses_the_orders_of_its_previous_keeper() {
+    assert_required(Safeguard::FenceCheck, 20, |safeguards, phase| {
+        let mut cluster = started_cluster(safeguards, &[true; 4], phase);
+        let server = find_server(&cluster, false);
+        let keeper = cluster.keeper_of(server).expect("server has a keeper");
+        let leader = cluster.leader().expect("a steward leads");
+        cluster.fault(&Fault::SlowServer(keeper, server, 450));
+        cluster.fault(&Fault::CutVms(keeper, leader));
+        cluster.run(3_000);
+        cluster
     });
 }
 
-// A server without fences is granted slices and gives one up at once, while
-// a second copy of the grant is still on its way. Taken, it would make the
-// server own that slice again, which is another's by then.
+// A server without fences is granted slices and releases one at once, while a
+// duplicate of the grant is still in flight. If it accepted the duplicate, it
+// would own that slice again, although another server owns it by then.
 #[test]
-fn a_copy_of_an_answered_grant_takes_nothing_back() {
-    assert_needed(Safeguard::GrantCopy, 200, |safeguards, phase| {
-        let mut world = started(safeguards, &[false, false], phase);
-        world.fault(&Fault::Weather { loss: 0, double: 100, late: 300 });
+fn a_duplicate_of_an_acknowledged_grant_restores_nothing() {
+    assert_required(Safeguard::GrantCopy, 200, |safeguards, phase| {
+        let mut cluster = started_cluster(safeguards, &[false, false], phase);
+        cluster.fault(&Fault::Network { loss: 0, duplicate: 100, delay: 300 });
         for (slice, server) in [(0, 1), (0, 0), (1, 1), (1, 0)] {
-            world.fault(&Fault::Move(slice, server));
-            world.run(150);
+            cluster.fault(&Fault::Move(slice, server));
+            cluster.run(150);
         }
-        world
+        cluster
     });
 }
 
-// A server that checks fences has got a new keeper, and a slice has left it,
-// when it restarts and forgets its fence. The former keeper, cut off from
-// the steward alone, sees the new run: it must not grant what it knows.
+// A server that checks fences has a new keeper and has released a slice when
+// it restarts and loses its fence. The previous keeper, cut off only from the
+// steward, sees the new instance. It must not grant the outdated set of
+// slices.
 #[test]
-fn a_restarted_server_takes_no_grant_of_its_former_keeper() {
-    assert_needed(Safeguard::RunPermit, 40, |safeguards, phase| {
-        let mut world = started(safeguards, &[true; 4], phase);
-        let server = server_kept(&world, false);
-        let keeper = world.keeper_of(server).expect("it is kept");
-        let leader = world.leader().expect("one leads");
-        let slice = (0..16).find(|s| world.owner(*s) == Some(server));
-        world.fault(&Fault::CutVms(keeper, leader));
-        world.run(500);
-        let slice = slice.expect("it holds some");
-        world.fault(&Fault::Move(slice, (server + 1) % 4));
-        world.run(150);
-        world.fault(&Fault::StartServer(server));
-        world.run(2_000);
-        world
+fn a_restarted_server_gets_no_grant_of_its_previous_keeper() {
+    assert_required(Safeguard::RunPermit, 40, |safeguards, phase| {
+        let mut cluster = started_cluster(safeguards, &[true; 4], phase);
+        let server = find_server(&cluster, false);
+        let keeper = cluster.keeper_of(server).expect("server has a keeper");
+        let leader = cluster.leader().expect("a steward leads");
+        let slice = (0..16).find(|s| cluster.owner(*s) == Some(server));
+        cluster.fault(&Fault::CutVms(keeper, leader));
+        cluster.run(500);
+        let slice = slice.expect("server owns a slice");
+        cluster.fault(&Fault::Move(slice, (server + 1) % 4));
+        cluster.run(150);
+        cluster.fault(&Fault::StartServer(server));
+        cluster.run(2_000);
+        cluster
     });
 }
 
 // The steward has written a roster with a second voter, and is cut off from
-// it and from the store before that one confirmed. By the roster before it
-// goes on alone; were the second one to take it out, that one would too.
+// that voter and from the store before the voter confirms. The steward
+// continues alone by the previous roster. If the second voter could remove the
+// steward from the new roster, it would lead alone too.
 #[test]
-fn only_a_roster_that_was_adopted_is_reduced() {
-    assert_needed(Safeguard::RosterAdopted, 100, |safeguards, phase| {
-        let mut world = World::new(2, &[false, false], safeguards);
-        world.run(2_200 + 2 * phase);
-        if let Some(leader) = world.leader() {
-            world.fault(&Fault::CutVms(0, 1));
-            world.fault(&Fault::CutStore(leader));
+fn only_an_adopted_roster_is_reduced() {
+    assert_required(Safeguard::RosterAdopted, 100, |safeguards, phase| {
+        let mut cluster =
+            SimulatedCluster::new(2, &[false, false], safeguards);
+        cluster.run(2_200 + 2 * phase);
+        if let Some(leader) = cluster.leader() {
+            cluster.fault(&Fault::CutVms(0, 1));
+            cluster.fault(&Fault::CutStore(leader));
         }
-        world.run(4_000);
-        world
+        cluster.run(4_000);
+        cluster
     });
 }
 
-/// The steward's VM is cut off with the servers that it keeps.
-fn steward_cut_off(safeguards: Safeguards, phase: u64) -> World {
-    let mut world = started(safeguards, &[false; 4], phase);
-    let leader = world.leader().expect("one leads");
-    cut_off(&mut world, leader);
-    world.run(4_000);
-    world
+/// The steward's VM is cut off together with the servers that it keeps.
+fn steward_cut_off(safeguards: Safeguards, phase: u64) -> SimulatedCluster {
+    let mut cluster = started_cluster(safeguards, &[false; 4], phase);
+    let leader = cluster.leader().expect("a steward leads");
+    isolate_vm(&mut cluster, leader);
+    cluster.run(4_000);
+    cluster
 }
 
-// A steward is cut off and permits its own keeper to the last. Without the
-// wait the next one gives the server another keeper at once.
+// A steward is cut off and permits its own keeper until its time ends. Without
+// the wait the next steward assigns the server another keeper at once.
 #[test]
-fn a_new_steward_waits_until_the_former_one_is_over() {
-    assert_needed(Safeguard::MoveWait, 40, steward_cut_off);
+fn a_new_steward_waits_until_the_previous_ones_time_has_ended() {
+    assert_required(Safeguard::MoveWait, 40, steward_cut_off);
 }
 
-// The same, but it permits for longer than it may act itself.
+// As above, but the steward gives permits beyond the end of its own time.
 #[test]
 fn a_permit_ends_with_its_steward() {
-    assert_needed(Safeguard::PermitBound, 40, steward_cut_off);
+    assert_required(Safeguard::PermitBound, 40, steward_cut_off);
 }
 
-// A server is cut off from its keeper alone and goes on executing. Without
-// the wait for its grant's end its slices are granted to others.
+// A server is cut off only from its keeper and continues to execute. Without
+// the wait for the end of its grant its slices are granted to others.
 #[test]
-fn a_lost_server_is_waited_for() {
-    assert_needed(Safeguard::LossWait, 20, |safeguards, phase| {
-        let mut world =
-            started(safeguards, &[true, false, true, false], phase);
-        let keeper = world.keeper_of(0).expect("it is kept");
-        world.fault(&Fault::CutServer(keeper, 0));
-        world.run(3_000);
-        world
+fn slices_of_a_lost_server_wait_for_the_end_of_its_grant() {
+    assert_required(Safeguard::LossWait, 20, |safeguards, phase| {
+        let mut cluster =
+            started_cluster(safeguards, &[true, false, true, false], phase);
+        let keeper = cluster.keeper_of(0).expect("server has a keeper");
+        cluster.fault(&Fault::CutServer(keeper, 0));
+        cluster.run(3_000);
+        cluster
     });
 }
 
-// A server restarts, its clock anew, while a grant for its former run sits
-// in a socket, and its keeper loses it. By the new clock that grant would
-// last for seconds, long after its slices went to others.
+// A server restarts, and with it its clock, while a grant for its previous
+// instance waits in a socket and its keeper is cut off. On the new clock that
+// grant would last for seconds, long after its slices have moved to others.
 #[test]
-fn a_grant_for_a_former_run_is_refused() {
-    assert_needed(Safeguard::RunNumber, 60, |safeguards, phase| {
-        let mut world = started(safeguards, &[true, false, true, false], 0);
-        let keeper = world.keeper_of(1).expect("it is kept");
-        world.fault(&Fault::SlowServer(keeper, 1, 100));
-        world.fault(&Fault::Move(0, 1));
-        world.run(10 * phase);
-        world.fault(&Fault::StartServer(1));
-        world.fault(&Fault::CutServer(keeper, 1));
-        world.run(4_000);
-        world
+fn a_grant_for_a_previous_instance_is_refused() {
+    assert_required(Safeguard::RunNumber, 60, |safeguards, phase| {
+        let mut cluster =
+            started_cluster(safeguards, &[true, false, true, false], 0);
+        let keeper = cluster.keeper_of(1).expect("server has a keeper");
+        cluster.fault(&Fault::SlowServer(keeper, 1, 100));
+        cluster.fault(&Fault::Move(0, 1));
+        cluster.run(10 * phase);
+        cluster.fault(&Fault::StartServer(1));
+        cluster.fault(&Fault::CutServer(keeper, 1));
+        cluster.run(4_000);
+        cluster
     });
 }
 
 fn ask(number: u64, roster: u64) -> ConfirmAsk {
-    let vm = VmName::new(&format!("vm-{number}")).expect("a name");
+    let vm = VmName::new(&format!("vm-{number}")).expect("name is valid");
     ConfirmAsk {
         domain: domain_name(),
         address: Arc::from("10.0.0.1:1"),
@@ -213,9 +225,9 @@
     LocalTime::from_micros(millis * 1_000)
 }
 
-// A VM confirms a steward and is replaced at once. Its new process knows
-// nothing of that: voting now, it would help a second one to a majority
-// within the first one's time.
+// A VM confirms a steward and is replaced at once. Its new process does not
+// know of that confirmation. If it voted now, it could complete the majority
+// of a second steward within the first one's time.
 #[test]
 fn a_voter_is_silent_after_its_start() {
     for (safeguards, answer) in [
@@ -232,8 +244,8 @@
     }
 }
 
-// A candidate that slept through two roster changes asks with the roster
-// before them. Its majority need not meet the present one.
+// A candidate that was paused during two roster changes sends requests with
+// the roster before them. Its majority need not overlap the current one.
 #[test]
 fn a_voter_refuses_an_old_roster() {
     for (safeguards, confirms) in [
@@ -249,26 +261,27 @@
     }
 }
 
-// A keeper with a slow clock is cut off from a steward with a fast one: by
-// the keeper's clock its permit lasts 4% longer than by the steward's.
+// A keeper with a slow clock is cut off from a steward with a fast one. Its
+// permit lasts 4% longer on its own clock than on the steward's.
 #[test]
-fn clocks_may_differ_in_rate() {
-    assert_needed(Safeguard::DriftAllowance, 30, |safeguards, phase| {
+fn a_permit_ends_in_time_on_a_slow_clock() {
+    assert_required(Safeguard::DriftAllowance, 30, |safeguards, phase| {
         let lease = TimeSpan::from_millis(3_000);
         let timing = TermTiming { lease, safeguards, ..TermTiming::default() };
-        let mut world = World::with_timing(4, &[false; 4], timing);
-        world.run(20_000);
-        world.fault(&Fault::Run { millis: 13 * phase, seed: phase });
-        let leader = world.leader().expect("one leads");
-        let server = server_kept(&world, false);
-        let keeper = world.keeper_of(server).expect("it is kept");
-        let now = world.now;
-        world.vms[leader].clock.set_rate(now, 1_020);
-        world.vms[keeper].clock.set_rate(now, 980);
-        world.run(2_000);
-        cut_off(&mut world, keeper);
-        world.run(12_000);
-        world
+        let mut cluster =
+            SimulatedCluster::with_timing(4, &[false; 4], timing);
+        cluster.run(20_000);
+        cluster.fault(&Fault::Run { millis: 13 * phase, seed: phase });
+        let leader = cluster.leader().expect("a steward leads");
+        let server = find_server(&cluster, false);
+        let keeper = cluster.keeper_of(server).expect("server has a keeper");
+        let now = cluster.now;
+        cluster.vms[leader].clock.set_rate(now, 1_020);
+        cluster.vms[keeper].clock.set_rate(now, 980);
+        cluster.run(2_000);
+        isolate_vm(&mut cluster, keeper);
+        cluster.run(12_000);
+        cluster
     });
 }
 
@@ -278,7 +291,7 @@
 }
 
 fn slice(number: u32) -> SliceIndex {
-    SliceIndex::new(number).expect("in range")
+    SliceIndex::new(number).expect("slice is in range")
 }
 
 fn grant(sequence: u64, number: u32, deadline: u64) -> GrantOrder {
@@ -295,8 +308,8 @@
     ServerTime::from_micros(micros)
 }
 
-// A grant lapses, and its slice may be another server's by now. Then an
-// extension arrives that sat in a socket: the server must not execute.
+// A grant lapses, and another server may own its slice by now. Then an
+// extension arrives that waited in a socket. The server must not execute.
 #[test]
 fn a_late_extension_revives_no_grant() {
     for (safeguards, revived) in [
@@ -315,8 +328,9 @@
     }
 }
 
-// A server without fences was frozen; an order from before its present
-// grant arrives after its own deadline. Taken, it would end that grant.
+// A server without fences was frozen. An order from before its current grant
+// arrives after the order's own deadline. If accepted, it would end that
+// grant.
 #[test]
 fn a_late_order_is_refused() {
     for (safeguards, serves) in [
--- a/goldcrestramp-ownership/tests/ownership/standin.rs
+++ b/goldcrestramp-ownership/tests/ownership/nodes.rs
@@ -1,4 +1,4 @@
-//! The nodes: VMs that bind the machines, servers, and the store.
+//! The simulated nodes: VMs that run the machines, servers, and the store.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -21,18 +21,18 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     pub base: u64,
-    pub born: u64,
+    pub started_at: u64,
     pub per_mille: u64,
 }
 
 impl Clock {
     pub fn read(self, now: u64) -> u64 {
-        self.base + (now - self.born) * self.per_mille / 1_000
+        self.base + (now - self.started_at) * self.per_mille / 1_000
     }
 
-    /// Goes on from the present reading at another rate.
+    /// Continues from the current reading at another rate.
     pub fn set_rate(&mut self, now: u64, per_mille: u64) {
-        *self = Self { base: self.read(now), born: now, per_mille };
+        *self = Self { base: self.read(now), started_at: now, per_mille };
     }
 
     pub fn local(self, now: u64) -> LocalTime {
@@ -47,14 +47,15 @@
     pub voter: VoterState,
     pub steward: StewardMachine,
     pub keeper: KeeperMachine,
-    /// Orders under way: call, server, when sent.
+    /// The orders in flight by call: the server and when it was sent.
     pub calls: BTreeMap<u64, (ServerName, LocalTime)>,
     pub poll_until: LocalTime,
     pub polls: usize,
-    /// The VM asked last was no steward: ask the next one.
-    pub ask_next: bool,
-    /// The VM asked last, and whether it was the steward.
-    pub asked: (usize, bool),
+    /// Whether the VM reported to last was not the steward, so that the
+    /// next one is tried.
+    pub try_next: bool,
+    /// The VM reported to last, and whether it was the steward.
+    pub last_polled: (usize, bool),
     pub read_at: LocalTime,
 }
 
@@ -73,7 +74,7 @@
 impl Vm {
     pub fn new(index: usize, clock: Clock) -> Self {
         Self {
-            name: VmName::new(&format!("vm-{index}")).expect("a name"),
+            name: VmName::new(&format!("vm-{index}")).expect("name is valid"),
             address: Arc::from(format!("10.0.0.{index}:1")),
             clock,
             process: None,
@@ -112,8 +113,8 @@
             calls: BTreeMap::new(),
             poll_until: LocalTime::default(),
             polls: 0,
-            ask_next: false,
-            asked: (0, false),
+            try_next: false,
+            last_polled: (0, false),
             read_at: LocalTime::default(),
         });
     }
@@ -133,14 +134,15 @@
     pub holder: Option<GrantHolder>,
     pub paused: bool,
     pub inbox: VecDeque<Message>,
-    /// The highest token accepted in this run.
+    /// The highest token accepted in this instance.
     pub accepted: FenceToken,
 }
 
 impl Server {
     pub fn new(index: usize, checks_fence: bool, clock: Clock) -> Self {
         Self {
-            name: ServerName::new(&format!("s-{index}")).expect("a name"),
+            name: ServerName::new(&format!("s-{index}"))
+                .expect("name is valid"),
             checks_fence,
             draining: false,
             clock,
@@ -181,7 +183,7 @@
 #[derive(Debug, Default)]
 pub struct Store {
     pub down: bool,
-    pub mute: bool,
+    pub drops_replies: bool,
     pub roster: Option<VoterRoster>,
     pub records: Vec<DomainRecord>,
     pub plan: Option<Arc<DomainPlan>>,
@@ -221,7 +223,7 @@
             StoreCall::ReadPlan => StewardEvent::PlanRead(self.plan.clone()?),
             StoreCall::ReadVms => StewardEvent::VmsRead(self.vms.clone()),
         };
-        (!(writes && self.mute)).then_some(event)
+        (!(writes && self.drops_replies)).then_some(event)
     }
 
     fn save_roster(&mut self, roster: VoterRoster) -> Result<VoterRoster, ()> {
@@ -235,15 +237,15 @@
 }
 
 pub fn domain_name() -> DomainName {
-    DomainName::new("sierra-a").expect("a name")
+    DomainName::new("sierra-a").expect("name is valid")
 }
 
 pub fn service_name() -> ServiceName {
-    ServiceName::new("stock").expect("a name")
+    ServiceName::new("stock").expect("name is valid")
 }
 
 pub fn slice_count() -> SliceCount {
-    SliceCount::new(16).expect("a power of two")
+    SliceCount::new(16).expect("count is a power of two")
 }
 
 pub fn make_plan(
--- a/goldcrestramp-ownership/tests/ownership/random.rs
+++ b/goldcrestramp-ownership/tests/ownership/random.rs
@@ -1,4 +1,4 @@
-//! A small seeded generator, so that a world replays exactly.
+//! A small seeded generator, so that a simulated cluster is reproducible.
 
 /// `SplitMix64`.
 #[derive(Clone, Debug)]
--- a/goldcrestramp-ownership/tests/ownership/regressions.rs
+++ b/goldcrestramp-ownership/tests/ownership/regressions.rs
@@ -1,26 +1,26 @@
-//! Runs of faults that once failed; they stay as they were found.
+//! Sequences of faults that have failed before, kept as the fuzzer found them.
 
 use goldcrestramp_ownership::Safeguards;
 
-use crate::{fault::Fault, fuzz::judge};
+use crate::{fault::Fault, fuzz::first_failure};
 
 pub const fn run(millis: u64, seed: u64) -> Fault {
     Fault::Run { millis, seed }
 }
 
-pub const fn weather(loss: u64, double: u64, late: u64) -> Fault {
-    Fault::Weather { loss, double, late }
+pub const fn network(loss: u64, duplicate: u64, delay: u64) -> Fault {
+    Fault::Network { loss, duplicate, delay }
 }
 
-/// Each with what was wrong.
+/// Each sequence with the fault of the code that it found.
 fn found() -> Vec<(&'static str, Vec<Fault>)> {
     vec![
         (
-            "A store cut off for a moment: the record was asked for only once.",
+            "The record was requested only once, and the store was cut off.",
             vec![
                 Fault::CutStore(0),
                 run(124, 0),
-                weather(5, 2, 1464),
+                network(5, 2, 1464),
                 run(201, 9704546883666633779),
                 run(41, 4012516665093722549),
                 run(1, 0),
@@ -29,12 +29,12 @@
                 run(354, 81821696442734),
                 run(1, 0),
                 Fault::ResumeVm(0),
-                weather(0, 0, 5),
+                network(0, 0, 5),
                 run(941, 2972763454519827273),
             ],
         ),
         (
-            "A candidate took a silent voter out of the roster.",
+            "A candidate removed a silent voter from the roster.",
             vec![
                 run(231, 863950998062837481),
                 Fault::KillVm(0),
@@ -50,11 +50,11 @@
                 run(42, 0),
                 run(1614, 11183765446559500698),
                 run(1499, 3172001922053405945),
-                weather(14, 5, 689),
+                network(14, 5, 689),
                 run(1876, 10265708971833208214),
-                weather(0, 0, 5),
+                network(0, 0, 5),
                 run(21, 1711676351765643646),
-                weather(24, 4, 312),
+                network(24, 4, 312),
                 run(10, 43282185562468),
                 run(2638, 13633304017924679807),
                 Fault::KillServer(2),
@@ -67,11 +67,11 @@
                 Fault::StartServer(3),
                 run(411, 2512894507975828273),
                 run(48, 5708910396423368756),
-                weather(0, 0, 5),
+                network(0, 0, 5),
             ],
         ),
         (
-            "A candidate took a silent voter out while messages came late.",
+            "A candidate removed a silent voter while messages were late.",
             vec![
                 run(4, 0),
                 Fault::StartServer(3),
@@ -90,7 +90,7 @@
                 Fault::HealLinks,
                 Fault::Drain(3, true),
                 Fault::KillVm(0),
-                weather(10, 19, 470),
+                network(10, 19, 470),
                 Fault::StartServer(1),
                 Fault::Move(5, 0),
                 Fault::Move(6, 0),
@@ -98,14 +98,14 @@
             ],
         ),
         (
-            "A second copy of an answered grant came after its release.",
+            "A duplicate of an acknowledged grant arrived after its release.",
             vec![
                 Fault::KillServer(3),
                 Fault::StartServer(1),
                 run(397, 6869645084975909483),
                 Fault::StartServer(3),
                 Fault::StartServer(0),
-                Fault::GiveAway(0),
+                Fault::Release(0),
                 Fault::Move(0, 1),
                 run(2211, 11513719696818037770),
                 Fault::PauseServer(0),
@@ -115,7 +115,7 @@
                 run(53, 0),
                 run(347, 3397353197911999404),
                 run(6, 0),
-                weather(29, 0, 2430),
+                network(29, 0, 2430),
                 run(155, 644282491574135300),
                 Fault::LeavingVm(1, true),
                 run(115, 17179109051160466709),
@@ -125,17 +125,17 @@
                 run(2790, 8192109062760258495),
                 run(574, 11189165668672721489),
                 Fault::SlowServer(1, 0, 100),
-                weather(13, 15, 540),
+                network(13, 15, 540),
                 run(269, 2950877315496014261),
                 run(717, 9960047265844043730),
             ],
         ),
         (
-            "A restarted server forgot its fence; a former keeper granted.",
+            "A restarted server lost its fence; a previous keeper granted.",
             vec![
                 Fault::KillVm(3),
                 run(517, 4307076771329214310),
-                weather(21, 12, 796),
+                network(21, 12, 796),
                 run(45, 7199814819589597343),
                 Fault::PauseServer(0),
                 run(209, 264019511963524741),
@@ -148,7 +148,7 @@
                 run(9, 0),
                 run(1, 0),
                 Fault::ResumeVm(0),
-                weather(0, 0, 5),
+                network(0, 0, 5),
                 run(1, 0),
                 Fault::KillVm(0),
                 run(1264, 3258678807225956372),
@@ -161,7 +161,7 @@
             ],
         ),
         (
-            "A keeper whose permit had lapsed claimed a server without fences.",
+            "A keeper with a lapsed permit claimed a server without fences.",
             vec![
                 Fault::CutVms(1, 3),
                 run(392, 180795256134682992),
@@ -170,7 +170,7 @@
             ],
         ),
         (
-            "All voters replaced: the new steward's term was below its keepers'.",
+            "All voters replaced: the new term was below that of the keepers.",
             vec![
                 Fault::PauseVm(2),
                 Fault::KillVm(1),
@@ -192,7 +192,7 @@
             ],
         ),
         (
-            "A keeper had forgotten an order that its steward did not repeat.",
+            "A keeper had lost an order that its steward did not send again.",
             vec![
                 run(50, 0),
                 run(1425, 644401011068075757),
@@ -209,7 +209,7 @@
                 Fault::SlowServer(0, 0, 100),
                 Fault::KillVm(0),
                 run(2245, 3689684752660196640),
-                weather(23, 8, 465),
+                network(23, 8, 465),
                 Fault::KillServer(1),
                 Fault::HealLinks,
                 run(210, 1008145114940823811),
@@ -226,7 +226,7 @@
                 Fault::StartVm(0),
                 run(2196, 15986580152568766583),
                 run(1394, 6476780868896822203),
-                weather(36, 1, 132),
+                network(36, 1, 132),
                 run(13, 578505739567192561),
                 Fault::CutVms(0, 1),
                 run(358, 2827778946779503720),
@@ -246,7 +246,7 @@
                 run(58, 0),
                 run(2043, 3768905404859476303),
                 run(42, 0),
-                weather(31, 16, 1844),
+                network(31, 16, 1844),
                 run(32, 14916182203714116464),
                 run(43, 7653416358975092767),
                 Fault::Move(0, 1),
@@ -260,7 +260,7 @@
                 Fault::CutVms(0, 1),
                 run(211, 5287983086284782710),
                 Fault::StartVm(0),
-                weather(6, 19, 1882),
+                network(6, 19, 1882),
                 run(927, 7504279198044705235),
                 run(616, 16494154948671432375),
                 run(13, 0),
@@ -268,16 +268,16 @@
                 run(11, 0),
                 Fault::StartVm(2),
                 Fault::StartVm(0),
-                weather(0, 12, 1963),
+                network(0, 12, 1963),
                 run(339, 12865534412539461143),
-                weather(25, 18, 638),
+                network(25, 18, 638),
                 run(28, 0),
                 run(333, 12764750420635957487),
                 run(1741, 14115661558810662317),
                 run(396, 4407278199812990968),
                 run(2354, 12981519761157879730),
                 run(2253, 14092048093308453062),
-                weather(0, 0, 5),
+                network(0, 0, 5),
                 Fault::KillServer(2),
                 Fault::HealLinks,
                 run(42, 0),
@@ -290,7 +290,7 @@
                 run(16, 1914041671577947464),
                 run(270, 2609219710395278088),
                 Fault::CutStore(3),
-                weather(8, 14, 428),
+                network(8, 14, 428),
                 run(3, 0),
                 Fault::CutServer(3, 0),
                 Fault::Drain(3, true),
@@ -307,7 +307,7 @@
             ],
         ),
         (
-            "A new keeper took a server that it had not reached for empty.",
+            "A new keeper treated a server that it had not reached as empty.",
             vec![
                 Fault::LeavingVm(0, true),
                 Fault::SlowServer(2, 3, 143),
@@ -317,7 +317,7 @@
             ],
         ),
         (
-            "A steward with an older plan granted what had left.",
+            "A steward with an older plan granted slices that had left.",
             vec![
                 Fault::StoreDown,
                 Fault::CutServer(3, 1),
@@ -331,13 +331,13 @@
                 Fault::StartServer(2),
                 Fault::StartServer(0),
                 run(1094, 16930148702067152200),
-                weather(0, 0, 2238),
+                network(0, 0, 2238),
                 Fault::StoreUp,
                 run(251, 11875010091574522160),
                 Fault::StartVm(1),
-                Fault::GiveAway(6),
+                Fault::Release(6),
                 run(234, 0),
-                weather(0, 0, 5),
+                network(0, 0, 5),
                 Fault::SlowServer(0, 2, 200),
                 run(2012, 5093325399095961624),
                 Fault::StartVm(3),
@@ -346,20 +346,20 @@
             ],
         ),
         (
-            "A steward with an older plan granted what had left.",
+            "A steward with an older plan granted slices that had left.",
             vec![
                 run(973, 13080117251850870991),
                 Fault::StartServer(0),
                 run(182, 4179137482179313314),
                 Fault::SlowServer(3, 1, 2398),
                 run(115, 1304865452628758985),
-                weather(11, 4, 2301),
+                network(11, 4, 2301),
                 Fault::HealLinks,
                 run(2937, 18050102350504589373),
                 Fault::Drain(1, true),
                 run(1000, 2077995150142123516),
                 run(643, 265341673682343444),
-                weather(15, 8, 869),
+                network(15, 8, 869),
                 run(173, 11874320196194662139),
                 run(1355, 17732264485857186211),
                 Fault::Drain(0, true),
@@ -370,7 +370,7 @@
                 run(1, 0),
                 run(125, 1392958866805283067),
                 run(1, 0),
-                weather(0, 0, 5),
+                network(0, 0, 5),
                 Fault::LeavingVm(0, true),
                 Fault::StartVm(0),
                 Fault::StartVm(2),
@@ -378,7 +378,7 @@
                 Fault::CutServer(0, 0),
                 Fault::StartVm(1),
                 run(1645, 7038559717440043013),
-                Fault::GiveAway(4),
+                Fault::Release(4),
                 Fault::SlowServer(1, 3, 199),
                 Fault::CutStore(1),
                 run(692, 12129027615366831907),
@@ -391,9 +391,9 @@
 }
 
 #[test]
-fn what_once_failed_passes() {
-    for (what, faults) in found() {
-        let wrong = judge(&faults, Safeguards::default());
-        assert_eq!(wrong, None, "{what}");
+fn known_sequences_pass() {
+    for (fault, faults) in found() {
+        let wrong = first_failure(&faults, Safeguards::default());
+        assert_eq!(wrong, None, "{fault}");
     }
 }
--- a/goldcrestramp-ownership/tests/ownership/scale.rs
+++ b/goldcrestramp-ownership/tests/ownership/scale.rs
@@ -1,4 +1,4 @@
-//! A large failure domain at rest: what its messages carry.
+//! The size of the messages of a large idle failure domain.
 
 use std::{
     sync::Arc,
@@ -14,38 +14,40 @@
     FastMap, LocalTime, ServerName, ServerTime, SliceCount, SliceSet, VmName,
 };
 
-use crate::standin::{domain_name, service_name};
+use crate::nodes::{domain_name, service_name};
 
 const VMS: u64 = 64;
 const SERVERS: u64 = 300;
 const SLICES: u32 = 65_536;
 
-/// One steward that elects itself, keepers and servers, without a network.
+/// One steward that elects itself, with keepers and servers but no network.
 struct LargeDomain {
     millis: u64,
     steward: StewardMachine,
     voter: VoterState,
     keepers: Vec<KeeperMachine>,
     holders: FastMap<ServerName, GrantHolder>,
-    /// What the last round carried.
+    /// The contents of the messages so far: server states, slices in orders,
+    /// and slice sets in replies.
     states: usize,
     order_slices: usize,
     reply_sets: usize,
-    /// Time that the steward and all keepers took.
+    /// The computing time of the steward and of all keepers, the latter
+    /// including the steward's.
     steward_took: Duration,
     keepers_took: Duration,
 }
 
 fn vm_name(vm: u64) -> VmName {
-    VmName::new(&format!("vm-{vm}")).expect("a name")
+    VmName::new(&format!("vm-{vm}")).expect("name is valid")
 }
 
 fn server_name(server: u64) -> ServerName {
-    ServerName::new(&format!("s-{server}")).expect("a name")
+    ServerName::new(&format!("s-{server}")).expect("name is valid")
 }
 
 fn plan() -> DomainPlan {
-    let count = SliceCount::new(SLICES).expect("a power of two");
+    let count = SliceCount::new(SLICES).expect("count is a power of two");
     let servers = (0..SERVERS).map(|server| ServerPlan {
         server: server_name(server),
         service: service_name(),
@@ -150,7 +152,7 @@
         }
     }
 
-    /// A keeper's report, permit, orders and replies, as far as due.
+    /// Processes a keeper's report, permit, orders and replies that are due.
     fn round(&mut self, keeper: usize) {
         let now = self.now();
         let started = Instant::now();
@@ -165,7 +167,8 @@
         }
         for (server, _, order) in self.keepers[keeper].orders(now) {
             let time = ServerTime::from_micros(now.as_micros());
-            let holder = self.holders.get_mut(&server).expect("known");
+            let holder =
+                self.holders.get_mut(&server).expect("server is known");
             let reply = holder.apply(time, &order);
             self.reply_sets += usize::from(reply.held.is_some());
             self.keepers[keeper].replied(now, now, &server, &reply);
@@ -174,8 +177,8 @@
     }
 
     fn count_report(&mut self, report: &KeeperReport) {
-        let whole = report.servers.iter().filter(|s| s.state.is_some());
-        self.states += whole.count();
+        let full = report.servers.iter().filter(|s| s.state.is_some());
+        self.states += full.count();
     }
 
     fn count_answer(&mut self, answer: &PermitAnswer) {
@@ -185,8 +188,9 @@
     }
 }
 
-// 65,536 slices at 300 servers, kept by 64 VMs, and nothing happens: the
-// renewals, several a second for each server, carry no set of slices.
+// 65,536 slices at 300 servers, kept by 64 VMs, without any change. Guards
+// against renewals, of which there are several a second for each server, that
+// contain sets of slices.
 #[test]
 fn a_domain_at_rest_sends_no_slices() {
     let mut domain = LargeDomain::new();
--- a/goldcrestramp-ownership/tests/steward.rs
+++ b/goldcrestramp-ownership/tests/steward.rs
@@ -1,4 +1,4 @@
-//! A steward by itself, told what its voters answer.
+//! A single steward with prepared answers of its voters.
 
 use std::sync::Arc;
 
@@ -13,17 +13,17 @@
 }
 
 fn domain() -> DomainName {
-    DomainName::new("sierra-a").expect("a name")
+    DomainName::new("sierra-a").expect("name is valid")
 }
 
 fn voter(number: u64) -> RosterVoter {
     RosterVoter {
-        vm: VmName::new(&format!("vm-{number}")).expect("a name"),
+        vm: VmName::new(&format!("vm-{number}")).expect("name is valid"),
         address: Arc::from(format!("10.0.0.{number}:1")),
     }
 }
 
-/// `vm-1`, which knows its plan and a roster of itself and `vm-2`.
+/// The steward of `vm-1`, with a plan and a roster of `vm-1` and `vm-2`.
 fn steward_of_two(safeguards: Safeguards) -> StewardMachine {
     let timing = TermTiming { safeguards, ..TermTiming::default() };
     let me = voter(1);
@@ -42,13 +42,13 @@
     steward
 }
 
-/// The question that is among what a steward wants done.
-fn question(effects: &[StewardEffect]) -> ConfirmAsk {
+/// The request to voters among a steward's effects.
+fn request(effects: &[StewardEffect]) -> ConfirmAsk {
     let asks = effects.iter().find_map(|effect| match effect {
         StewardEffect::AskVoter { ask, .. } => Some(ask.clone()),
         _ => None,
     });
-    asks.expect("it asks its voters")
+    asks.expect("steward asks its voters")
 }
 
 fn confirmed(number: u64, sent: u64, ask: &ConfirmAsk) -> StewardEvent {
@@ -61,25 +61,26 @@
     }
 }
 
-// A steward sleeps past its time. Its voter has started again meanwhile,
-// has forgotten that it confirmed another, and answers a question of
-// before. Taken, that would let the old term go on beside the new one.
+// A steward is paused past the end of its time. Meanwhile its voter has
+// restarted, has lost its confirmation of another steward, and answers an old
+// request. If that answer counted, the old term would continue beside the new
+// one.
 #[test]
-fn a_late_answer_does_not_prolong_a_term_that_has_ended() {
-    for (safeguards, goes_on) in [
+fn a_late_answer_does_not_extend_an_ended_term() {
+    for (safeguards, continues) in [
         (Safeguards::default(), false),
         (Safeguards::without(Safeguard::LateAnswer), true),
     ] {
         let mut steward = steward_of_two(safeguards);
-        let ask = question(&steward.handle(at(2_000), StewardEvent::Tick));
+        let ask = request(&steward.handle(at(2_000), StewardEvent::Tick));
         steward.handle(at(2_001), confirmed(2, 2_000, &ask));
         steward.handle(at(2_002), confirmed(1, 2_001, &ask));
         assert!(steward.leads(at(2_900)));
-        let ask = question(&steward.handle(at(2_900), StewardEvent::Tick));
+        let ask = request(&steward.handle(at(2_900), StewardEvent::Tick));
 
         steward.handle(at(3_100), confirmed(1, 2_900, &ask));
         steward.handle(at(3_100), confirmed(2, 2_900, &ask));
 
-        assert_eq!(steward.leads(at(3_100)), goes_on);
+        assert_eq!(steward.leads(at(3_100)), continues);
     }
 }
