--- a/goldcrestramp-node/src/control/handlers.rs
+++ b/goldcrestramp-node/src/control/handlers.rs
@@ -117,7 +117,7 @@
         let now = self.context.now();
         match reply {
             Some(reply) => self.keeper.replied(now, sent, &server, &reply),
-            None => self.keeper.unanswered(now, sent, &server),
+            None => self.keeper.record_no_reply(now, sent, &server),
         }
         self.send_orders();
         self.publish_view();
--- a/goldcrestramp-node/src/convert/tables.rs
+++ b/goldcrestramp-node/src/convert/tables.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use goldcrestramp_ownership::{
-    DomainTable, OwnerRun, ServiceChange, ServiceTable, TableChange,
+    DomainTable, OwnerRange, ServiceChange, ServiceTable, TableChange,
     TableServer,
 };
 use goldcrestramp_types::{
@@ -49,7 +49,7 @@
 
 fn service_change_out(change: &ServiceChange) -> peer::ServiceTable {
     let servers = change.servers.as_deref().unwrap_or_default();
-    let runs = change.runs.iter().map(|run| peer::TableRun {
+    let runs = change.ranges.iter().map(|run| peer::TableRun {
         first: u32::try_from(run.first).unwrap_or(u32::MAX),
         last: u32::try_from(run.last).unwrap_or(u32::MAX),
         owner: run.owner.map_or(0, |place| u32::from(place) + 1),
@@ -87,11 +87,11 @@
     Ok(ServiceChange {
         service: ServiceName::new(&service.service)?,
         servers: (!service.same_servers).then_some(servers),
-        runs: runs?,
+        ranges: runs?,
     })
 }
 
-fn owner_run_in(run: &peer::TableRun) -> Result<OwnerRun, BadMessage> {
+fn owner_run_in(run: &peer::TableRun) -> Result<OwnerRange, BadMessage> {
     let owner = match run.owner.checked_sub(1) {
         Some(place) => {
             Some(u16::try_from(place).map_err(|_error| BadMessage)?)
@@ -102,7 +102,7 @@
     if last < first {
         return Err(BadMessage);
     }
-    Ok(OwnerRun { first, last, owner })
+    Ok(OwnerRange { first, last, owner })
 }
 
 fn table_server_out(server: &TableServer) -> peer::TableServer {
--- a/goldcrestramp-node/src/keeper/view.rs
+++ b/goldcrestramp-node/src/keeper/view.rs
@@ -2,13 +2,13 @@
 
 use std::sync::Arc;
 
-use goldcrestramp_ownership::{PassBook, SendPass, ServerOrder};
+use goldcrestramp_ownership::{PassTable, SendPass, ServerOrder};
 use goldcrestramp_types::{LocalTime, ServerName, ServiceName, SliceIndex};
 
 /// An immutable snapshot for the traffic threads.
 #[derive(Debug, Default)]
 pub(crate) struct KeeperView {
-    passes: PassBook,
+    passes: PassTable,
     servers: Vec<Arc<ServerOrder>>,
 }
 
@@ -21,7 +21,7 @@
 
 impl KeeperView {
     pub(crate) const fn new(
-        passes: PassBook,
+        passes: PassTable,
         servers: Vec<Arc<ServerOrder>>,
     ) -> Self {
         Self { passes, servers }
--- a/goldcrestramp-node/src/planner/round.rs
+++ b/goldcrestramp-node/src/planner/round.rs
@@ -71,7 +71,7 @@
         read.as_ref().map_or(PutCondition::Absent, |(version, _)| {
             PutCondition::Version(*version)
         });
-    let stage = PlannerRound::open(read.map(|(_, record)| record));
+    let stage = PlannerRound::start(read.map(|(_, record)| record));
     let needed = stage.needs(policy, stranded);
     let mut views = FastMap::<DomainName, DomainView>::default();
     for domain in &needed {
--- a/goldcrestramp-ownership/src/keeper/mod.rs
+++ b/goldcrestramp-ownership/src/keeper/mod.rs
@@ -10,7 +10,7 @@
 };
 use goldcrestramp_wire::server::{GrantOrder, GrantReply};
 
-pub use self::pass::{PassBook, PassRefusal, SendPass, ServerPasses};
+pub use self::pass::{PassRefusal, PassTable, SendPass, ServerPasses};
 use self::server::KeptServer;
 use crate::{
     message::{KeeperReport, PermitAnswer, ServerOrder},
@@ -208,21 +208,21 @@
     }
 
     /// Notes that the order sent at `sent` got no reply.
-    pub fn unanswered(
+    pub fn record_no_reply(
         &mut self,
         now: LocalTime,
         sent: LocalTime,
         server: &ServerName,
     ) {
         if let Some(kept) = self.servers.get_mut(server) {
-            kept.unanswered(now, sent);
+            kept.record_no_reply(now, sent);
         }
     }
 
     /// What the traffic threads may do from now on.
     #[must_use]
-    pub fn passes(&self, now: LocalTime) -> PassBook {
-        let mut book = PassBook::default();
+    pub fn passes(&self, now: LocalTime) -> PassTable {
+        let mut book = PassTable::default();
         if now >= self.until {
             return book;
         }
--- a/goldcrestramp-ownership/src/keeper/pass.rs
+++ b/goldcrestramp-ownership/src/keeper/pass.rs
@@ -35,12 +35,12 @@
 
 /// What the traffic threads may do, as of one moment: immutable.
 #[derive(Clone, Debug, Default)]
-pub struct PassBook {
+pub struct PassTable {
     /// What may be sent to each server that this VM keeps.
     pub servers: FastMap<ServerName, Arc<ServerPasses>>,
 }
 
-/// The part of a [`PassBook`] for one server.
+/// The part of a [`PassTable`] for one server.
 #[derive(Clone, Debug)]
 pub struct ServerPasses {
     /// The slices that it holds and is to keep.
@@ -51,7 +51,7 @@
     pub until: LocalTime,
 }
 
-impl PassBook {
+impl PassTable {
     /// Leave to send a request on `slice` to `server` at `now`.
     ///
     /// # Errors
--- a/goldcrestramp-ownership/src/keeper/server.rs
+++ b/goldcrestramp-ownership/src/keeper/server.rs
@@ -364,7 +364,7 @@
     }
 
     /// Notes that the order under way got no reply.
-    pub(super) fn unanswered(&mut self, now: LocalTime, sent: LocalTime) {
+    pub(super) fn record_no_reply(&mut self, now: LocalTime, sent: LocalTime) {
         let Some(order) = self.under_way.take() else {
             return;
         };
--- a/goldcrestramp-ownership/src/lib.rs
+++ b/goldcrestramp-ownership/src/lib.rs
@@ -56,7 +56,7 @@
 
 pub use crate::{
     holder::GrantHolder,
-    keeper::{KeeperMachine, PassBook, PassRefusal, SendPass, ServerPasses},
+    keeper::{KeeperMachine, PassRefusal, PassTable, SendPass, ServerPasses},
     message::{
         ConfirmAnswer, ConfirmAsk, KeeperReport, PermitAnswer, ServerOrder,
         ServerReport, ServerState, SliceLoad,
@@ -76,7 +76,7 @@
         DueSlices, StewardEffect, StewardEvent, StewardMachine, StewardStatus,
     },
     table::{DomainTable, ServiceTable, TableServer},
-    table_change::{OwnerRun, ServiceChange, TableChange},
+    table_change::{OwnerRange, ServiceChange, TableChange},
     timing::TermTiming,
     voter::VoterState,
 };
--- a/goldcrestramp-ownership/src/planner/round.rs
+++ b/goldcrestramp-ownership/src/planner/round.rs
@@ -70,7 +70,7 @@
 impl PlannerRound {
     /// Starts a round with the service's record as just read.
     #[must_use]
-    pub const fn open(record: Option<ServiceRecord>) -> RecordStage {
+    pub const fn start(record: Option<ServiceRecord>) -> RecordStage {
         RecordStage { record }
     }
 }
--- a/goldcrestramp-ownership/src/table_change.rs
+++ b/goldcrestramp-ownership/src/table_change.rs
@@ -9,7 +9,7 @@
 
 /// A run of slices, both ends included, that has a new owner.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct OwnerRun {
+pub struct OwnerRange {
     /// The first slice.
     pub first: usize,
     /// The last slice.
@@ -26,7 +26,7 @@
     /// The new servers; `None`: they are as before.
     pub servers: Option<Vec<TableServer>>,
     /// The slices whose owner changed, in rising order.
-    pub runs: Vec<OwnerRun>,
+    pub ranges: Vec<OwnerRange>,
 }
 
 /// What changed from one version of a domain's table to another.
@@ -93,7 +93,7 @@
     let moved = |owner: Option<u16>| {
         owner.and_then(|place| *places.get(usize::from(place))?)
     };
-    let mut runs: Vec<OwnerRun> = Vec::new();
+    let mut runs: Vec<OwnerRange> = Vec::new();
     let pairs = old.owners.iter().zip(&new.owners).enumerate();
     for (slice, (before, after)) in pairs {
         if moved(*before) == *after {
@@ -103,7 +103,7 @@
             Some(run) if run.last + 1 == slice && run.owner == *after => {
                 run.last = slice;
             }
-            _ => runs.push(OwnerRun {
+            _ => runs.push(OwnerRange {
                 first: slice,
                 last: slice,
                 owner: *after,
@@ -112,7 +112,7 @@
     }
     let same = old.servers == new.servers;
     let servers = (!same).then(|| new.servers.clone());
-    ServiceChange { service: new.service.clone(), servers, runs }
+    ServiceChange { service: new.service.clone(), servers, ranges: runs }
 }
 
 fn apply_service(
@@ -127,7 +127,7 @@
         }
         service.servers.clone_from(servers);
     }
-    for run in &change.runs {
+    for run in &change.ranges {
         let known = run.owner.map(usize::from);
         if known.is_some_and(|place| place >= service.servers.len()) {
             return None;
--- a/goldcrestramp-ownership/tests/keeper.rs
+++ b/goldcrestramp-ownership/tests/keeper.rs
@@ -119,7 +119,7 @@
         pair.talk(5_000);
         pair.permit(5_010, 1, &[slice()]);
         let late = pair.order(5_010);
-        pair.keeper.unanswered(at(5_210), at(5_010), &server());
+        pair.keeper.record_no_reply(at(5_210), at(5_010), &server());
         pair.permit(5_300, 2, &[]);
         pair.talk(5_300);
         pair.arrive(5_310, &late);
--- a/goldcrestramp-ownership/tests/ownership/world/binding.rs
+++ b/goldcrestramp-ownership/tests/ownership/world/binding.rs
@@ -150,7 +150,7 @@
             return;
         }
         if let Some((server, sent)) = process.calls.remove(&call) {
-            process.keeper.unanswered(now, sent, &server);
+            process.keeper.record_no_reply(now, sent, &server);
         }
     }
 }
--- a/goldcrestramp-ownership/tests/planner.rs
+++ b/goldcrestramp-ownership/tests/planner.rs
@@ -87,7 +87,7 @@
     state: &DeploymentState,
     asked: &[DomainMove],
 ) -> Option<ServiceRecord> {
-    let round = PlannerRound::open(record.cloned());
+    let round = PlannerRound::start(record.cloned());
     round.viewed(views).decide(&policy(state), asked)
 }
 
@@ -225,7 +225,7 @@
     let stopping: FastSet<_> = [domain("a")].into_iter().collect();
     let policy = policy(&state).with_stopping(stopping);
     let decide = |record: &ServiceRecord, views| {
-        let round = PlannerRound::open(Some(record.clone()));
+        let round = PlannerRound::start(Some(record.clone()));
         round.viewed(views).decide(&policy, &[])
     };
 
--- a/goldcrestramp-ownership/tests/planner_history.rs
+++ b/goldcrestramp-ownership/tests/planner_history.rs
@@ -109,7 +109,7 @@
     fn take(&mut self, step: Step) {
         match step {
             Step::ReadRecord(planner) => {
-                let stage = PlannerRound::open(self.record.clone());
+                let stage = PlannerRound::start(self.record.clone());
                 let policy = self.policy();
                 self.planners[planner] =
                     PlannerStage::Read(self.version, policy, stage);
