--- a/goldcrestramp-ownership/src/holder.rs
+++ b/goldcrestramp-ownership/src/holder.rs
@@ -1,18 +1,19 @@
-//! The server's side of a grant, for servers that embed this library.
+//! The server's side of grants, for servers that embed this library.
 
 use goldcrestramp_types::{FenceToken, ServerTime, SliceIndex, SliceSet};
 use goldcrestramp_wire::server::{GrantOrder, GrantRefusal, GrantReply};
 
 use crate::safeguard::{Safeguard, Safeguards};
 
-/// What a server holds, and what it refuses.
+/// The grant that a server holds. It decides which orders and requests the
+/// server accepts.
 #[derive(Clone, Debug)]
 pub struct GrantHolder {
     run: u64,
     checks_fence: bool,
     token: FenceToken,
     fence: FenceToken,
-    /// The lowest token with which a request may start.
+    /// The lowest token under which a request may start.
     admits: FenceToken,
     held: SliceSet,
     deadline: ServerTime,
@@ -20,13 +21,14 @@
 }
 
 impl GrantHolder {
-    /// A server that has just started, with its run's random number.
+    /// Creates the state of a server that has just started. `run` is the
+    /// random number of this run.
     #[must_use]
     pub fn new(run: u64, checks_fence: bool) -> Self {
         Self::with_safeguards(run, checks_fence, Safeguards::default())
     }
 
-    /// A server without one of its safeguards, for tests.
+    /// Like [`new`](Self::new), with safeguards that a test may switch off.
     #[doc(hidden)]
     #[must_use]
     pub fn with_safeguards(
@@ -46,19 +48,19 @@
         }
     }
 
-    /// Carries out an order, or refuses it.
+    /// Applies an order or refuses it, and returns the reply to send.
     pub fn apply(
         &mut self,
         now: ServerTime,
         order: &GrantOrder,
     ) -> GrantReply {
-        if is_question(order) {
+        if is_query(order) {
             return self.reply(now, None);
         }
         let refusal = self.refusal(now, order);
         let before = self.token;
         if refusal.is_none() {
-            self.carry_out(order);
+            self.execute(order);
         }
         let mut reply = self.reply(now, refusal);
         let unchanged = order.slices.is_none() && before == self.token;
@@ -69,7 +71,7 @@
         reply
     }
 
-    /// Whether work on `slice` under `token` may start now.
+    /// Whether a request on `slice` under `token` may start now.
     #[must_use]
     pub fn may_start(
         &self,
@@ -83,7 +85,7 @@
         !fenced && now < self.deadline && self.held.contains(slice)
     }
 
-    /// The server's state as a reply.
+    /// Creates a reply with the server's current state.
     #[must_use]
     pub fn reply(
         &self,
@@ -111,33 +113,36 @@
         now: ServerTime,
         order: &GrantOrder,
     ) -> Option<GrantRefusal> {
-        let on = |safeguard| self.safeguards.has(safeguard);
-        // The deadlines of another run are in a clock that has restarted:
-        // they could lie far ahead, and the grant would outlive its permit.
-        if order.run != self.run && on(Safeguard::RunNumber) {
+        let enabled = |safeguard| self.safeguards.has(safeguard);
+        // The deadlines of another run belong to a clock that has restarted
+        // since. They could be far in the future, and the grant would outlive
+        // its permit.
+        if order.run != self.run && enabled(Safeguard::RunNumber) {
             return Some(GrantRefusal::OtherRun);
         }
-        // A former keeper's order would undo a release that was answered.
+        // An order of a previous keeper would undo a release that this server
+        // has confirmed.
         let old = self.checks_fence && order.token < self.fence;
-        if old && on(Safeguard::FenceCheck) {
+        if old && enabled(Safeguard::FenceCheck) {
             return Some(GrantRefusal::OldToken);
         }
-        // An order that sat in a socket while this server was frozen: its
-        // slices may be with another server by now.
-        if now >= order.deadline && on(Safeguard::LateOrder) {
+        // An order may have waited in a socket while this server was frozen.
+        // Another server may hold its slices by now.
+        if now >= order.deadline && enabled(Safeguard::LateOrder) {
             return Some(GrantRefusal::Late);
         }
-        // After the lapse another server may have been granted the slices.
+        // Once the grant has expired, its slices may have been granted to
+        // another server.
         let late = order.accept_by.is_some_and(|by| now >= by);
-        // The keeper's knowledge may be older than the server's own.
+        // The keeper's `accept_by` may be older than the server's own state.
         let lapsed = order.slices.is_none() && now >= self.deadline;
-        if (late || lapsed) && on(Safeguard::AcceptBy) {
+        if (late || lapsed) && enabled(Safeguard::AcceptBy) {
             return Some(GrantRefusal::Lapsed);
         }
         None
     }
 
-    fn carry_out(&mut self, order: &GrantOrder) {
+    fn execute(&mut self, order: &GrantOrder) {
         if let Some(slices) = &order.slices {
             self.held = slices.clone();
             self.token = order.token;
@@ -152,7 +157,7 @@
     }
 }
 
-/// Whether an order only asks for the server's state.
-const fn is_question(order: &GrantOrder) -> bool {
+/// Whether an order only queries the server's state.
+const fn is_query(order: &GrantOrder) -> bool {
     order.slices.is_none() && order.accept_by.is_none()
 }
--- a/goldcrestramp-ownership/src/keeper/mod.rs
+++ b/goldcrestramp-ownership/src/keeper/mod.rs
@@ -1,4 +1,7 @@
-//! A keeper: the one VM that may send to a given server.
+//! The keeper state machine. A keeper is the only VM that may send requests
+//! to a given server.
+//!
+//! It asks the steward for permits and renews the grants of its servers.
 
 mod pass;
 mod server;
@@ -18,7 +21,7 @@
     timing::TermTiming,
 };
 
-/// The keeper of a VM: permits in, orders to servers out.
+/// The keeper of one VM: receives permits and sends grant orders to servers.
 #[derive(Clone, Debug)]
 pub struct KeeperMachine {
     vm: VmName,
@@ -27,16 +30,18 @@
     timing: TermTiming,
     leaving: bool,
     sequence: u64,
-    /// Versions of server states; never used twice in a process.
+    /// The last version given to a server state. A process never reuses one.
     versions: u64,
     term: TermId,
+    /// When the permit expires.
     until: LocalTime,
     poll_at: LocalTime,
     servers: BTreeMap<ServerName, KeptServer>,
 }
 
 impl KeeperMachine {
-    /// A keeper on a VM whose process has this start number.
+    /// Creates a keeper without a permit. `start` is the start number of the
+    /// VM's process.
     #[must_use]
     pub fn new(
         vm: VmName,
@@ -59,21 +64,23 @@
         }
     }
 
-    /// Says whether this VM is leaving: its servers go to other VMs.
+    /// Sets whether this VM is leaving. If so, the steward assigns its servers
+    /// to other VMs.
     pub fn set_leaving(&mut self, leaving: bool) {
         self.leaving = leaving;
     }
 
-    /// The servers that this VM keeps, as last ordered by the steward.
+    /// The steward's newest order for each server that this VM keeps.
     #[must_use]
     pub fn servers(&self) -> Vec<Arc<ServerOrder>> {
         self.servers.values().map(KeptServer::order).collect()
     }
 
-    /// Tells on which slices of a server this VM has non-idempotent work
-    /// under way; they are not reported as released until it has ended.
+    /// Sets the slices of a server on which this VM has non-idempotent
+    /// requests in flight.
     ///
-    /// Otherwise a later owner's work could overlap it.
+    /// They are not reported as released until these requests have ended.
+    /// Otherwise requests of a later owner could overlap them.
     pub fn set_running(&mut self, server: &ServerName, slices: SliceSet) {
         let kept = self.servers.get_mut(server);
         if kept.is_some_and(|kept| kept.set_running(slices)) {
@@ -81,29 +88,30 @@
         }
     }
 
-    /// When [`report`](Self::report) is due next; sooner when there is news.
+    /// When [`report`](Self::report) is due next. A change of a server's state
+    /// brings it forward.
     #[must_use]
     pub const fn poll_at(&self) -> LocalTime {
         self.poll_at
     }
 
-    /// Whether this VM keeps nothing any more, not even for a retirement.
+    /// Whether this VM keeps no server, not even one that it is retiring from.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.servers.is_empty()
     }
 
-    /// What to tell the steward, with the question for a permit.
+    /// Creates the report to the steward, which also asks for a permit.
     ///
-    /// At most one report is under way: an answer to an earlier one is
-    /// dropped by [`permitted`](Self::permitted).
+    /// At most one report is in flight: [`permitted`](Self::permitted) drops
+    /// an answer to an earlier one.
     #[must_use]
     pub fn report(&mut self, now: LocalTime) -> KeeperReport {
         self.sequence += 1;
         self.poll_at = now + self.timing.renew_every;
         self.servers.retain(|_, kept| !kept.is_done(now));
-        // A server without fences may have another keeper by now; only one
-        // whose permit never lapsed may claim it from a new steward.
+        // A server without fences may have another keeper by now. Only a
+        // keeper whose permit never lapsed may claim it from a new steward.
         let lapsed = now >= self.until;
         self.servers.retain(|_, kept| !lapsed || kept.checks_fence());
         for kept in self.servers.values_mut() {
@@ -120,7 +128,7 @@
         }
     }
 
-    /// Takes the steward's answer to the question sent at `sent`.
+    /// Applies the steward's answer to the report sent at `sent`.
     pub fn permitted(
         &mut self,
         now: LocalTime,
@@ -132,21 +140,22 @@
         else {
             return;
         };
-        // A steward concludes from a report what this keeper no longer
-        // does; an older answer taken after it would make that untrue.
+        // The steward concludes from a report what this keeper no longer
+        // does. Applying an older answer after the report would break that.
         if sequence != self.sequence || term < self.term {
             return;
         }
-        // The permit under which the report claimed them has lapsed since.
+        // The permit under which the report claimed the servers has lapsed.
         let stale = term != self.term && now >= self.until;
         if stale && self.servers.values().any(|kept| !kept.checks_fence()) {
             self.poll_at = now;
             return;
         }
-        // A steward that counts by a larger roster may permit less than
-        // before. The grants of before live on: with its permit ended, this
-        // keeper would forget them, and say that the server holds nothing.
-        // The steward reckons with the longest permit that it gave.
+        // A steward that counts a majority of a larger roster may give a
+        // shorter permit than before, while earlier grants are still valid.
+        // If the permit ended before them, this keeper would forget them and
+        // report that the server holds nothing. The steward allows for the
+        // longest permit that it gave.
         let longest = self.timing.safeguards.has(Safeguard::LongestPermit);
         let mut until = sent + self.timing.shortened(valid);
         if longest && term == self.term {
@@ -155,14 +164,14 @@
         self.term = term;
         self.until = until;
         self.poll_at = now + again.min(self.timing.renew_every);
-        self.follow(now, orders);
+        self.apply_orders(now, orders);
         for kept in self.servers.values_mut() {
-            kept.renew(now, sent, &self.timing);
+            kept.record_permit(now, sent, &self.timing);
         }
     }
 
-    /// Keeps the named servers and no other.
-    fn follow(&mut self, now: LocalTime, orders: Vec<ServerOrder>) {
+    /// Keeps the servers named in `orders` and drops all others.
+    fn apply_orders(&mut self, now: LocalTime, orders: Vec<ServerOrder>) {
         let mut kept = std::mem::take(&mut self.servers);
         for order in orders {
             let name = order.server.clone();
@@ -170,12 +179,13 @@
                 self.versions += 1;
                 KeptServer::new(order.clone(), self.versions)
             });
-            server.instruct(now, order, &self.timing);
+            server.set_order(now, order, &self.timing);
             self.servers.insert(name, server);
         }
     }
 
-    /// The orders to send to servers now; at most one each is under way.
+    /// The orders to send now, each with its server and the server's address.
+    /// At most one order per server is in flight.
     pub fn orders(
         &mut self,
         now: LocalTime,
@@ -190,7 +200,7 @@
         orders
     }
 
-    /// Takes a server's reply to the order sent at `sent`.
+    /// Applies a server's reply to the order sent at `sent`.
     pub fn replied(
         &mut self,
         now: LocalTime,
@@ -201,13 +211,13 @@
         let Some(kept) = self.servers.get_mut(server) else {
             return;
         };
-        let answered = kept.replied(now, sent, reply, &self.timing);
-        if answered && kept.refresh_state(now, &mut self.versions) {
+        let accepted = kept.replied(now, sent, reply, &self.timing);
+        if accepted && kept.refresh_state(now, &mut self.versions) {
             self.poll_at = self.poll_at.min(now);
         }
     }
 
-    /// Notes that the order sent at `sent` got no reply.
+    /// Records that the order sent at `sent` got no reply.
     pub fn record_no_reply(
         &mut self,
         now: LocalTime,
@@ -219,30 +229,31 @@
         }
     }
 
-    /// What the traffic threads may do from now on.
+    /// The servers and slices to which the traffic threads may send from now
+    /// on.
     #[must_use]
     pub fn passes(&self, now: LocalTime) -> PassTable {
-        let mut book = PassTable::default();
+        let mut table = PassTable::default();
         if now >= self.until {
-            return book;
+            return table;
         }
         for (name, kept) in &self.servers {
             if let Some(passes) = kept.passes(self.until) {
-                book.servers.insert(name.clone(), Arc::new(passes));
+                table.servers.insert(name.clone(), Arc::new(passes));
             }
         }
-        book
+        table
     }
 
-    /// Until when this keeper may act.
+    /// When the permit expires. From then on this keeper sends nothing.
     #[must_use]
     pub fn until(&self) -> LocalTime {
         self.until
     }
 
-    /// How long until this keeper must stop, for operators.
+    /// The remaining time of the permit, shown to operators.
     #[must_use]
-    pub const fn left(&self, now: LocalTime) -> TimeSpan {
+    pub const fn remaining(&self, now: LocalTime) -> TimeSpan {
         self.until.since(now)
     }
 }
--- a/goldcrestramp-ownership/src/keeper/pass.rs
+++ b/goldcrestramp-ownership/src/keeper/pass.rs
@@ -1,4 +1,4 @@
-//! What the traffic threads of a keeper may send.
+//! Passes: the permission of a keeper's traffic threads to send requests.
 
 use std::sync::Arc;
 
@@ -7,52 +7,53 @@
     SliceSet,
 };
 
-/// Leave to send one request to a server.
+/// Permission to send one request to a server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct SendPass {
     /// The fencing token to send.
     pub token: FenceToken,
-    /// The server's run for which the times hold.
+    /// The run of the server to whose clock the times belong.
     pub run: u64,
-    /// The last moment to start, in the server's clock.
+    /// When the grant ends: the request must start earlier, by the server's
+    /// clock.
     pub start_by: ServerTime,
-    /// A moment of the server's clock...
+    /// A reading of the server's clock.
     pub server_clock: ServerTime,
-    /// ...and the latest moment of ours at which it was read.
+    /// The latest local time at which `server_clock` was read.
     pub read_at: LocalTime,
 }
 
 /// Why a request may not be sent to a server now.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PassRefusal {
-    /// This VM does not keep that server.
+    /// This VM is not the keeper of that server.
     NotKeeper,
     /// The server does not hold the slice.
     NotHeld,
-    /// The permit or the grant has run out.
+    /// The permit or the grant has expired.
     Lapsed,
 }
 
-/// What the traffic threads may do, as of one moment: immutable.
+/// An immutable snapshot of what the traffic threads may send.
 #[derive(Clone, Debug, Default)]
 pub struct PassTable {
-    /// What may be sent to each server that this VM keeps.
+    /// The passes for each server that this VM keeps.
     pub servers: FastMap<ServerName, Arc<ServerPasses>>,
 }
 
 /// The part of a [`PassTable`] for one server.
 #[derive(Clone, Debug)]
 pub struct ServerPasses {
-    /// The slices that it holds and is to keep.
+    /// The slices that the server holds and is not to release.
     pub slices: Arc<SliceSet>,
-    /// The pass for each of them.
+    /// The pass, the same for each of these slices.
     pub pass: SendPass,
     /// When the keeper must stop sending.
     pub until: LocalTime,
 }
 
 impl PassTable {
-    /// Leave to send a request on `slice` to `server` at `now`.
+    /// Returns the pass for a request on `slice` to `server` at `now`.
     ///
     /// # Errors
     ///
--- a/goldcrestramp-ownership/src/keeper/server.rs
+++ b/goldcrestramp-ownership/src/keeper/server.rs
@@ -1,6 +1,6 @@
-//! A keeper's conversation with one server.
+//! The exchange of orders and replies between a keeper and one server.
 
-mod copies;
+mod late_grants;
 
 use std::sync::Arc;
 
@@ -16,66 +16,72 @@
     timing::TermTiming,
 };
 
-/// How long after a lost or refused message the next one goes out.
-const RETRY_AFTER: TimeSpan = TimeSpan::from_millis(50);
+/// The delay before the next order after one that was lost or refused.
+const RETRY_DELAY: TimeSpan = TimeSpan::from_millis(50);
 
-/// When the next order is due if no permit renews it before, in percent of
-/// the renewal time.
-const ORDER_PERCENT: u64 = 150;
+/// When the next order is due if no permit arrives earlier, in percent of the
+/// renewal interval.
+const RENEWAL_PERCENT: u64 = 150;
 
-/// The most grants under way that are remembered one by one.
+/// The maximum number of outstanding grants that are recorded one by one.
 ///
-/// A grant repeated to a silent server adds one every 50 ms, each void
-/// within a lease; beyond this the keeper waits until some are void.
-const STRAY_LIMIT: usize = 16;
+/// Retrying a grant to a server that does not answer adds one every 50 ms, and
+/// each expires within a lease. At the maximum the keeper sends no further
+/// grant until some have expired.
+const MAX_OUTSTANDING_GRANTS: usize = 16;
 
-/// A reading of the server's clock, and when it reached this process.
+/// A reading of the server's clock, with the local time of its arrival.
 #[derive(Clone, Copy, Debug)]
 struct ClockReading {
     clock: ServerTime,
     received: LocalTime,
 }
 
-/// An order on its way, or lost on it, or a copy of an answered one.
+/// An order that the server may still receive: one in flight, one without a
+/// reply, or a copy of one that was answered.
 #[derive(Clone, Debug)]
 struct SentOrder {
-    sent: LocalTime,
-    /// What it may make the server hold; nothing for an extension.
+    sent_at: LocalTime,
+    /// The slices that it grants; `None` for an extension.
     slices: Option<SliceSet>,
-    /// When the server has surely passed the order's deadline.
-    void_at: LocalTime,
+    /// When the server has certainly passed the order's deadline.
+    expires_at: LocalTime,
 }
 
-/// What a keeper knows of, and wants from, one server.
+/// What a keeper knows of one server, and the order that it carries out.
 #[derive(Clone, Debug)]
 pub(super) struct KeptServer {
     order: Arc<ServerOrder>,
-    /// The token under which this keeper began: older ones are others'.
-    since: FenceToken,
+    /// The token under which this keeper began. Older tokens belong to other
+    /// keepers.
+    initial_token: FenceToken,
     reading: Option<ClockReading>,
     run: u64,
-    /// When that run was first seen.
-    run_seen: LocalTime,
-    /// Whether the steward has permitted this keeper since.
+    /// When the server's run was first seen.
+    run_seen_at: LocalTime,
+    /// Whether a report sent since then was answered with a permit.
     run_permitted: bool,
     token: FenceToken,
     fence: FenceToken,
     held: SliceSet,
+    /// The slices of the last grant, also after it has expired.
     last: SliceSet,
     busy: SliceSet,
     running: SliceSet,
     deadline: ServerTime,
-    /// The reply's sets belong to `token`.
+    /// Whether `held` and `last` belong to `token`.
     sets_known: bool,
-    under_way: Option<SentOrder>,
-    strays: Vec<SentOrder>,
+    in_flight: Option<SentOrder>,
+    /// Orders without a reply and copies of answered grants that may still
+    /// arrive.
+    outstanding: Vec<SentOrder>,
     /// Until when an extension that was sent may prolong what is held.
     extended_until: LocalTime,
-    /// When every order sent so far has surely ended at the server.
-    ends_at: LocalTime,
+    /// When every order sent so far has certainly expired at the server.
+    orders_expire_at: LocalTime,
     reachable: bool,
-    next_at: LocalTime,
-    sent_at: LocalTime,
+    next_order_at: LocalTime,
+    last_sent_at: LocalTime,
     state: ServerState,
     version: u64,
     slices: Arc<SliceSet>,
@@ -84,11 +90,11 @@
 impl KeptServer {
     pub(super) fn new(order: ServerOrder, version: u64) -> Self {
         Self {
-            since: order.token,
+            initial_token: order.token,
             order: Arc::new(order),
             reading: None,
             run: 0,
-            run_seen: LocalTime::default(),
+            run_seen_at: LocalTime::default(),
             run_permitted: false,
             token: FenceToken::default(),
             fence: FenceToken::default(),
@@ -98,27 +104,27 @@
             running: SliceSet::new(),
             deadline: ServerTime::default(),
             sets_known: false,
-            under_way: None,
-            strays: Vec::new(),
+            in_flight: None,
+            outstanding: Vec::new(),
             extended_until: LocalTime::default(),
-            ends_at: LocalTime::default(),
+            orders_expire_at: LocalTime::default(),
             reachable: false,
-            next_at: LocalTime::default(),
-            sent_at: LocalTime::default(),
+            next_order_at: LocalTime::default(),
+            last_sent_at: LocalTime::default(),
             state: ServerState::default(),
             version,
             slices: Arc::new(SliceSet::new()),
         }
     }
 
-    /// Takes the steward's newest order.
-    pub(super) fn instruct(
+    /// Takes the steward's newest order, unless its release is deferred.
+    pub(super) fn set_order(
         &mut self,
         now: LocalTime,
         order: ServerOrder,
         timing: &TermTiming,
     ) {
-        if self.waits_for_copies(now, &order, timing) {
+        if self.defers_release(now, &order, timing) {
             return;
         }
         if order.token == self.order.token && order.extend_only {
@@ -130,28 +136,30 @@
             return;
         }
         if order.token != self.order.token {
-            self.next_at = LocalTime::default();
+            self.next_order_at = LocalTime::default();
         }
         self.order = Arc::new(order);
         self.refresh_slices();
     }
 
-    /// Renews the grant right after the permit, when most is left of it.
+    /// Schedules a renewal of the grant right after a permit arrived, when
+    /// most of the permit remains.
     ///
-    /// Renewed just before, the grant would end a whole renewal sooner.
-    pub(super) fn renew(
+    /// A grant renewed just before the permit would end a whole renewal
+    /// interval earlier.
+    pub(super) fn record_permit(
         &mut self,
         now: LocalTime,
         sent: LocalTime,
         timing: &TermTiming,
     ) {
-        let seen = self.reading.is_some() && sent >= self.run_seen;
+        let seen = self.reading.is_some() && sent >= self.run_seen_at;
         if seen && !self.run_permitted {
             self.run_permitted = true;
-            self.next_at = self.next_at.min(now);
+            self.next_order_at = self.next_order_at.min(now);
         }
-        if now.since(self.sent_at) >= timing.renew_every.percent(50) {
-            self.next_at = self.next_at.min(now);
+        if now.since(self.last_sent_at) >= timing.renew_every.percent(50) {
+            self.next_order_at = self.next_order_at.min(now);
         }
     }
 
@@ -163,7 +171,8 @@
         self.order.checks_fence
     }
 
-    /// Takes the slices with work under way; whether a release waits.
+    /// Sets the slices with requests in flight. Returns whether requests have
+    /// ended on a slice whose release waited for them.
     pub(super) fn set_running(&mut self, running: SliceSet) -> bool {
         let mut ended = std::mem::replace(&mut self.running, running);
         ended.subtract(&self.running);
@@ -172,10 +181,12 @@
         releases && !ended.is_empty()
     }
 
-    /// Whether a retiring keeper has nothing more under way.
+    /// Whether a retiring keeper has no request and no order left that may
+    /// take effect at the server.
     pub(super) fn is_done(&self, now: LocalTime) -> bool {
-        let void = self.strays.iter().all(|stray| now >= stray.void_at);
-        let idle = self.under_way.is_none() && self.running.is_empty();
+        let void =
+            self.outstanding.iter().all(|pending| now >= pending.expires_at);
+        let idle = self.in_flight.is_none() && self.running.is_empty();
         self.order.retire && void && idle
     }
 
@@ -186,8 +197,9 @@
         until: LocalTime,
         timing: &TermTiming,
     ) -> Option<(Arc<str>, GrantOrder)> {
-        let waiting = self.under_way.is_some() || now < self.next_at;
-        // Retiring: the grant lives on only as long as work runs under it.
+        let waiting = self.in_flight.is_some() || now < self.next_order_at;
+        // While retiring, the grant is extended only for requests that run
+        // under it.
         let ended = self.order.retire && self.running.is_empty();
         if waiting || ended || now >= until {
             return None;
@@ -195,25 +207,26 @@
         let order = self.compose(now, until, timing);
         let slices = order.slices.clone();
         let grants = slices.is_some() || order.accept_by.is_some();
-        let mut void_at = now;
+        let mut expires_at = now;
         if let Some(reading) = self.reading.filter(|_| grants) {
             let span = order.deadline.since(reading.clock);
-            void_at = reading.received + timing.lengthened(span);
+            expires_at = reading.received + timing.lengthened(span);
             if slices.is_none() {
-                self.extended_until = self.extended_until.max(void_at);
+                self.extended_until = self.extended_until.max(expires_at);
             }
-            // A grant of nothing leaves nothing that could be alive.
+            // After an empty grant the server holds no slice that has to
+            // expire.
             if slices.as_ref().is_none_or(|set| !set.is_empty()) {
-                self.ends_at = self.ends_at.max(void_at);
+                self.orders_expire_at = self.orders_expire_at.max(expires_at);
             }
         }
-        self.under_way = Some(SentOrder { sent: now, slices, void_at });
-        self.sent_at = now;
-        self.next_at = now + timing.renew_every.percent(ORDER_PERCENT);
+        self.in_flight = Some(SentOrder { sent_at: now, slices, expires_at });
+        self.last_sent_at = now;
+        self.next_order_at = now + timing.renew_every.percent(RENEWAL_PERCENT);
         Some((Arc::clone(&self.order.address), order))
     }
 
-    /// Chooses between a question, an extension and a grant.
+    /// Creates the next order: a query, an extension or a grant.
     fn compose(
         &mut self,
         now: LocalTime,
@@ -223,57 +236,59 @@
         let mut order = GrantOrder {
             service: Some(self.order.service.clone()),
             token: self.order.token,
-            admits: self.since,
+            admits: self.initial_token,
             run: self.run,
             ..GrantOrder::default()
         };
-        // A server that restarts forgets its fence, and so would take the
-        // grant of a former keeper whose permit still lasts; its slices may
-        // have moved. A question to the steward that is sent after the
-        // restart tells a former keeper that it is one.
+        // A server that restarts forgets its fence, so it would accept the
+        // grant of a previous keeper whose permit is still valid, although
+        // the slices may have moved. So a grant needs a permit for a report
+        // that was sent after the restart: a previous keeper learns from the
+        // answer that it has been replaced.
         let guarded = timing.safeguards.has(Safeguard::RunPermit);
         let permitted = self.run_permitted || !guarded;
         let usable = self.sets_known && !self.order.ask_only && permitted;
         let Some(reading) = self.reading.filter(|_| usable) else {
             return order;
         };
-        // The reading was taken at `received` at the latest, so counting
-        // from there ends the grant no later than the permit, however
-        // long the reply took.
+        // The clock was read at `received` at the latest. Counting from there
+        // ends the grant no later than the permit, however long the reply
+        // took.
         let left = timing.shortened(until.since(reading.received));
         order.deadline = reading.clock + left;
-        // Each message to a server that may be gone would put off the time
-        // at which its grant has surely ended, and its slices with it.
+        // Each order to a server that may be lost would postpone the time at
+        // which its grant has certainly expired and its slices can move.
         let stop = self.order.slices.is_empty() && !self.order.extend_only;
         if !self.reachable && !stop {
             return order;
         }
-        let alive = now < self.alive_until(reading, timing);
+        let alive = now < self.grant_expiry(reading, timing);
         let applied = self.is_applied(now, reading, timing);
         if self.order.extend_only || applied {
-            // A lapsed grant is not extended: its slices may have moved.
+            // A grant that has expired is not extended, since its slices may
+            // have moved.
             if alive {
                 order.accept_by = Some(self.deadline);
                 let held = self.held.clone();
-                if self.doubts(now, &held, timing) {
+                if self.may_hold_beyond(now, &held, timing) {
                     order.slices = Some(held);
                 }
             }
             return order;
         }
         let wanted = self.order.slices.clone();
-        self.doubts(now, &wanted, timing);
-        self.strays.retain(|stray| now < stray.void_at);
-        let grants = self.strays.iter().filter(|s| s.slices.is_some());
-        if grants.count() < STRAY_LIMIT {
+        self.may_hold_beyond(now, &wanted, timing);
+        self.outstanding.retain(|pending| now < pending.expires_at);
+        let grants = self.outstanding.iter().filter(|s| s.slices.is_some());
+        if grants.count() < MAX_OUTSTANDING_GRANTS {
             order.slices = Some(wanted);
             order.release = self.order.release.clone();
         }
         order
     }
 
-    /// Until when the grant that the server spoke of may be alive.
-    fn alive_until(
+    /// When the grant that the server last reported has certainly expired.
+    fn grant_expiry(
         &self,
         reading: ClockReading,
         timing: &TermTiming,
@@ -282,7 +297,7 @@
         reading.received + timing.lengthened(left)
     }
 
-    /// Takes a reply; true when it answers the order under way.
+    /// Applies a reply. Returns whether it answers the order in flight.
     pub(super) fn replied(
         &mut self,
         now: LocalTime,
@@ -290,57 +305,59 @@
         reply: &GrantReply,
         timing: &TermTiming,
     ) -> bool {
-        let Some(order) = self.under_way.take_if(|o| sent >= o.sent) else {
+        let Some(order) = self.in_flight.take_if(|o| sent >= o.sent_at) else {
             return false;
         };
         self.reachable = true;
         let reading = ClockReading { clock: reply.clock, received: now };
         if reply.run != self.run || self.reading.is_none() {
-            // Orders for the former run are refused by the new one.
-            self.strays.clear();
-            self.ends_at = now;
+            // The new run refuses orders for the previous one.
+            self.outstanding.clear();
+            self.orders_expire_at = now;
             self.run = reply.run;
-            self.run_seen = now;
+            self.run_seen_at = now;
             self.run_permitted = false;
             self.sets_known = false;
         } else if reply.accepted {
-            self.remember_grant(order, timing);
+            self.record_grant(order, timing);
         }
         self.reading = Some(reading);
-        self.take_sets(reply);
+        self.record_sets(reply);
         self.deadline = reply.deadline;
         self.busy = reply.busy.clone();
-        self.strays.retain(|stray| now < stray.void_at);
-        let told = self.alive_until(reading, timing);
-        let live = |stray: &&SentOrder| {
-            stray.slices.as_ref().is_none_or(|set| !set.is_empty())
+        self.outstanding.retain(|pending| now < pending.expires_at);
+        let reply_expiry = self.grant_expiry(reading, timing);
+        let live = |pending: &&SentOrder| {
+            pending.slices.as_ref().is_none_or(|set| !set.is_empty())
         };
-        let strays = self.strays.iter().filter(live);
-        let stray = strays.map(|stray| stray.void_at).max();
-        self.ends_at = stray.map_or(told, |at| told.max(at));
+        let outstanding = self.outstanding.iter().filter(live);
+        let latest = outstanding.map(|pending| pending.expires_at).max();
+        self.orders_expire_at =
+            latest.map_or(reply_expiry, |at| reply_expiry.max(at));
         let mut pause = TimeSpan::ZERO;
         if !reply.accepted {
-            pause = RETRY_AFTER;
-            self.next_at = now + RETRY_AFTER;
+            pause = RETRY_DELAY;
+            self.next_order_at = now + RETRY_DELAY;
         }
         if !self.sets_known || self.needs_grant() {
-            self.next_at = self.next_at.min(now + pause);
+            self.next_order_at = self.next_order_at.min(now + pause);
         }
         self.refresh_slices();
         true
     }
 
-    /// Whether the server lives by the present order.
+    /// Whether the server has applied the current order.
     ///
-    /// At a server without fences a late order of before may have taken
-    /// the place of the newest one, under the token of an extension.
+    /// At a server without fences a late, older order may have replaced the
+    /// newest one, under the token of an extension. So the slices are
+    /// compared as well as the token.
     fn is_applied(
         &self,
         now: LocalTime,
         reading: ClockReading,
         timing: &TermTiming,
     ) -> bool {
-        let alive = now < self.alive_until(reading, timing);
+        let alive = now < self.grant_expiry(reading, timing);
         let same = self.held == self.order.slices;
         alive && self.token == self.order.token && same
     }
@@ -351,7 +368,7 @@
         grants && self.token != self.order.token
     }
 
-    fn take_sets(&mut self, reply: &GrantReply) {
+    fn record_sets(&mut self, reply: &GrantReply) {
         if let (Some(held), Some(last)) = (&reply.held, &reply.last) {
             self.held = held.clone();
             self.last = last.clone();
@@ -363,20 +380,20 @@
         self.fence = reply.fence;
     }
 
-    /// Notes that the order under way got no reply.
+    /// Records that the order in flight got no reply.
     pub(super) fn record_no_reply(&mut self, now: LocalTime, sent: LocalTime) {
-        let Some(order) = self.under_way.take() else {
+        let Some(order) = self.in_flight.take() else {
             return;
         };
-        if sent < order.sent {
-            self.under_way = Some(order);
+        if sent < order.sent_at {
+            self.in_flight = Some(order);
             return;
         }
-        if order.void_at > order.sent {
-            self.strays.push(order);
+        if order.expires_at > order.sent_at {
+            self.outstanding.push(order);
         }
         self.reachable = false;
-        self.next_at = now + RETRY_AFTER;
+        self.next_order_at = now + RETRY_DELAY;
     }
 
     fn refresh_slices(&mut self) {
@@ -390,14 +407,15 @@
         }
     }
 
-    /// The state to report; a new version of it when it has changed.
+    /// Updates the state to report. Gives it a new version and returns `true`
+    /// if it has changed.
     pub(super) fn refresh_state(
         &mut self,
         now: LocalTime,
         version: &mut u64,
     ) -> bool {
-        self.strays.retain(|stray| now < stray.void_at);
-        let state = self.present_state(now);
+        self.outstanding.retain(|pending| now < pending.expires_at);
+        let state = self.current_state(now);
         if state == self.state {
             return false;
         }
@@ -407,16 +425,17 @@
         true
     }
 
-    fn present_state(&self, now: LocalTime) -> ServerState {
-        let told =
+    fn current_state(&self, now: LocalTime) -> ServerState {
+        let deadline_passed =
             self.reading.is_none_or(|reading| reading.clock >= self.deadline);
-        let quiet = self.under_way.is_none() && self.strays.is_empty();
-        let lapsed = (told && quiet) || now >= self.ends_at;
+        let settled = self.in_flight.is_none() && self.outstanding.is_empty();
+        let lapsed =
+            (deadline_passed && settled) || now >= self.orders_expire_at;
         let mut held = self.running.clone();
         held.union_with(&self.busy);
         if !lapsed {
             held.union_with(&self.held);
-            let sent = self.strays.iter().chain(&self.under_way);
+            let sent = self.outstanding.iter().chain(&self.in_flight);
             for slices in sent.filter_map(|order| order.slices.as_ref()) {
                 held.union_with(slices);
             }
@@ -446,7 +465,8 @@
         }
     }
 
-    /// What may be sent to the server until the permit's end.
+    /// The passes for this server until the permit expires; `None` if nothing
+    /// may be sent to it.
     pub(super) fn passes(&self, until: LocalTime) -> Option<ServerPasses> {
         let reading = self.reading?;
         let lapsed = reading.clock >= self.deadline;
