--- a/goldcrestramp-ownership/src/planner/division.rs
+++ b/goldcrestramp-ownership/src/planner/division.rs
@@ -1,4 +1,4 @@
-//! Slices in proportion to capacity.
+//! Division of a service's slices in proportion to capacity.
 
 use goldcrestramp_types::DomainName;
 
@@ -7,22 +7,23 @@
     record::{ServiceRecord, SliceHolding},
 };
 
-/// How many slices each domain would have.
+/// The number of slices that each domain has once all moves are complete.
 #[derive(Clone, Debug)]
 pub(super) struct DivisionTally<'a> {
     shares: Vec<(&'a DomainShare, u64)>,
 }
 
 impl<'a> DivisionTally<'a> {
-    /// A tally of what `record` gives to each domain, moves included.
+    /// Counts the slices that `record` assigns to each domain. A slice that
+    /// moves counts for its target.
     pub(super) fn of(
         policy: &'a ServicePolicy,
         record: &ServiceRecord,
     ) -> Self {
         let mut counts = vec![0_u64; record.domains.len()];
         for holding in &record.slices {
-            let place = holding.target.unwrap_or(holding.domain);
-            counts[usize::from(place)] += 1;
+            let index = holding.target.unwrap_or(holding.domain);
+            counts[usize::from(index)] += 1;
         }
         let shares = policy.shares.iter().map(|share| {
             let position = record.position(&share.domain);
@@ -32,17 +33,18 @@
         Self { shares: shares.collect() }
     }
 
-    /// Counts one more slice for the domain that has fewest for its
-    /// capacity, among those that `usable` lets.
+    /// Assigns one more slice to the domain with the fewest slices for its
+    /// capacity, among those that `usable` accepts.
     ///
-    /// `None`: no such domain has any capacity.
-    pub(super) fn take(
+    /// Returns `None` if no such domain has capacity.
+    pub(super) fn assign_next(
         &mut self,
         usable: impl Fn(&DomainName) -> bool,
     ) -> Option<DomainName> {
-        let able =
+        let eligible =
             |share: &DomainShare| share.capacity > 0 && usable(&share.domain);
-        let shares = self.shares.iter_mut().filter(|(share, _)| able(share));
+        let shares =
+            self.shares.iter_mut().filter(|(share, _)| eligible(share));
         // (held + 1) / capacity, compared without division.
         let (share, held) = shares.min_by(|(a, a_held), (b, b_held)| {
             let left = (*a_held + 1) * u64::from(b.capacity);
@@ -54,8 +56,10 @@
     }
 }
 
-/// The first division of a service: contiguous blocks, so that the record
-/// has few runs; `None` while no domain has any capacity.
+/// Creates the first division of a service.
+///
+/// Each domain gets a contiguous block, so that the record has few ranges.
+/// Returns `None` while no domain has capacity.
 pub(super) fn divide(policy: &ServicePolicy) -> Option<ServiceRecord> {
     let mut record = ServiceRecord {
         service: policy.service.clone(),
@@ -68,7 +72,7 @@
     }
     let mut tally = DivisionTally::of(policy, &record);
     for _ in policy.count.indices() {
-        tally.take(|_| true)?;
+        tally.assign_next(|_| true)?;
     }
     let blocks = (0_u16..).zip(tally.shares);
     for (domain, (_, length)) in blocks {
--- a/goldcrestramp-ownership/src/planner/domain_plan.rs
+++ b/goldcrestramp-ownership/src/planner/domain_plan.rs
@@ -1,4 +1,4 @@
-//! What a failure domain's steward is told.
+//! The plan of a failure domain, which its steward carries out.
 
 use std::sync::Arc;
 
@@ -8,20 +8,22 @@
 use super::{policy::last_ticket, record::ServiceRecord};
 use crate::plan::{DomainPlan, ServerPlan, ServicePlan};
 
-/// Room for the changes of all services' records between two tickets: at a
-/// thousand a day, 45 years.
+/// The bits of a plan's version that count changes of the services' records
+/// between two tickets. They suffice for 45 years at a thousand changes a day.
 const REVISION_BITS: u32 = 24;
 
-/// The plan of `domain`, from the configuration and the services' records.
+/// Derives the plan of `domain` from the configuration and the services'
+/// records.
 ///
-/// A service without a record has no slices here: nobody has divided them
-/// yet. A domain that is declared lost has none of any.
+/// A service without a record has no slices here, because they are not
+/// divided yet. A domain that is declared lost has no slices of any service.
 ///
-/// `None`: a record does not yet take account of the last ticket about
-/// this domain, so the steward goes on with the plan that it has. One that
-/// has none waits: when the domain has returned after it was declared
-/// lost, a planner that knows only of the loss may be about to give its
-/// slices away, and they would be granted in two domains.
+/// Returns `None` if the configuration does not have the domain, or if a
+/// record does not yet take the last ticket about it into account. The steward
+/// then keeps the plan that it has, and waits if it has none. The reason is a
+/// domain that returns after it was declared lost: a planner that knows only
+/// of the loss may be about to reassign its slices, and they would be granted
+/// in two domains.
 #[must_use]
 pub fn domain_plan(
     state: &DeploymentState,
@@ -56,13 +58,15 @@
     })
 }
 
-/// Rises with every ticket and with every change of a service's record.
+/// The version of a plan. It increases with every ticket and with every change
+/// of a service's record.
 ///
 /// A VM that was cut off from the store knows an older state and older
-/// records. Did the version rise with tickets alone, voters could not tell
-/// its plan from one under which slices have left the domain since, and it
-/// could be steward and grant them again. A ticket counts for more than
-/// all records, because it may take a service with its record away.
+/// records. If the version increased with tickets alone, voters could not
+/// distinguish its plan from one under which slices have left the domain
+/// since. The VM could become steward and grant them again. A ticket counts
+/// for more than all records, because it may remove a service together with
+/// its record.
 fn plan_version(
     state: &DeploymentState,
     records: &[Arc<ServiceRecord>],
--- a/goldcrestramp-ownership/src/planner/policy.rs
+++ b/goldcrestramp-ownership/src/planner/policy.rs
@@ -1,4 +1,5 @@
-//! Which failure domains may hold a service's slices, and how many.
+//! The rules by which failure domains may hold a service's slices, and each
+//! domain's capacity.
 
 use goldcrestramp_config::{
     DeploymentState, ServiceRules, ThingId, ThingKind, TouchMark,
@@ -14,7 +15,7 @@
 pub struct DomainShare {
     /// The failure domain.
     pub domain: DomainName,
-    /// The slots of the service's servers there that are not draining.
+    /// The total slots of the service's servers there that are not draining.
     pub capacity: u32,
 }
 
@@ -30,22 +31,22 @@
     pub shares: Vec<DomainShare>,
     /// The domains that an operator has declared lost.
     pub lost: FastSet<DomainName>,
-    /// Those of them whose servers may not have heard of it yet.
+    /// The lost domains whose servers may not know yet that they are lost.
     pub stopping: FastSet<DomainName>,
     /// The last ticket that touched each configured domain.
     pub tickets: FastMap<DomainName, TouchMark>,
 }
 
 impl ServicePolicy {
-    /// The rules of `service` in the accepted configuration.
+    /// Derives the rules of `service` from the accepted configuration.
     #[must_use]
     pub fn of(state: &DeploymentState, service: &ServiceRules) -> Self {
         let allowed = state.domains.iter().filter(|domain| {
-            let place = service.domains.is_empty()
+            let domain_allowed = service.domains.is_empty()
                 || service.domains.contains(&domain.name);
-            let region = service.regions.is_empty()
+            let region_allowed = service.regions.is_empty()
                 || service.regions.contains(&domain.region);
-            place && region && !domain.lost
+            domain_allowed && region_allowed && !domain.lost
         });
         let shares = allowed.map(|domain| DomainShare {
             domain: domain.name.clone(),
@@ -65,25 +66,28 @@
         }
     }
 
-    /// The last ticket that touched `domain`; the lowest mark: none is known.
+    /// The last ticket that touched `domain`; the lowest mark if none is
+    /// known.
     #[must_use]
     pub fn ticket_of(&self, domain: &DomainName) -> TouchMark {
         self.tickets.get(domain).copied().unwrap_or_default()
     }
 
-    /// `domain` as a record names it.
+    /// The entry of `domain` for a record, with the last ticket that touched
+    /// it.
     pub(super) fn record_domain(&self, domain: &DomainName) -> RecordDomain {
         let ticket = self.ticket_of(domain);
         RecordDomain { name: domain.clone(), ticket }
     }
 
-    /// Whether `domain` may hold slices.
+    /// Whether the rules let `domain` hold slices.
     #[must_use]
     pub fn allows(&self, domain: &DomainName) -> bool {
         self.shares.iter().any(|share| share.domain == *domain)
     }
 
-    /// The same rules, while these lost domains may still be serving.
+    /// Returns the same rules with `stopping` as the lost domains that may
+    /// still be serving.
     #[must_use]
     pub fn with_stopping(mut self, stopping: FastSet<DomainName>) -> Self {
         self.stopping = stopping;
@@ -92,9 +96,10 @@
 
     /// Whether the slices of `domain` may be taken without its release.
     ///
-    /// A domain that was declared lost by mistake serves until it hears of
-    /// it. Taken before, its slices had two owners for 56 ms. Within the
-    /// wait it releases them, and they move at once, as in any move.
+    /// A domain that was declared lost by mistake serves until it learns of
+    /// that. When its slices were taken earlier, they had two owners for
+    /// 56 ms. While the planner waits, the domain can release them, and they
+    /// then move at once, as in any move.
     #[must_use]
     pub fn may_take_from(&self, domain: &DomainName) -> bool {
         self.is_lost(domain) && !self.stopping.contains(domain)
@@ -115,7 +120,7 @@
     state.tickets.last_for(&ThingId::new(ThingKind::Domain, domain.as_str()))
 }
 
-/// The slots of a service's servers in a domain.
+/// The total slots of a service's servers in a domain.
 fn capacity(
     state: &DeploymentState,
     service: &ServiceRules,
--- a/goldcrestramp-ownership/src/planner/record.rs
+++ b/goldcrestramp-ownership/src/planner/record.rs
@@ -1,18 +1,19 @@
-//! Which failure domain holds each slice of a service.
+//! The record of which failure domain holds each slice of a service.
 
 use goldcrestramp_config::TouchMark;
 use goldcrestramp_types::{
     DomainName, ServiceName, SliceCount, SliceIndex, SliceSet,
 };
 
-/// Who holds one slice, and where it is to go.
+/// The holder of one slice, and the target of its move if it moves.
 ///
-/// The numbers are positions in [`ServiceRecord::domains`].
+/// Both are indices into [`ServiceRecord::domains`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct SliceHolding {
     /// The failure domain that holds the slice.
     pub domain: u16,
-    /// The domain that gets it once the holder has released it.
+    /// The domain that becomes the holder once the present holder has released
+    /// the slice.
     pub target: Option<u16>,
 }
 
@@ -21,34 +22,34 @@
 pub struct RecordDomain {
     /// Its name.
     pub name: DomainName,
-    /// The last ticket that touched it, as far as the planner knew that
-    /// wrote the record.
+    /// The last ticket that touched the domain and was known to the planner
+    /// that wrote the record.
     ///
-    /// A domain that was declared lost and returns acts on the record only
-    /// once this names the ticket that brought it back: until then a
-    /// planner that knows only of the loss may still take its slices.
+    /// A domain that returns after it was declared lost acts on the record
+    /// only once this is the ticket that brought it back. Until then a planner
+    /// that knows only of the loss may still take its slices.
     pub ticket: TouchMark,
 }
 
 /// The division of one service's slices among failure domains.
 ///
-/// A slice has one holding, so two domains never hold it at once. The
-/// record changes by compare-and-swap only, each time with a higher
-/// revision, so of two planners that act on the same state one fails.
+/// A slice has one holding, so two domains never hold it at once. The record
+/// changes only by compare-and-swap, and each change increases the revision.
+/// So if two planners act on the same state, one of them fails.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ServiceRecord {
     /// The service.
     pub service: ServiceName,
-    /// Rises by one with each change, also across a restored store.
+    /// Increases by one with each change, also across a restored store.
     pub revision: u64,
-    /// The failure domains that stand in `slices`, each once.
+    /// The failure domains to which `slices` refers, each once.
     pub domains: Vec<RecordDomain>,
-    /// One holding a slice, in the order of the slices.
+    /// One holding per slice, in the order of the slices.
     pub slices: Vec<SliceHolding>,
 }
 
 impl ServiceRecord {
-    /// The number of slices, if the record is well formed.
+    /// The number of slices; `None` if the record is malformed.
     #[must_use]
     pub fn count(&self) -> Option<SliceCount> {
         let length = u32::try_from(self.slices.len()).ok()?;
@@ -68,14 +69,15 @@
         self.name_at(holding.domain)
     }
 
-    /// The domain to which a slice is to move.
+    /// The domain to which a slice moves; `None` if it does not move.
     #[must_use]
     pub fn target_of(&self, slice: SliceIndex) -> Option<&DomainName> {
         let target = self.holding(slice)?.target?;
         self.name_at(target)
     }
 
-    /// The last ticket about `domain` that the record takes account of.
+    /// The last ticket that touched `domain` and that the record takes into
+    /// account.
     #[must_use]
     pub fn ticket_of(&self, domain: &DomainName) -> Option<TouchMark> {
         let position = self.position(domain)?;
@@ -86,7 +88,7 @@
         Some(&self.domains.get(usize::from(position))?.name)
     }
 
-    /// Every slice that `domain` holds, leaving ones included.
+    /// All slices that `domain` holds, including those that leave it.
     #[must_use]
     pub fn held_by(&self, domain: &DomainName) -> SliceSet {
         let Some(position) = self.position(domain) else {
@@ -95,7 +97,7 @@
         self.select(|holding| holding.domain == position)
     }
 
-    /// The slices that `domain` holds and is to release.
+    /// The slices that `domain` holds and has to release.
     #[must_use]
     pub fn leaving(&self, domain: &DomainName) -> SliceSet {
         let Some(position) = self.position(domain) else {
@@ -106,14 +108,13 @@
         })
     }
 
-    /// The position of `domain` in the record.
+    /// The index of `domain` in [`domains`](Self::domains).
     #[must_use]
     pub fn position(&self, domain: &DomainName) -> Option<u16> {
         let found = self.domains.iter().position(|d| d.name == *domain);
         u16::try_from(found?).ok()
     }
 
-    /// The slices whose holding satisfies `wanted`.
     fn select(&self, wanted: impl Fn(&SliceHolding) -> bool) -> SliceSet {
         let numbered = (0_u32..).zip(&self.slices);
         numbered
--- a/goldcrestramp-ownership/src/planner/round.rs
+++ b/goldcrestramp-ownership/src/planner/round.rs
@@ -1,4 +1,5 @@
-//! One round of the planner for one service.
+//! One round of the planner for one service: it reads the records, decides,
+//! and returns the changed record.
 
 use goldcrestramp_config::TouchMark;
 use goldcrestramp_types::{
@@ -12,31 +13,33 @@
 };
 use crate::plan::StrandedCause;
 
-/// The most slices of a service that are on the move at once.
+/// The maximum number of slices of a service that move at once, unless
+/// [`MOVING_DIVISOR`] allows more.
 ///
-/// Each is without an owner for a moment when its holder releases it; 256
-/// of 4,096 keep that to a sixteenth of the keys, and an entry of the
-/// record takes 12 bytes.
-const MOVING_LIMIT: usize = 256;
+/// Each slice is without an owner for a moment after its holder releases it.
+/// With 256 of 4,096 slices this affects at most a sixteenth of the keys. An
+/// entry of the record takes 12 bytes.
+const MAX_MOVING: usize = 256;
 
-/// The part of a larger service's slices that are on the move at once.
+/// The divisor that gives the maximum number of moving slices of a larger
+/// service: a sixteenth of its slices.
 ///
-/// With 256 of 65,536 a domain's third would take 85 rounds, and a leaving
-/// server would serve for half a minute.
-const MOVING_PART: usize = 16;
+/// With 256 of 65,536 the move of a domain's third would take 85 rounds, and a
+/// leaving server would have to serve for half a minute.
+const MOVING_DIVISOR: usize = 16;
 
-/// What a domain's own record says of the service.
+/// The part of a domain's own record that is about the service.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct DomainView {
     /// The slices that its servers hold.
     pub held: SliceSet,
     /// The slices that it has released.
     pub released: SliceSet,
-    /// Why none of its servers can be given any, if none can.
+    /// Why none of its servers can receive slices; `None` if one can.
     pub stranded: Option<StrandedCause>,
 }
 
-/// A move between failure domains that placement asks for.
+/// A move between failure domains, requested by placement.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct DomainMove {
     /// The slice.
@@ -45,30 +48,34 @@
     pub target: DomainName,
 }
 
-/// The service's record has been read; the domains' records are next.
+/// The first stage of a round: the service's record has been read, the
+/// domains' records have not.
 ///
-/// The order matters. A release read *before* the record may belong to an
-/// earlier move of the same slice: the slice has come back since, is held
-/// again, and a new move would be taken as done while a server still owns
-/// it. Read after the record, a release belongs to the move it shows.
+/// The order matters. A release that is read *before* the record may belong to
+/// an earlier move of the same slice. If the slice has returned since and is
+/// held again, a new move would count as complete while a server still owns
+/// the slice. A release that is read after the record belongs to the move that
+/// the record shows.
 #[derive(Clone, Debug)]
 pub struct RecordStage {
     record: Option<ServiceRecord>,
 }
 
-/// Both have been read, in this order; a decision can be made.
+/// The second stage of a round: both have been read in this order, and a
+/// decision can be made.
 #[derive(Clone, Debug)]
 pub struct ViewStage {
     record: Option<ServiceRecord>,
     views: FastMap<DomainName, DomainView>,
 }
 
-/// Starts rounds.
+/// Entry point of a round. The stages enforce the order of the reads.
 #[derive(Clone, Copy, Debug)]
 pub struct PlannerRound;
 
 impl PlannerRound {
-    /// Starts a round with the service's record as just read.
+    /// Starts a round with the service's record as just read; `None` if it
+    /// does not exist.
     #[must_use]
     pub const fn start(record: Option<ServiceRecord>) -> RecordStage {
         RecordStage { record }
@@ -76,43 +83,44 @@
 }
 
 impl RecordStage {
-    /// The domains whose records a decision needs; none when nothing is
-    /// on the move and nobody has to leave.
+    /// The domains whose records are needed for a decision. Empty if no slice
+    /// is moving and no domain has to give up slices.
     ///
-    /// `stranded`: the domains that were last heard to have no server for
-    /// the service; a hint, which their records confirm or not.
+    /// `stranded` are the domains that last reported to have no server for the
+    /// service. It is a hint, which their records confirm or refute.
     #[must_use]
     pub fn needs(
         &self,
         policy: &ServicePolicy,
         stranded: &FastSet<DomainName>,
     ) -> Vec<DomainName> {
-        let places = policy.shares.iter().map(|share| &share.domain);
+        let allowed = policy.shares.iter().map(|share| &share.domain);
         let Some(record) = &self.record else {
-            // The first record needs to know that there was none before.
-            return places.chain(&policy.lost).cloned().collect();
+            // Before the first record is written, all domains have to show
+            // whether there was one before.
+            return allowed.chain(&policy.lost).cloned().collect();
         };
         let moving = record.slices.iter().any(|h| h.target.is_some());
         let misplaced = record.domains.iter().any(|domain| {
-            let fit = policy.allows(&domain.name)
+            let suitable = policy.allows(&domain.name)
                 && !stranded.contains(&domain.name);
-            !fit && !record.held_by(&domain.name).is_empty()
+            !suitable && !record.held_by(&domain.name).is_empty()
         });
         if !moving && !misplaced {
             return Vec::new();
         }
         let holders = record.domains.iter().map(|domain| &domain.name);
         let mut needed: Vec<DomainName> =
-            places.chain(holders).cloned().collect();
+            allowed.chain(holders).cloned().collect();
         needed.sort_unstable();
         needed.dedup();
         needed
     }
 
-    /// Takes the domains' records as read after the service's.
+    /// Adds the domains' records, which were read after the service's record.
     ///
-    /// A domain whose record does not exist has an empty view; one whose
-    /// record could not be read is left out, and nothing is begun or ended
+    /// A domain whose record does not exist has an empty view. A domain whose
+    /// record could not be read is left out, and no move starts or completes
     /// there.
     #[must_use]
     pub fn viewed(self, views: FastMap<DomainName, DomainView>) -> ViewStage {
@@ -121,13 +129,13 @@
 }
 
 impl ViewStage {
-    /// The record to write over the one that was read; `None`: nothing is
-    /// to change.
+    /// Returns the record to write over the one that was read, or `None` if
+    /// nothing changes. `requested` are moves that placement asks for.
     #[must_use]
     pub fn decide(
         self,
         policy: &ServicePolicy,
-        asked: &[DomainMove],
+        requested: &[DomainMove],
     ) -> Option<ServiceRecord> {
         let Some(before) = self.record else {
             return first_record(policy, &self.views);
@@ -135,19 +143,19 @@
         if before.slices.len() != policy.count.get() as usize {
             return None;
         }
-        if !knows_tickets(&before, policy) {
+        if !is_current(&before, policy) {
             return None;
         }
         let views = self.views;
         let mut change =
             RecordChange { record: before.clone(), views, policy };
-        change.note_tickets();
-        change.end_moves();
-        change.take_from_lost();
+        change.record_tickets();
+        change.complete_moves();
+        change.reassign_lost();
         change.redirect();
-        change.expel();
-        change.evacuate();
-        change.begin(asked);
+        change.vacate_disallowed();
+        change.vacate_stranded();
+        change.start_requested(requested);
         let mut record = change.record;
         if record == before {
             return None;
@@ -157,23 +165,25 @@
     }
 }
 
-/// Whether the policy is as new as the one that the record was made by.
+/// Whether the policy is at least as new as the one from which the record was
+/// made.
 ///
-/// A planner that was paused may know a domain as lost that has returned
-/// and holds its slices again; it must not take them.
-fn knows_tickets(record: &ServiceRecord, policy: &ServicePolicy) -> bool {
+/// A planner that was paused may regard a domain as lost that has returned and
+/// holds its slices again. It must not take them.
+fn is_current(record: &ServiceRecord, policy: &ServicePolicy) -> bool {
     let known = |name: &DomainName, ticket: TouchMark| {
         policy.tickets.get(name).is_none_or(|known| *known >= ticket)
     };
     record.domains.iter().all(|domain| known(&domain.name, domain.ticket))
 }
 
-/// The first record of a service.
+/// Creates the first record of a service.
 ///
-/// When domains already have slices on record, the service's record has
-/// been lost with older data of the store: it is rebuilt from theirs, and
-/// what none holds is divided. A new division would give slices away that
-/// servers own. It needs every domain's view, for the same reason.
+/// If domains already have slices on record, the store was reset to older data
+/// and the service's record was lost. It is then rebuilt from the domains'
+/// records, and the slices that no domain holds are divided. A new division
+/// would reassign slices that servers own. For the same reason the views of
+/// all domains are needed.
 fn first_record(
     policy: &ServicePolicy,
     views: &FastMap<DomainName, DomainView>,
@@ -202,7 +212,7 @@
     Some(record)
 }
 
-/// A record while it is being changed.
+/// A record that is being changed, with the inputs of the decision.
 #[derive(Debug)]
 struct RecordChange<'a> {
     record: ServiceRecord,
@@ -211,45 +221,46 @@
 }
 
 impl RecordChange<'_> {
-    /// Notes the tickets that this change takes account of.
-    fn note_tickets(&mut self) {
+    /// Records the tickets that this change takes into account.
+    fn record_tickets(&mut self) {
         for domain in &mut self.record.domains {
             let known = self.policy.ticket_of(&domain.name);
             domain.ticket = domain.ticket.max(known);
         }
     }
 
-    /// Makes targets the holders of what has been released to them.
-    fn end_moves(&mut self) {
+    /// Completes the moves whose holders have released the slice: the target
+    /// becomes the holder.
+    fn complete_moves(&mut self) {
         for slice in self.policy.count.indices() {
             let Some(target) = self.holding(slice).target else {
                 continue;
             };
             let domain = self.record.domain_of(slice);
-            if domain.is_some_and(|domain| self.released(domain, slice)) {
+            if domain.is_some_and(|domain| self.is_released(domain, slice)) {
                 self.set(slice, SliceHolding { domain: target, target: None });
             }
         }
     }
 
-    /// Gives the slices of lost domains to others, without a release.
-    fn take_from_lost(&mut self) {
+    /// Reassigns the slices of lost domains without a release.
+    fn reassign_lost(&mut self) {
         let mut tally = DivisionTally::of(self.policy, &self.record);
         for slice in self.policy.count.indices() {
             let domain = self.record.domain_of(slice);
             if domain.is_none_or(|d| !self.policy.may_take_from(d)) {
                 continue;
             }
-            if let Some(target) = self.choose(slice, &mut tally) {
+            if let Some(target) = self.choose_target(slice, &mut tally) {
                 self.set(slice, SliceHolding { domain: target, target: None });
             }
         }
     }
 
-    /// Turns moves whose target may not hold the slice any more.
+    /// Redirects moves whose target may no longer hold the slice.
     ///
-    /// A move is never called off: its holder may have released the slice
-    /// already, and would have to take that back before it could grant.
+    /// A move is never cancelled. Its holder may have released the slice
+    /// already, and would have to revoke the release before it could grant.
     fn redirect(&mut self) {
         let mut tally = DivisionTally::of(self.policy, &self.record);
         for slice in self.policy.count.indices() {
@@ -257,7 +268,7 @@
             if target.is_none_or(|target| self.is_usable(target)) {
                 continue;
             }
-            if let Some(target) = self.choose(slice, &mut tally) {
+            if let Some(target) = self.choose_target(slice, &mut tally) {
                 let domain = self.holding(slice).domain;
                 let target = Some(target);
                 self.set(slice, SliceHolding { domain, target });
@@ -265,126 +276,140 @@
         }
     }
 
-    /// Moves slices out of domains where the rules no longer let them be.
-    fn expel(&mut self) {
+    /// Starts to move slices out of domains where the rules no longer allow
+    /// them.
+    fn vacate_disallowed(&mut self) {
         let mut tally = DivisionTally::of(self.policy, &self.record);
-        let mut room = self.room();
+        let mut remaining = self.remaining_moves();
         for slice in self.policy.count.indices() {
             let domain = self.record.domain_of(slice);
             if domain.is_none_or(|domain| self.policy.allows(domain)) {
                 continue;
             }
-            if room == 0 || !self.may_begin(slice) {
+            if remaining == 0 || !self.may_start_move(slice) {
                 continue;
             }
-            if let Some(target) = self.choose(slice, &mut tally) {
-                room -= usize::from(self.aim(slice, target));
+            if let Some(target) = self.choose_target(slice, &mut tally) {
+                remaining -= usize::from(self.set_target(slice, target));
             }
         }
     }
 
-    /// Moves slices out of domains that have no server for them.
+    /// Starts to move slices out of domains that have no server for them.
     ///
-    /// Where all servers are lost, nobody serves the slices, so all of them
-    /// go at once; a server that leaves gives them up bit by bit. They do
-    /// not come back by themselves: each move costs callers a wait.
-    fn evacuate(&mut self) {
+    /// If all servers are lost, nobody serves the slices, so all of them move
+    /// at once. A server that is leaving releases a bounded number at a time.
+    /// The slices do not return automatically, because each move makes callers
+    /// wait.
+    fn vacate_stranded(&mut self) {
         let mut tally = DivisionTally::of(self.policy, &self.record);
-        let mut room = self.room();
+        let mut remaining = self.remaining_moves();
         for slice in self.policy.count.indices() {
-            let Some(cause) = self.cause(slice) else {
+            let Some(stranded_cause) = self.stranded_cause(slice) else {
                 continue;
             };
-            let full = cause == StrandedCause::Leaving && room == 0;
-            if full || !self.may_begin(slice) {
+            let full =
+                stranded_cause == StrandedCause::Leaving && remaining == 0;
+            if full || !self.may_start_move(slice) {
                 continue;
             }
-            if let Some(target) = self.choose(slice, &mut tally) {
-                let begun = usize::from(self.aim(slice, target));
-                room = room.saturating_sub(begun);
+            if let Some(target) = self.choose_target(slice, &mut tally) {
+                let started = usize::from(self.set_target(slice, target));
+                remaining = remaining.saturating_sub(started);
             }
         }
     }
 
     /// Why the domain of `slice` has no server for it, if it has none.
-    fn cause(&self, slice: SliceIndex) -> Option<StrandedCause> {
+    fn stranded_cause(&self, slice: SliceIndex) -> Option<StrandedCause> {
         let domain = self.record.domain_of(slice)?;
         self.views.get(domain)?.stranded
     }
 
-    /// Whether `domain` may hold slices and has servers for them, as far
-    /// as is known.
+    /// Whether `domain` may hold slices and is not known to lack servers for
+    /// them.
     fn is_usable(&self, domain: &DomainName) -> bool {
         let stranded = |view: &DomainView| view.stranded.is_some();
         let allowed = self.policy.allows(domain);
         allowed && !self.views.get(domain).is_some_and(stranded)
     }
 
-    /// Begins the moves that were asked for and are possible.
-    fn begin(&mut self, asked: &[DomainMove]) {
-        let mut room = self.room();
-        for wanted in asked {
+    /// Starts the requested moves that are possible.
+    fn start_requested(&mut self, requested: &[DomainMove]) {
+        let mut remaining = self.remaining_moves();
+        for wanted in requested {
             let allowed = self.is_usable(&wanted.target);
-            let fit = self.may_take(&wanted.target, wanted.slice);
-            if room == 0 || !allowed || !fit || !self.may_begin(wanted.slice) {
+            let suitable =
+                self.has_no_old_release(&wanted.target, wanted.slice);
+            if remaining == 0
+                || !allowed
+                || !suitable
+                || !self.may_start_move(wanted.slice)
+            {
                 continue;
             }
             if let Some(target) =
                 intern(&mut self.record, &wanted.target, self.policy)
             {
-                room -= usize::from(self.aim(wanted.slice, target));
+                remaining -=
+                    usize::from(self.set_target(wanted.slice, target));
             }
         }
     }
 
-    /// Whether a move of `slice` may begin.
+    /// Whether a move of `slice` may start.
     ///
-    /// A release that is on record *before* the move begins would end the
+    /// A release that is on record *before* the move starts would complete the
     /// move at once, with the slice still held.
-    fn may_begin(&self, slice: SliceIndex) -> bool {
+    fn may_start_move(&self, slice: SliceIndex) -> bool {
         let Some(holding) = self.record.holding(slice) else {
             return false;
         };
         let Some(domain) = self.record.domain_of(slice) else {
             return false;
         };
-        holding.target.is_none() && self.may_take(domain, slice)
+        holding.target.is_none() && self.has_no_old_release(domain, slice)
     }
 
-    /// How many more moves may begin.
-    fn room(&self) -> usize {
+    /// The number of further moves that may start.
+    fn remaining_moves(&self) -> usize {
         let moving = self.record.slices.iter().filter(|h| h.target.is_some());
-        let share = self.record.slices.len() / MOVING_PART;
-        MOVING_LIMIT.max(share).saturating_sub(moving.count())
+        let share = self.record.slices.len() / MOVING_DIVISOR;
+        MAX_MOVING.max(share).saturating_sub(moving.count())
     }
 
-    /// Whether `domain` has nothing old on record that would keep it from
-    /// granting the slice.
+    /// Whether `domain` was read and has no release of `slice` on record,
+    /// which would keep it from granting the slice.
     ///
-    /// A steward takes a release off its record once the slice has another
-    /// holder. Given the slice before that, it would not know whether the
-    /// release is the old one, and would grant nothing.
-    fn may_take(&self, domain: &DomainName, slice: SliceIndex) -> bool {
+    /// A steward removes a release from its record once the slice has another
+    /// holder. If it received the slice before that, it could not tell whether
+    /// the release is the old one, and would grant nothing.
+    fn has_no_old_release(
+        &self,
+        domain: &DomainName,
+        slice: SliceIndex,
+    ) -> bool {
         let view = self.views.get(domain);
         view.is_some_and(|view| !view.released.contains(slice))
     }
 
-    /// The domain that is to get `slice`: fewest slices for its capacity.
-    fn choose(
+    /// Chooses the domain that receives `slice`: the one with the fewest
+    /// slices for its capacity.
+    fn choose_target(
         &mut self,
         slice: SliceIndex,
         tally: &mut DivisionTally<'_>,
     ) -> Option<u16> {
         let holder = self.record.domain_of(slice).cloned();
-        let domain = tally.take(|domain| {
+        let domain = tally.assign_next(|domain| {
             let other = holder.as_ref() != Some(domain);
             let usable = self.is_usable(domain);
-            other && usable && self.may_take(domain, slice)
+            other && usable && self.has_no_old_release(domain, slice)
         })?;
         intern(&mut self.record, &domain, self.policy)
     }
 
-    fn released(&self, domain: &DomainName, slice: SliceIndex) -> bool {
+    fn is_released(&self, domain: &DomainName, slice: SliceIndex) -> bool {
         let view = self.views.get(domain);
         view.is_some_and(|view| view.released.contains(slice))
     }
@@ -397,8 +422,9 @@
         self.record.slices[slice.position()] = holding;
     }
 
-    /// Notes that `slice` is to go to `target`; false if it is there.
-    fn aim(&mut self, slice: SliceIndex, target: u16) -> bool {
+    /// Sets `target` as the target of `slice`. Returns `false` if the slice is
+    /// there already.
+    fn set_target(&mut self, slice: SliceIndex, target: u16) -> bool {
         let domain = self.holding(slice).domain;
         let away = domain != target;
         if away {
@@ -409,7 +435,7 @@
     }
 }
 
-/// The position of `domain` in the record, where it is added if need be.
+/// The index of `domain` in the record, to which it is added if it is missing.
 fn intern(
     record: &mut ServiceRecord,
     domain: &DomainName,
