--- a/goldcrestramp-ownership/src/plan.rs
+++ b/goldcrestramp-ownership/src/plan.rs
@@ -1,4 +1,4 @@
-//! What a steward is told to bring about, and what it puts on record.
+//! The plan that a steward carries out, and the record that it writes.
 
 use std::sync::Arc;
 
@@ -8,47 +8,49 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// A server of the failure domain, as the configuration has it.
+/// A server of the failure domain, as configured.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ServerPlan {
     /// The server.
     pub server: ServerName,
     /// Its service.
     pub service: ServiceName,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: Arc<str>,
-    /// How many requests it runs at once.
+    /// The maximum number of requests that it runs at once.
     pub slots: u32,
-    /// How many connections it takes.
+    /// The maximum number of connections that it accepts.
     pub connections: u32,
-    /// Whether it refuses old tokens.
+    /// Whether it refuses tokens older than its fence.
     pub checks_fence: bool,
-    /// Whether it is leaving: its slices move away.
+    /// Whether it is draining: its slices move to other servers.
     pub draining: bool,
 }
 
-/// A service, and the part of it that this failure domain holds.
+/// A service, with the slices of it that this failure domain holds.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ServicePlan {
     /// The service.
     pub service: ServiceName,
     /// Its number of slices.
     pub count: SliceCount,
-    /// The slices that the store's record gives to this domain.
+    /// The slices that the service's record in the store assigns to this
+    /// domain.
     pub slices: SliceSet,
-    /// The slices that are to leave the domain: release and record them.
+    /// The slices that are to leave the domain. The steward releases them and
+    /// puts the release on the domain's record.
     pub leaving: SliceSet,
 }
 
-/// Everything a steward needs of the configuration.
+/// The part of the configuration and the records that a steward needs.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct DomainPlan {
     /// The failure domain.
     pub domain: DomainName,
-    /// Rises with every accepted ticket and every change of a service's
+    /// Increases with every accepted ticket and every change of a service's
     /// record.
     ///
-    /// Voters refuse a steward whose version is below the one under which
+    /// Voters refuse a steward whose version is lower than the one under which
     /// slices left the domain.
     pub version: u64,
     /// The services.
@@ -57,32 +59,34 @@
     pub servers: Vec<ServerPlan>,
 }
 
-/// Who holds what in a failure domain, as kept in the store.
+/// The slices that each server of a failure domain holds, as stored.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct DomainRecord {
-    /// The token of the newest decision in it.
+    /// The token of the newest decision in the record.
     pub token: FenceToken,
-    /// Each server's slices; a slice stands with one server.
+    /// The slices of each server. A slice is listed with one server only.
     pub holders: FastMap<ServerName, SliceSet>,
-    /// Slices that left the domain, by service, with nothing running.
+    /// The slices that the domain has released, by service. No request is
+    /// running on them.
     pub released: FastMap<ServiceName, SliceSet>,
-    /// The services that the domain has no server for any more.
+    /// The services for which the domain has no server left, with the cause.
     ///
     /// The planner moves their slices to other domains.
     pub stranded: FastMap<ServiceName, StrandedCause>,
 }
 
-/// Why no server of a failure domain can be given slices of a service.
+/// Why no server of a failure domain can receive slices of a service.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StrandedCause {
-    /// Every server is lost: nobody serves the slices.
+    /// Every server is lost, so the slices are not served.
     Lost,
-    /// Every server is lost or leaving, and one that leaves still serves.
+    /// Every server is lost or leaving, and at least one that is leaving still
+    /// serves its slices.
     Leaving,
 }
 
-/// A move that placement asks for.
+/// A move of a slice to another server, requested by placement.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct SliceMove {
     /// The service.
--- a/goldcrestramp-ownership/src/table.rs
+++ b/goldcrestramp-ownership/src/table.rs
@@ -1,4 +1,7 @@
-//! The routing table of a failure domain: a hint, never a permission.
+//! The routing table of a failure domain.
+//!
+//! A table is only a hint for routing. It never permits a request: only a
+//! keeper's pass does.
 
 use std::sync::Arc;
 
@@ -6,14 +9,14 @@
     DomainName, ServerName, ServiceName, SliceCount, TableVersion, VmName,
 };
 
-/// A server in a table, with the keeper that sends to it.
+/// A server in a table, with its keeper.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct TableServer {
     /// The server.
     pub server: ServerName,
-    /// Its keeper's VM.
+    /// The VM that is its keeper.
     pub keeper: VmName,
-    /// Where peers reach the keeper.
+    /// The address at which peers reach the keeper.
     pub address: Arc<str>,
 }
 
@@ -26,7 +29,8 @@
     pub count: SliceCount,
     /// The servers that own slices of it here.
     pub servers: Vec<TableServer>,
-    /// For each slice the position of its owner in `servers`.
+    /// For each slice the index of its owner in `servers`; `None` without an
+    /// owner.
     pub owners: Vec<Option<u16>>,
 }
 
@@ -35,7 +39,8 @@
 pub struct DomainTable {
     /// The failure domain.
     pub domain: DomainName,
-    /// The version; tables with lower ones are dropped.
+    /// The version. A receiver drops a table with a lower version than its
+    /// own.
     pub version: TableVersion,
     /// The services with slices in this domain.
     pub services: Vec<ServiceTable>,
--- a/goldcrestramp-ownership/src/table_change.rs
+++ b/goldcrestramp-ownership/src/table_change.rs
@@ -1,51 +1,52 @@
-//! What changed between two versions of a routing table.
+//! Deltas between two versions of a routing table.
 //!
-//! A move changes one slice of up to 65,536. Sent whole, each table would
-//! go to every VM of the fleet for every move; its change is some bytes.
+//! A move changes one slice of up to 65,536. Without deltas every move would
+//! send the full table to every VM of the fleet; a delta takes a few bytes.
 
 use goldcrestramp_types::{DomainName, ServiceName, TableVersion};
 
 use crate::table::{DomainTable, ServiceTable, TableServer};
 
-/// A run of slices, both ends included, that has a new owner.
+/// A range of slices, both ends included, that has a new owner.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct OwnerRange {
     /// The first slice.
     pub first: usize,
     /// The last slice.
     pub last: usize,
-    /// The position of the owner among the new servers.
+    /// The index of the owner among the new servers; `None` for no owner.
     pub owner: Option<u16>,
 }
 
-/// What changed in one service.
+/// The changes of one service.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ServiceChange {
     /// The service.
     pub service: ServiceName,
-    /// The new servers; `None`: they are as before.
+    /// The new servers; `None` if they did not change.
     pub servers: Option<Vec<TableServer>>,
-    /// The slices whose owner changed, in rising order.
+    /// The slices whose owner changed, in ascending order.
     pub ranges: Vec<OwnerRange>,
 }
 
-/// What changed from one version of a domain's table to another.
+/// The delta from one version of a domain's table to another.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct TableChange {
     /// The failure domain.
     pub domain: DomainName,
-    /// The version that it changes.
+    /// The version to which the delta applies.
     pub base: TableVersion,
-    /// The version that it leads to.
+    /// The version that results.
     pub version: TableVersion,
-    /// The services in which something changed.
+    /// The services that changed.
     pub services: Vec<ServiceChange>,
 }
 
 impl TableChange {
-    /// What changed from `old` to `new`.
+    /// The delta from `old` to `new`.
     ///
-    /// `None`: they have other services, so the whole has to be sent.
+    /// Returns `None` if their services differ; then the full table has to be
+    /// sent.
     #[must_use]
     pub fn between(old: &DomainTable, new: &DomainTable) -> Option<Self> {
         if old.domain != new.domain || old.services.len() != new.services.len()
@@ -70,8 +71,10 @@
         })
     }
 
-    /// Applies the change; `None`: `old` is not the version that it
-    /// changes, or the change makes no sense.
+    /// Applies the delta to `old`.
+    ///
+    /// Returns `None` if `old` is not the base version or the delta is
+    /// invalid.
     #[must_use]
     pub fn apply(&self, old: &DomainTable) -> Option<DomainTable> {
         if old.domain != self.domain || old.version != self.base {
@@ -89,14 +92,14 @@
 }
 
 fn service_change(old: &ServiceTable, new: &ServiceTable) -> ServiceChange {
-    let places = new_places(&old.servers, &new.servers);
-    let moved = |owner: Option<u16>| {
-        owner.and_then(|place| *places.get(usize::from(place))?)
+    let indices = new_indices(&old.servers, &new.servers);
+    let mapped = |owner: Option<u16>| {
+        owner.and_then(|index| *indices.get(usize::from(index))?)
     };
     let mut runs: Vec<OwnerRange> = Vec::new();
     let pairs = old.owners.iter().zip(&new.owners).enumerate();
     for (slice, (before, after)) in pairs {
-        if moved(*before) == *after {
+        if mapped(*before) == *after {
             continue;
         }
         match runs.last_mut() {
@@ -120,16 +123,16 @@
     service: &mut ServiceTable,
 ) -> Option<()> {
     if let Some(servers) = &change.servers {
-        let places = new_places(&service.servers, servers);
+        let indices = new_indices(&service.servers, servers);
         for owner in &mut service.owners {
-            let place = owner.map(usize::from);
-            *owner = place.and_then(|place| *places.get(place)?);
+            let index = owner.map(usize::from);
+            *owner = index.and_then(|index| *indices.get(index)?);
         }
         service.servers.clone_from(servers);
     }
     for run in &change.ranges {
         let known = run.owner.map(usize::from);
-        if known.is_some_and(|place| place >= service.servers.len()) {
+        if known.is_some_and(|index| index >= service.servers.len()) {
             return None;
         }
         let owners = service.owners.get_mut(run.first..=run.last)?;
@@ -138,11 +141,11 @@
     Some(())
 }
 
-/// For each old server its position among the new ones.
-fn new_places(old: &[TableServer], new: &[TableServer]) -> Vec<Option<u16>> {
-    let place = |server: &TableServer| {
+/// For each old server its index among the new ones.
+fn new_indices(old: &[TableServer], new: &[TableServer]) -> Vec<Option<u16>> {
+    let index = |server: &TableServer| {
         let found = new.iter().position(|n| n.server == server.server)?;
         u16::try_from(found).ok()
     };
-    old.iter().map(place).collect()
+    old.iter().map(index).collect()
 }
