--- a/goldcrestramp-ownership/tests/keeper.rs
+++ b/goldcrestramp-ownership/tests/keeper.rs
@@ -1,4 +1,4 @@
-//! A keeper by itself, with a server whose messages come late or get lost.
+//! A keeper with one server, whose messages arrive late or are lost.
 
 use std::sync::Arc;
 
@@ -21,7 +21,7 @@
 }
 
 fn slice() -> SliceIndex {
-    SliceIndex::new(1).expect("in range")
+    SliceIndex::new(1).expect("slice is in range")
 }
 
 fn token(sequence: u64) -> FenceToken {
@@ -30,7 +30,7 @@
 }
 
 fn server() -> ServerName {
-    ServerName::new("s-1").expect("a name")
+    ServerName::new("s-1").expect("name is valid")
 }
 
 /// A keeper, and the server without fences that it keeps.
@@ -42,13 +42,13 @@
 impl KeptPair {
     fn new(safeguards: Safeguards) -> Self {
         let timing = TermTiming { safeguards, ..TermTiming::default() };
-        let vm = VmName::new("vm-1").expect("a name");
+        let vm = VmName::new("vm-1").expect("name is valid");
         let address = Arc::from("10.0.0.1:1");
         let keeper = KeeperMachine::new(vm, address, 1, timing);
         Self { keeper, holder: GrantHolder::new(7, false) }
     }
 
-    /// Gets a permit for a second, with the order to hold `slices`.
+    /// The keeper receives a permit for 1 s, with the order to hold `slices`.
     fn permit(&mut self, now: u64, sequence: u64, slices: &[SliceIndex]) {
         self.permit_for(now, 1_000, sequence, slices);
     }
@@ -63,7 +63,7 @@
         let report = self.keeper.report(at(now));
         let order = ServerOrder {
             server: server(),
-            service: ServiceName::new("stock").expect("a name"),
+            service: ServiceName::new("stock").expect("name is valid"),
             address: Arc::from("10.1.0.1:1"),
             checks_fence: false,
             slots: 4,
@@ -86,48 +86,48 @@
         self.keeper.permitted(at(now), at(now), answer);
     }
 
-    /// What the keeper sends now.
+    /// The order that the keeper sends now.
     fn order(&mut self, now: u64) -> GrantOrder {
         let orders = self.keeper.orders(at(now));
-        orders.into_iter().next().expect("an order is due").2
+        orders.into_iter().next().expect("order is due").2
     }
 
     /// An order reaches the server; its reply is lost.
-    fn arrive(&mut self, now: u64, order: &GrantOrder) {
+    fn deliver(&mut self, now: u64, order: &GrantOrder) {
         self.holder.apply(clock(now), order);
     }
 
-    /// The keeper sends what is due, and the server answers at once.
-    fn talk(&mut self, now: u64) {
+    /// The keeper sends the order that is due, and the server replies at once.
+    fn exchange(&mut self, now: u64) {
         let order = self.order(now);
         let reply = self.holder.apply(clock(now), &order);
         self.keeper.replied(at(now), at(now), &server(), &reply);
     }
 }
 
-// A grant gets no answer, a later order takes its slice away, and is
-// answered; then the grant arrives after all. The next extension must not
-// prolong it: its slice goes to another owner once its deadline has passed.
+// A grant gets no reply, and a later order takes its slice away and is
+// answered. Then the grant arrives late. The next extension must not prolong
+// it, because its slice moves to another owner once its deadline has passed.
 #[test]
-fn no_extension_prolongs_what_a_late_grant_brought_back() {
+fn an_extension_does_not_prolong_a_late_grant() {
     for (safeguards, prolonged) in [
         (Safeguards::default(), false),
         (Safeguards::without(Safeguard::NamedSet), true),
     ] {
         let mut pair = KeptPair::new(safeguards);
         pair.permit(5_000, 1, &[slice()]);
-        pair.talk(5_000);
+        pair.exchange(5_000);
         pair.permit(5_010, 1, &[slice()]);
         let late = pair.order(5_010);
         pair.keeper.record_no_reply(at(5_210), at(5_010), &server());
         pair.permit(5_300, 2, &[]);
-        pair.talk(5_300);
-        pair.arrive(5_310, &late);
+        pair.exchange(5_300);
+        pair.deliver(5_310, &late);
         assert!(pair.holder.may_start(clock(5_320), slice(), token(2)));
 
         pair.permit(5_500, 2, &[]);
         let renewal = pair.order(5_500);
-        pair.arrive(5_500, &renewal);
+        pair.deliver(5_500, &renewal);
 
         let after = late.deadline.as_micros() / 1_000 + 1;
         let starts = pair.holder.may_start(clock(after), slice(), token(2));
@@ -135,20 +135,20 @@
     }
 }
 
-// A steward adds a voter that confirmed it long ago, and so permits less
-// than before. The server's grant outlives that shorter permit: a keeper
-// that forgot it then would report a server that holds nothing.
+// A steward adds a voter that confirmed it long ago, so its next permit is
+// shorter than the one before. The server's grant outlives the shorter permit.
+// A keeper that forgot the server then would report that it holds nothing.
 #[test]
-fn a_shorter_permit_lets_no_grant_be_forgotten() {
+fn a_shorter_permit_does_not_make_the_keeper_forget_a_grant() {
     for (safeguards, remembers) in [
         (Safeguards::default(), true),
         (Safeguards::without(Safeguard::LongestPermit), false),
     ] {
         let mut pair = KeptPair::new(safeguards);
         pair.permit(5_000, 1, &[slice()]);
-        pair.talk(5_000);
+        pair.exchange(5_000);
         pair.permit(5_010, 1, &[slice()]);
-        pair.talk(5_010);
+        pair.exchange(5_010);
         pair.permit_for(5_020, 100, 1, &[slice()]);
 
         let report = pair.keeper.report(at(5_300));
--- a/goldcrestramp-ownership/tests/planner.rs
+++ b/goldcrestramp-ownership/tests/planner.rs
@@ -1,4 +1,4 @@
-//! Division of slices among failure domains, one case at a time.
+//! Single cases of the division of slices among failure domains.
 
 use std::sync::Arc;
 
@@ -18,32 +18,32 @@
 const COUNT: u32 = 64;
 
 fn domain(name: &str) -> DomainName {
-    DomainName::new(name).expect("a valid name")
+    DomainName::new(name).expect("name is valid")
 }
 
 fn slice(number: u32) -> SliceIndex {
-    SliceIndex::new(number).expect("in range")
+    SliceIndex::new(number).expect("slice is in range")
 }
 
 fn slices(numbers: impl IntoIterator<Item = u32>) -> SliceSet {
     numbers.into_iter().map(slice).collect()
 }
 
-/// Domains `a` and `b` in region `sierra`, `c` in `costa`; the given
-/// number of 4-slot servers each.
+/// Domains `a` and `b` in region `sierra` and `c` in `costa`, with the given
+/// numbers of 4-slot servers.
 fn state(servers: [u16; 3]) -> DeploymentState {
-    let places = [("a", "sierra"), ("b", "sierra"), ("c", "costa")];
+    let domains = [("a", "sierra"), ("b", "sierra"), ("c", "costa")];
     let mut state = DeploymentState { version: 1, ..Default::default() };
     state.services.push(ServiceRules {
-        name: ServiceName::new("stock").expect("a valid name"),
-        slices: SliceCount::new(COUNT).expect("a power of two"),
+        name: ServiceName::new("stock").expect("name is valid"),
+        slices: SliceCount::new(COUNT).expect("count is a power of two"),
         domains: Vec::new(),
         regions: Vec::new(),
     });
-    for ((name, region), servers) in places.into_iter().zip(servers) {
+    for ((name, region), servers) in domains.into_iter().zip(servers) {
         state.domains.push(DomainRules {
             name: domain(name),
-            region: RegionName::new(region).expect("a valid name"),
+            region: RegionName::new(region).expect("name is valid"),
             lost: false,
         });
         for number in 0..servers {
@@ -53,12 +53,12 @@
     state
 }
 
-fn server(place: &str, number: u16) -> ServerRules {
-    let name = format!("{place}-{number}");
+fn server(domain_name: &str, number: u16) -> ServerRules {
+    let name = format!("{domain_name}-{number}");
     ServerRules {
-        name: ServerName::new(&name).expect("a valid name"),
-        service: ServiceName::new("stock").expect("a valid name"),
-        domain: domain(place),
+        name: ServerName::new(&name).expect("name is valid"),
+        service: ServiceName::new("stock").expect("name is valid"),
+        domain: domain(domain_name),
         address: ([127, 0, 0, 1], 7_000 + number).into(),
         slots: 4,
         connections: 120,
@@ -85,25 +85,26 @@
     record: Option<&ServiceRecord>,
     views: FastMap<DomainName, DomainView>,
     state: &DeploymentState,
-    asked: &[DomainMove],
+    requested: &[DomainMove],
 ) -> Option<ServiceRecord> {
     let round = PlannerRound::start(record.cloned());
-    round.viewed(views).decide(&policy(state), asked)
+    round.viewed(views).decide(&policy(state), requested)
 }
 
 fn first(state: &DeploymentState) -> ServiceRecord {
-    decide(None, views(), state, &[]).expect("a first division")
+    decide(None, views(), state, &[]).expect("first division is made")
 }
 
 fn held(record: &ServiceRecord) -> [usize; 3] {
     ["a", "b", "c"].map(|name| record.held_by(&domain(name)).len())
 }
 
-fn to(number: u32, target: &str) -> DomainMove {
+fn move_to(number: u32, target: &str) -> DomainMove {
     DomainMove { slice: slice(number), target: domain(target) }
 }
 
-/// A ticket of this number declares the domain lost or returned.
+/// Applies a ticket with this number that declares the domain lost or
+/// returned.
 fn set_lost(
     state: &mut DeploymentState,
     position: usize,
@@ -117,7 +118,7 @@
     state.version += 1;
 }
 
-/// How many slices the plan of `a` has, if there is one.
+/// The number of slices in the plan of `a`; `None` without a plan.
 fn plan(state: &DeploymentState, record: &ServiceRecord) -> Option<usize> {
     let records = [Arc::new(record.clone())];
     let plan = domain_plan(state, &domain("a"), &records)?;
@@ -137,7 +138,7 @@
         let mut state = state(servers);
         let regions = regions.iter().map(|name| RegionName::new(name));
         state.services[0].regions =
-            regions.collect::<Result<_, _>>().expect("valid names");
+            regions.collect::<Result<_, _>>().expect("names are valid");
 
         let record = first(&state);
 
@@ -147,38 +148,38 @@
 }
 
 #[test]
-fn a_division_that_needs_no_change_stays() {
+fn a_valid_division_does_not_change() {
     let state = state([1, 1, 1]);
     let record = first(&state);
     assert_eq!(decide(Some(&record), views(), &state, &[]), None);
 }
 
-/// A slice moves in three steps; nobody but its holder may grant it before
-/// the release is on the holder's record.
+/// Only the holder may grant a slice before the release is on the holder's
+/// record. A move that completed earlier would give the slice two owners.
 #[test]
 fn a_move_waits_for_the_release() {
     let state = state([2, 1, 1]);
     let record = first(&state);
 
-    let begun = decide(Some(&record), views(), &state, &[to(0, "b")]);
-    let begun = begun.expect("a move begun");
-    let waiting = decide(Some(&begun), views(), &state, &[to(0, "c")]);
+    let started = decide(Some(&record), views(), &state, &[move_to(0, "b")]);
+    let started = started.expect("move starts");
+    let waiting = decide(Some(&started), views(), &state, &[move_to(0, "c")]);
     let mut after = views();
     after.insert(domain("a"), view(slices([0])));
-    let ended = decide(Some(&begun), after, &state, &[]);
-    let ended = ended.expect("a move ended");
+    let completed = decide(Some(&started), after, &state, &[]);
+    let completed = completed.expect("move is complete");
 
-    assert!(begun.held_by(&domain("a")).contains(slice(0)));
-    assert_eq!(begun.leaving(&domain("a")), slices([0]));
+    assert!(started.held_by(&domain("a")).contains(slice(0)));
+    assert_eq!(started.leaving(&domain("a")), slices([0]));
     assert_eq!(waiting, None);
-    assert!(ended.held_by(&domain("b")).contains(slice(0)));
-    assert_eq!(ended.leaving(&domain("a")), SliceSet::new());
-    assert_eq!(ended.revision, record.revision + 2);
+    assert!(completed.held_by(&domain("b")).contains(slice(0)));
+    assert_eq!(completed.leaving(&domain("a")), SliceSet::new());
+    assert_eq!(completed.revision, record.revision + 2);
 }
 
-/// A domain is cut off from the store and serves on. Its slices stay its
-/// own, however long that lasts: nobody can tell it from a domain that is
-/// dead.
+/// A domain is cut off from the store and keeps serving. It cannot be
+/// distinguished from a dead domain, so it keeps its slices for any length of
+/// time. Otherwise they would have two owners.
 #[test]
 fn a_domain_that_cannot_be_read_keeps_its_slices() {
     let state = state([2, 1, 1]);
@@ -186,14 +187,14 @@
     let mut unread = views();
     unread.remove(&domain("a"));
 
-    let change = decide(Some(&record), unread, &state, &[to(0, "b")]);
+    let change = decide(Some(&record), unread, &state, &[move_to(0, "b")]);
 
     assert_eq!(change, None);
 }
 
-/// An operator declares a domain lost. Its slices go to the others in
-/// proportion to capacity. When the domain returns, its own record still
-/// lists them with its servers, but its steward's plan is empty.
+/// An operator declares a domain lost, and its slices move to the others in
+/// proportion to capacity. When the domain returns, its own record still lists
+/// them with its servers. Its steward must not grant them: its plan is empty.
 #[test]
 fn a_lost_domain_loses_its_slices_and_gets_an_empty_plan() {
     let mut state = state([2, 1, 1]);
@@ -201,24 +202,25 @@
     set_lost(&mut state, 0, true, 2);
 
     let taken = decide(Some(&record), views(), &state, &[]);
-    let taken = taken.expect("slices taken");
+    let taken = taken.expect("slices are reassigned");
     let lost_plan = plan(&state, &record);
     set_lost(&mut state, 0, false, 3);
-    let noted = decide(Some(&taken), views(), &state, &[]);
-    let noted = noted.expect("the ticket noted");
+    let recorded = decide(Some(&taken), views(), &state, &[]);
+    let recorded = recorded.expect("ticket is recorded");
 
     assert_eq!(held(&taken), [0, 32, 32]);
     assert_eq!(lost_plan, Some(0), "the ticket alone empties the plan");
-    assert_eq!(plan(&state, &taken), None, "not before it is noted");
-    assert_eq!(plan(&state, &noted), Some(0));
-    assert_eq!(decide(Some(&noted), views(), &state, &[]), None);
+    assert_eq!(plan(&state, &taken), None, "not before it is recorded");
+    assert_eq!(plan(&state, &recorded), Some(0));
+    assert_eq!(decide(Some(&recorded), views(), &state, &[]), None);
 }
 
-/// A domain is declared lost by mistake. Until it has heard of that its
-/// server serves on: the slices stay its own, are asked for, and move when
-/// it has released them. Taken at once, each had two owners for a moment.
+/// A domain is declared lost by mistake. Its server keeps serving until the
+/// domain learns of that. So the domain keeps the slices, is asked to release
+/// them, and they move after the release. When they were taken at once, each
+/// had two owners for a moment.
 #[test]
-fn a_lost_domain_that_may_still_serve_gives_its_slices_up_first() {
+fn a_lost_domain_that_may_still_serve_releases_its_slices_first() {
     let mut state = state([2, 1, 1]);
     let record = first(&state);
     set_lost(&mut state, 0, true, 2);
@@ -229,21 +231,21 @@
         round.viewed(views).decide(&policy, &[])
     };
 
-    let asked = decide(&record, views()).expect("slices asked for");
-    let released = asked.leaving(&domain("a"));
+    let requested = decide(&record, views()).expect("moves start");
+    let released = requested.leaving(&domain("a"));
     let mut views = views();
     views.insert(domain("a"), view(released.clone()));
-    let moved = decide(&asked, views).expect("slices moved");
+    let moved = decide(&requested, views).expect("moves are complete");
 
-    assert_eq!(held(&asked), held(&record));
+    assert_eq!(held(&requested), held(&record));
     assert!(!released.is_empty());
     assert_eq!(moved.held_by(&domain("a")).len() + released.len(), 32);
 }
 
-/// A domain is declared lost and soon returns. A planner that was paused
-/// knows only of the loss and wakes after the domain has begun to serve
-/// again: it must not take the slices. Its write fails because the record
-/// has changed, and reading again does not help it.
+/// A domain is declared lost and soon returns. A planner that was paused knows
+/// only of the loss and resumes after the domain serves again. It must not
+/// take the slices: its write fails because the record has changed, and it
+/// decides nothing after it reads the record again.
 #[test]
 fn a_paused_planner_does_not_take_from_a_returned_domain() {
     let mut state = state([2, 1, 1]);
@@ -253,34 +255,34 @@
     set_lost(&mut state, 0, false, 3);
 
     let waits = plan(&state, &record);
-    let noted = decide(Some(&record), views(), &state, &[]);
-    let noted = noted.expect("the ticket noted");
-    let late = decide(Some(&noted), views(), &outdated, &[]);
+    let recorded = decide(Some(&record), views(), &state, &[]);
+    let recorded = recorded.expect("ticket is recorded");
+    let late = decide(Some(&recorded), views(), &outdated, &[]);
 
     assert_eq!(waits, None, "a fresh steward waits for the planner");
-    assert_eq!(plan(&state, &noted), Some(32));
+    assert_eq!(plan(&state, &recorded), Some(32));
     assert_eq!(late, None);
 }
 
-/// The target of a move is declared lost before the holder has released.
-/// The move turns to another domain; it is not called off, because the
-/// release may be under way.
+/// The target of a move is declared lost before the holder has released the
+/// slice. The move is redirected to another domain. It is not cancelled,
+/// because the release may be in flight.
 #[test]
-fn a_move_to_a_lost_domain_turns() {
+fn a_move_to_a_lost_domain_is_redirected() {
     let mut state = state([2, 1, 1]);
     let record = first(&state);
-    let begun = decide(Some(&record), views(), &state, &[to(0, "b")]);
+    let started = decide(Some(&record), views(), &state, &[move_to(0, "b")]);
     set_lost(&mut state, 1, true, 2);
 
-    let turned = decide(begun.as_ref(), views(), &state, &[]);
+    let redirected = decide(started.as_ref(), views(), &state, &[]);
 
-    let turned = turned.expect("a change");
-    assert_eq!(turned.target_of(slice(0)), Some(&domain("c")));
-    assert_eq!(turned.domain_of(slice(0)), Some(&domain("a")));
+    let redirected = redirected.expect("record changes");
+    assert_eq!(redirected.target_of(slice(0)), Some(&domain("c")));
+    assert_eq!(redirected.domain_of(slice(0)), Some(&domain("a")));
 }
 
-/// A ticket takes a domain out of the service's rules. It still serves, so
-/// its slices leave by release, a bounded number at a time.
+/// A ticket removes a domain from the service's rules. The domain still
+/// serves, so its slices leave by release, a bounded number at a time.
 #[test]
 fn slices_leave_a_domain_that_the_rules_exclude() {
     let mut state = state([2, 1, 1]);
@@ -289,50 +291,58 @@
 
     let change = decide(Some(&record), views(), &state, &[]);
 
-    let change = change.expect("moves begun");
+    let change = change.expect("moves start");
     assert_eq!(change.leaving(&domain("a")).len(), 32);
     assert_eq!(held(&change), held(&record));
 }
 
-/// A slice went from `a` to `b` and came back. `a`'s record still shows
-/// the first release. A second move must not take it for its own: `a`'s
-/// servers hold the slice again.
+/// A slice moved from `a` to `b` and returned. The record of `a` still shows
+/// the first release. It must not complete a second move, because the servers
+/// of `a` hold the slice again.
 #[test]
-fn an_old_release_does_not_end_a_new_move() {
+fn an_old_release_does_not_complete_a_new_move() {
     let state = state([2, 1, 1]);
     let record = first(&state);
-    let mut aged = views();
-    aged.insert(domain("a"), view(slices([0])));
-
-    let out = decide(Some(&record), aged.clone(), &state, &[to(0, "b")]);
-    let back = decide(Some(&record), aged, &state, &[to(40, "a")]);
+    let mut with_old_release = views();
+    with_old_release.insert(domain("a"), view(slices([0])));
+
+    let out = decide(
+        Some(&record),
+        with_old_release.clone(),
+        &state,
+        &[move_to(0, "b")],
+    );
+    let back =
+        decide(Some(&record), with_old_release, &state, &[move_to(40, "a")]);
 
     assert_eq!(out, None);
     let back = back.expect("another slice may move to the domain");
     assert_eq!(back.target_of(slice(40)), Some(&domain("a")));
 }
 
-/// A slice went from `a` to `b`, and `a`'s steward has not yet taken its
-/// release off its record. Given the slice back now, it could not tell the
-/// old release from a new one, and nobody would ever serve the slice.
+/// A slice moved from `a` to `b`, and the steward of `a` has not yet removed
+/// the release from its record. If the slice returned now, the steward could
+/// not tell the old release from a new one, and nobody would ever serve the
+/// slice.
 #[test]
-fn a_slice_does_not_return_before_its_release_is_forgotten() {
+fn a_slice_does_not_return_before_its_release_is_removed() {
     let state = state([2, 1, 1]);
     let record = first(&state);
-    let mut aged = views();
-    aged.insert(domain("a"), view(slices([40])));
+    let mut with_old_release = views();
+    with_old_release.insert(domain("a"), view(slices([40])));
 
-    let early = decide(Some(&record), aged, &state, &[to(40, "a")]);
-    let later = decide(Some(&record), views(), &state, &[to(40, "a")]);
+    let early =
+        decide(Some(&record), with_old_release, &state, &[move_to(40, "a")]);
+    let later = decide(Some(&record), views(), &state, &[move_to(40, "a")]);
 
     assert_eq!(early, None);
     assert!(later.is_some());
 }
 
-/// The store came back without the service's record, but with the
-/// domains'. A new division would give away what servers hold.
+/// The store was restored without the service's record, but with the records
+/// of the domains. A new division would reassign slices that servers hold.
 #[test]
-fn a_vanished_record_is_rebuilt_from_the_domains() {
+fn a_lost_record_is_rebuilt_from_the_domains() {
     let state = state([2, 1, 1]);
     let mut held_views = views();
     let held = DomainView { held: slices([63]), ..DomainView::default() };
@@ -344,70 +354,71 @@
 
     let rebuilt = decide(None, held_views, &state, &[]);
 
-    let rebuilt = rebuilt.expect("a record");
+    let rebuilt = rebuilt.expect("record is rebuilt");
     assert_eq!(rebuilt.domain_of(slice(63)), Some(&domain("a")));
     assert_eq!(decide(None, unread, &state, &[]), None);
     assert_eq!(decide(None, doubled, &state, &[]), None);
 }
 
-/// A VM that was cut off from the store leads with the plan from before a
-/// move, and grants the slice that has left: two owners. Voters refuse it
-/// only if that plan's version is lower, also when no ticket came between.
+/// A VM that was cut off from the store becomes steward with the plan from
+/// before a move and grants the slice that has left, which then has two
+/// owners. Voters refuse the VM only if the version of its plan is lower, also
+/// without a ticket in between.
 #[test]
 fn a_plan_from_before_a_move_has_a_lower_version() {
     let state = state([2, 1, 1]);
     let version = |state: &DeploymentState, record: &ServiceRecord| {
         let records = [Arc::new(record.clone())];
         let plan = domain_plan(state, &domain("a"), &records);
-        plan.expect("a plan").version
+        plan.expect("domain has a plan").version
     };
     let record = first(&state);
 
-    let begun = decide(Some(&record), views(), &state, &[to(0, "b")]);
-    let begun = begun.expect("a move begun");
+    let started = decide(Some(&record), views(), &state, &[move_to(0, "b")]);
+    let started = started.expect("move starts");
     let mut without = state.clone();
     without.version += 1;
     without.services.clear();
 
-    assert!(version(&state, &record) < version(&state, &begun));
-    assert!(version(&state, &begun) < version(&without, &begun));
+    assert!(version(&state, &record) < version(&state, &started));
+    assert!(version(&state, &started) < version(&without, &started));
 }
 
-/// Views in which a domain has no server for the service.
+/// Views in which one domain has no server for the service.
 fn stranded(
     name: &str,
     cause: StrandedCause,
 ) -> FastMap<DomainName, DomainView> {
     let mut views = views();
-    let view = views.get_mut(&domain(name)).expect("a view");
+    let view = views.get_mut(&domain(name)).expect("domain has a view");
     view.stranded = Some(cause);
     views
 }
 
-/// The last server of a service in its domain is lost. Its keys are unserved
-/// until its slices are elsewhere, so all of them leave at once; back with a
-/// server, the domain gets none of them: nothing needs that.
+/// The last server of a service in its domain is lost. Its keys are not served
+/// until its slices have moved, so all of them leave at once. When the domain
+/// has a server again, they do not return: that move would be unnecessary.
 #[test]
 fn slices_leave_a_domain_without_servers_and_do_not_return() {
     let state = state([1, 1, 2]);
     let record = first(&state);
     let away = stranded("a", StrandedCause::Lost);
 
-    let begun = decide(Some(&record), away.clone(), &state, &[]);
-    let begun = begun.expect("moves begun");
+    let started = decide(Some(&record), away.clone(), &state, &[]);
+    let started = started.expect("moves start");
     let mut after = away;
-    let leaving = begun.leaving(&domain("a"));
+    let leaving = started.leaving(&domain("a"));
     after.insert(domain("a"), view(leaving.clone()));
-    let ended = decide(Some(&begun), after, &state, &[]);
-    let ended = ended.expect("moves ended");
+    let completed = decide(Some(&started), after, &state, &[]);
+    let completed = completed.expect("moves are complete");
 
     assert_eq!(leaving.len(), 16);
-    assert_eq!(held(&ended), [0, 21, 43]);
-    assert_eq!(decide(Some(&ended), views(), &state, &[]), None);
+    assert_eq!(held(&completed), [0, 21, 43]);
+    assert_eq!(decide(Some(&completed), views(), &state, &[]), None);
 }
 
-/// Every domain has lost its servers of a service. Moving its slices would
-/// help nobody: they stay, and are served as soon as any server is back.
+/// Every domain has lost its servers of a service. Moving the slices would not
+/// help. They stay, and are served as soon as a server is back.
 #[test]
 fn slices_stay_when_no_domain_has_a_server() {
     let state = state([1, 1, 1]);
@@ -420,43 +431,44 @@
     one.insert(domain("c"), DomainView::default());
 
     let stay = decide(Some(&record), none, &state, &[]);
-    let go = decide(Some(&record), one, &state, &[]).expect("moves begun");
+    let go = decide(Some(&record), one, &state, &[]).expect("moves start");
 
     assert_eq!(stay, None);
     assert_eq!(go.leaving(&domain("a")).len(), 22);
     assert_eq!(go.target_of(slice(0)), Some(&domain("c")));
 }
 
-/// The domain that is to get slices loses its last server before they are
-/// released. Given to it, their keys would wait for another move: they turn
-/// to a domain that can serve them.
+/// The target of a move loses its last server before the slices are released.
+/// If they moved there, their keys would wait for another move. So the move is
+/// redirected to a domain that can serve them.
 #[test]
-fn a_move_to_a_domain_that_lost_its_servers_turns() {
+fn a_move_to_a_domain_that_lost_its_servers_is_redirected() {
     let state = state([1, 1, 1]);
     let record = first(&state);
-    let begun = decide(Some(&record), views(), &state, &[to(0, "b")]);
+    let started = decide(Some(&record), views(), &state, &[move_to(0, "b")]);
     let away = stranded("b", StrandedCause::Lost);
 
-    let turned = decide(begun.as_ref(), away, &state, &[]);
+    let redirected = decide(started.as_ref(), away, &state, &[]);
 
-    let turned = turned.expect("a change");
-    assert_eq!(turned.target_of(slice(0)), Some(&domain("c")));
+    let redirected = redirected.expect("record changes");
+    assert_eq!(redirected.target_of(slice(0)), Some(&domain("c")));
 }
 
-/// The last servers of a large service leave their domain. Each slice waits
-/// for a moment on its way, so no more than a sixteenth moves at once.
+/// The last servers of a large service leave their domain. Each slice is not
+/// served for a moment during its move, so at most a sixteenth moves at once.
 #[test]
-fn a_leaving_domain_gives_up_a_part_at_a_time() {
+fn a_leaving_domain_releases_a_bounded_number_of_slices_at_a_time() {
     let mut state = state([1, 1, 0]);
-    state.services[0].slices = SliceCount::new(8_192).expect("a power of two");
+    state.services[0].slices =
+        SliceCount::new(8_192).expect("count is a power of two");
     let record = first(&state);
     let leaving = stranded("a", StrandedCause::Leaving);
     let lost = stranded("a", StrandedCause::Lost);
-    let begun = |views| {
+    let started = |views| {
         let change = decide(Some(&record), views, &state, &[]);
-        change.expect("moves begun").leaving(&domain("a")).len()
+        change.expect("moves start").leaving(&domain("a")).len()
     };
 
-    assert_eq!(begun(leaving), 512);
-    assert_eq!(begun(lost), 4_096);
+    assert_eq!(started(leaving), 512);
+    assert_eq!(started(lost), 4_096);
 }
--- a/goldcrestramp-ownership/tests/planner_history.rs
+++ b/goldcrestramp-ownership/tests/planner_history.rs
@@ -1,9 +1,10 @@
-//! Any order of planners' and stewards' steps keeps a slice in one domain.
+//! In any order of the planners' and stewards' steps, one domain at most holds
+//! a slice.
 //!
-//! Two planners read, pause and write in any order, a store takes a write
-//! only over the version that was read, stewards act on plans that they
-//! read some time ago, and a domain is declared lost and returns. The
-//! oracle is the list of slices that each domain's servers hold.
+//! Two planners read, pause and write in any order. The store accepts a write
+//! only over the version that was read. Stewards act on outdated plans, and
+//! domains are declared lost and return. The oracle is the list of slices that
+//! each domain's servers hold.
 
 use goldcrestramp_config::TouchMark;
 use goldcrestramp_ownership::{
@@ -25,30 +26,32 @@
 enum Step {
     /// A planner reads the service's record.
     ReadRecord(usize),
-    /// It reads the domains' records.
+    /// The planner reads the domains' records.
     ReadViews(usize),
-    /// It decides, asked to move a slice to a domain, and writes.
+    /// The planner decides, with a request to move a slice to a domain, and
+    /// writes.
     Write(usize, u32, usize),
     /// A steward reads the service's record.
     Sync(usize),
-    /// It lets its servers release what is to leave.
+    /// The steward makes its servers release the slices that leave.
     Release(usize),
-    /// It lets its servers hold what is its own.
+    /// The steward grants its servers the slices of its plan.
     Grant(usize),
-    /// It writes its domain's record.
+    /// The steward writes its domain's record.
     Save(usize),
-    /// It is replaced: the new one reads the record, servers hold on.
+    /// The steward is replaced. The new one reads its domain's record; the
+    /// servers keep their slices.
     Replace(usize),
-    /// It loses its last server, finds it leaving, or has one again.
+    /// The domain loses its last server, its last server is leaving, or it has
+    /// a server again.
     Strand(usize, Option<StrandedCause>),
-    /// An operator declares the domain lost; its servers and VMs have
-    /// stopped.
+    /// An operator declares the domain lost. Its servers and VMs have stopped.
     Lose(usize),
-    /// An operator takes the declaration back; all start anew.
+    /// An operator revokes the declaration. The servers and VMs restart.
     Return(usize),
 }
 
-/// How far a planner is.
+/// The stage of a planner's round.
 #[derive(Clone, Debug, Default)]
 enum PlannerStage {
     #[default]
@@ -57,7 +60,7 @@
     Viewed(u64, ServicePolicy, ViewStage),
 }
 
-/// A domain: its servers, its steward, its record in the store.
+/// A domain with its servers, its steward and its record in the store.
 #[derive(Clone, Debug, Default)]
 struct DomainModel {
     held: SliceSet,
@@ -72,7 +75,7 @@
 }
 
 #[derive(Debug, Default)]
-struct World {
+struct Simulation {
     version: u64,
     record: Option<ServiceRecord>,
     domains: [DomainModel; DOMAINS],
@@ -80,18 +83,18 @@
 }
 
 fn name(domain: usize) -> DomainName {
-    DomainName::new(["a", "b", "c"][domain]).expect("a valid name")
+    DomainName::new(["a", "b", "c"][domain]).expect("name is valid")
 }
 
-impl World {
+impl Simulation {
     fn policy(&self) -> ServicePolicy {
         let open = (0..DOMAINS).filter(|d| !self.domains[*d].lost);
         let lost = (0..DOMAINS).filter(|d| self.domains[*d].lost);
         let shares =
             open.map(|d| DomainShare { domain: name(d), capacity: 4 });
         ServicePolicy {
-            service: ServiceName::new("stock").expect("a valid name"),
-            count: SliceCount::new(SLICES).expect("a power of two"),
+            service: ServiceName::new("stock").expect("name is valid"),
+            count: SliceCount::new(SLICES).expect("count is a power of two"),
             shares: shares.collect(),
             lost: lost.map(name).collect(),
             stopping: FastSet::default(),
@@ -106,7 +109,7 @@
         domains.map(|(d, model)| (name(d), model.saved.clone())).collect()
     }
 
-    fn take(&mut self, step: Step) {
+    fn apply(&mut self, step: Step) {
         match step {
             Step::ReadRecord(planner) => {
                 let stage = PlannerRound::start(self.record.clone());
@@ -157,9 +160,9 @@
             self.planners[planner] = stage;
             return;
         };
-        let slice = SliceIndex::new(slice).expect("in range");
-        let asked = [DomainMove { slice, target: name(target) }];
-        let Some(change) = stage.decide(&policy, &asked) else {
+        let slice = SliceIndex::new(slice).expect("slice is in range");
+        let requested = [DomainMove { slice, target: name(target) }];
+        let Some(change) = stage.decide(&policy, &requested) else {
             return;
         };
         if version == self.version {
@@ -175,8 +178,10 @@
             return;
         };
         let model = &mut self.domains[domain];
-        let noted = record.ticket_of(&name(domain));
-        if model.lost || noted.is_some_and(|noted| noted < model.ticket) {
+        let recorded = record.ticket_of(&name(domain));
+        if model.lost
+            || recorded.is_some_and(|recorded| recorded < model.ticket)
+        {
             return;
         }
         model.plan = record.held_by(&name(domain));
@@ -184,7 +189,8 @@
         model.released.intersect_with(&model.plan);
     }
 
-    /// No slice is held in two domains, and none has left the record.
+    /// Checks that no slice is held in two domains and that the record has
+    /// all slices.
     fn check(&self) -> Result<(), TestCaseError> {
         let mut seen = SliceSet::new();
         for model in &self.domains {
@@ -197,31 +203,32 @@
         Ok(())
     }
 
-    /// Lets everybody act until nothing changes: all slices are held.
-    fn settle(&mut self) {
+    /// Runs all steps until nothing changes. Then all slices are held.
+    fn run_until_stable(&mut self) {
         self.domains.iter_mut().for_each(|model| model.strand(None));
         for _ in 0..2 * SLICES {
             self.planners = <[PlannerStage; PLANNERS]>::default();
-            self.take(Step::ReadRecord(0));
-            self.take(Step::ReadViews(0));
-            // Slice 0 is asked to where it is: no move is begun.
-            let place = self.record.as_ref().and_then(|record| {
+            self.apply(Step::ReadRecord(0));
+            self.apply(Step::ReadViews(0));
+            // The request names the domain that already has slice 0, so no
+            // move starts.
+            let holder = self.record.as_ref().and_then(|record| {
                 let slice = SliceIndex::new(0)?;
                 let target = record.target_of(slice);
                 target.or(record.domain_of(slice)).cloned()
             });
-            let place = place.and_then(|place| {
-                (0..DOMAINS).find(|domain| name(*domain) == place)
+            let holder = holder.and_then(|holder| {
+                (0..DOMAINS).find(|domain| name(*domain) == holder)
             });
-            self.take(Step::Write(0, 0, place.unwrap_or(0)));
+            self.apply(Step::Write(0, 0, holder.unwrap_or(0)));
             for domain in 0..DOMAINS {
                 if self.domains[domain].lost {
                     continue;
                 }
-                self.take(Step::Sync(domain));
-                self.take(Step::Release(domain));
-                self.take(Step::Grant(domain));
-                self.take(Step::Save(domain));
+                self.apply(Step::Sync(domain));
+                self.apply(Step::Release(domain));
+                self.apply(Step::Grant(domain));
+                self.apply(Step::Save(domain));
             }
         }
     }
@@ -245,7 +252,8 @@
         }
     }
 
-    /// With its last server lost the domain holds nothing any more.
+    /// Sets why the domain has no server. With its last server lost, the
+    /// domain holds nothing.
     fn strand(&mut self, cause: Option<StrandedCause>) {
         self.stranded = cause;
         if cause == Some(StrandedCause::Lost) {
@@ -262,7 +270,7 @@
         self.saved.stranded = self.stranded;
     }
 
-    /// Everything in the domain stops, and a ticket says so.
+    /// Stops everything in the domain. A ticket declares it lost.
     fn stop(&mut self) {
         self.replace();
         self.held = SliceSet::new();
@@ -304,7 +312,7 @@
     ])
 }
 
-/// The number of cases; a longer run names it in the environment.
+/// The number of cases: `PROPTEST_CASES` if it is set, for a longer run.
 fn cases() -> u32 {
     let named = std::env::var("PROPTEST_CASES").ok();
     named.and_then(|text| text.parse().ok()).unwrap_or(600)
@@ -321,14 +329,15 @@
     fn a_slice_is_never_held_in_two_domains_and_never_lost(
         steps in prop::collection::vec(step(), 1..150),
     ) {
-        let mut world = World::default();
+        let mut simulation = Simulation::default();
         for step in steps {
-            world.take(step);
-            world.check()?;
+            simulation.apply(step);
+            simulation.check()?;
         }
-        world.settle();
-        world.check()?;
-        let held: usize = world.domains.iter().map(|d| d.held.len()).sum();
-        prop_assert_eq!(held, SLICES as usize, "{:?}", world);
+        simulation.run_until_stable();
+        simulation.check()?;
+        let held: usize =
+            simulation.domains.iter().map(|d| d.held.len()).sum();
+        prop_assert_eq!(held, SLICES as usize, "{:?}", simulation);
     }
 }
--- a/goldcrestramp-ownership/tests/table_change.rs
+++ b/goldcrestramp-ownership/tests/table_change.rs
@@ -1,4 +1,4 @@
-//! A change, applied to the table that it was made from, gives the other.
+//! Applying a delta to its base table gives the other table.
 
 use std::sync::Arc;
 
@@ -12,8 +12,9 @@
 
 fn server(number: u8, keeper: u8) -> TableServer {
     TableServer {
-        server: ServerName::new(&format!("s-{number}")).expect("a name"),
-        keeper: VmName::new(&format!("vm-{keeper}")).expect("a name"),
+        server: ServerName::new(&format!("s-{number}"))
+            .expect("name is valid"),
+        keeper: VmName::new(&format!("vm-{keeper}")).expect("name is valid"),
         address: Arc::from(format!("127.0.0.1:{keeper}")),
     }
 }
@@ -28,12 +29,12 @@
         if up {
             servers.reverse();
         }
-        let count = u16::try_from(servers.len()).expect("a few");
+        let count = u16::try_from(servers.len()).expect("count fits into u16");
         let owners =
-            owners.into_iter().map(|owner| owner.map(|place| place % count));
+            owners.into_iter().map(|owner| owner.map(|index| index % count));
         ServiceTable {
-            service: ServiceName::new(name).expect("a name"),
-            count: SliceCount::new(16).expect("a power of two"),
+            service: ServiceName::new(name).expect("name is valid"),
+            count: SliceCount::new(16).expect("count is a power of two"),
             servers,
             owners: owners.collect(),
         }
@@ -43,7 +44,7 @@
 fn table(sequence: u64) -> impl Strategy<Value = DomainTable> {
     (service("stock"), service("export")).prop_map(move |(one, two)| {
         DomainTable {
-            domain: DomainName::new("sierra-a").expect("a name"),
+            domain: DomainName::new("sierra-a").expect("name is valid"),
             version: TableVersion { sequence, ..TableVersion::default() },
             services: vec![one, two],
         }
@@ -52,7 +53,7 @@
 
 proptest! {
     #[test]
-    fn a_change_leads_from_the_old_table_to_the_new(
+    fn a_delta_leads_from_the_old_table_to_the_new(
         old in table(1), new in table(2),
     ) {
         let change = TableChange::between(&old, &new).expect("same services");
@@ -62,16 +63,16 @@
 }
 
 #[test]
-fn a_table_with_other_services_has_no_change() {
+fn a_table_with_other_services_has_no_delta() {
     let empty = DomainTable {
-        domain: DomainName::new("sierra-a").expect("a name"),
+        domain: DomainName::new("sierra-a").expect("name is valid"),
         version: TableVersion::default(),
         services: Vec::new(),
     };
     let mut other = empty.clone();
     other.services.push(ServiceTable {
-        service: ServiceName::new("stock").expect("a name"),
-        count: SliceCount::new(16).expect("a power of two"),
+        service: ServiceName::new("stock").expect("name is valid"),
+        count: SliceCount::new(16).expect("count is a power of two"),
         servers: Vec::new(),
         owners: vec![None; 16],
     });
