--- a/goldcrestramp-standins/tests/platform.rs
+++ b/goldcrestramp-standins/tests/platform.rs
@@ -73,7 +73,10 @@
             resolve_write(&client, "key", condition, value, None).await;
 
         assert!(matches!(lost, Err(StoreError::Unknown(_))), "{lost:?}");
-        assert!(matches!(outcome, Ok(WriteOutcome::Written(_))), "{outcome:?}");
+        assert!(
+            matches!(outcome, Ok(WriteOutcome::Written(_))),
+            "{outcome:?}"
+        );
     }
 }
 
