--- a/goldcrestramp-ownership/src/keeper/server.rs
+++ b/goldcrestramp-ownership/src/keeper/server.rs
@@ -42,7 +42,8 @@
 #[derive(Clone, Debug)]
 struct SentOrder {
     sent_at: LocalTime,
-    /// The slices that it grants; `None` for an extension.
+    /// The slices that it may make the server hold; `None` for an extension
+    /// that names no slices, and for a query.
     slices: Option<SliceSet>,
     /// When the server has certainly passed the order's deadline.
     expires_at: LocalTime,
