--- a/goldcrestramp-ownership/src/safeguard.rs
+++ b/goldcrestramp-ownership/src/safeguard.rs
@@ -31,8 +31,8 @@
     KeeperWait,
     /// A server refuses an order that arrives after its own deadline.
     LateOrder,
-    /// A duplicate of an acknowledged grant is assumed to be able to reach a
-    /// server without fences still.
+    /// A keeper assumes that a duplicate of an acknowledged grant may still
+    /// reach a server without fences.
     GrantCopy,
     /// A later, shorter permit does not shorten a longer one of the same
     /// term.
--- a/goldcrestramp-ownership/tests/ownership/failures.rs
+++ b/goldcrestramp-ownership/tests/ownership/failures.rs
@@ -61,7 +61,7 @@
 // other keepers are served without a gap; those of this one wait for the next
 // steward.
 #[test]
-fn a_lost_steward_interrupts_only_its_own_keys_for_two_seconds() {
+fn a_lost_steward_interrupts_only_its_own_keys() {
     for phase in 0..20 {
         let mut cluster = stable_cluster(4, &[true, true, true, true], phase);
         let leader = cluster.leader().expect("a steward leads");
@@ -312,7 +312,7 @@
 // checks no fences. A duplicate of that server's grant could still restore the
 // second slice there, so the server serves it until no duplicate can arrive.
 #[test]
-fn a_second_move_waits_for_duplicates_without_a_gap() {
+fn a_second_move_waits_for_duplicates_while_served() {
     for checks in [false, true] {
         for phase in 0..20 {
             let mut cluster = stable_cluster(2, &[checks, checks], phase);
@@ -332,7 +332,7 @@
 // both run, it hands over its servers and is removed from the roster. After
 // the stop the other VM has a majority, and callers notice nothing.
 #[test]
-fn a_planned_stop_of_one_of_two_interrupts_nothing() {
+fn a_planned_stop_of_one_of_two_keeps_a_majority() {
     for (checks, max_gap) in [(true, 100), (false, 500)] {
         for (phase, leaving) in (0..40).zip([0, 1].into_iter().cycle()) {
             let mut cluster = stable_cluster(2, &[checks; 3], phase);
--- a/goldcrestramp-ownership/tests/ownership/mutations.rs
+++ b/goldcrestramp-ownership/tests/ownership/mutations.rs
@@ -152,7 +152,7 @@
 }
 
 /// The steward's VM is cut off together with the servers that it keeps.
-fn steward_cut_off(safeguards: Safeguards, phase: u64) -> SimulatedCluster {
+fn isolated_steward(safeguards: Safeguards, phase: u64) -> SimulatedCluster {
     let mut cluster = started_cluster(safeguards, &[false; 4], phase);
     let leader = cluster.leader().expect("a steward leads");
     isolate_vm(&mut cluster, leader);
@@ -164,13 +164,13 @@
 // the wait the next steward assigns the server another keeper at once.
 #[test]
 fn a_new_steward_waits_until_the_previous_ones_time_has_ended() {
-    assert_required(Safeguard::MoveWait, 40, steward_cut_off);
+    assert_required(Safeguard::MoveWait, 40, isolated_steward);
 }
 
 // As above, but the steward gives permits beyond the end of its own time.
 #[test]
 fn a_permit_ends_with_its_steward() {
-    assert_required(Safeguard::PermitBound, 40, steward_cut_off);
+    assert_required(Safeguard::PermitBound, 40, isolated_steward);
 }
 
 // A server is cut off only from its keeper and continues to execute. Without
