--- a/goldcrestramp-node/src/lib.rs
+++ b/goldcrestramp-node/src/lib.rs
@@ -1,10 +1,11 @@
 /*!
-Actors and sockets that bind the pure parts into a daemon.
+The daemon: actors and sockets around the state machines of other crates.
 
 A [`NodeHandle`] is one running daemon. Its control thread runs the steward,
-the keeper's grants and the voter; the traffic threads run the gateway, which
-takes callers' requests, and the keeper, which sends them to servers. Traffic
-reads what control decided from immutable snapshots in [`NodeContext`].
+the keeper's grants and the voter. The traffic threads run the gateway, which
+accepts callers' requests, and the keeper, which sends them to servers. Traffic
+reads the decisions of the control thread from immutable snapshots in
+[`NodeContext`].
 */
 
 mod context;
@@ -38,7 +39,7 @@
         ServerReport, StatusReport, StewardReport, StewardView, TicketAnswer,
         TicketOutcome, apply_ticket, operator_routes, restore_config,
     },
-    peer_accept::PlacedStream,
+    peer_accept::LimitedStream,
     peer_tls::{
         PeerIdentity, PeerIncoming, PeerTls, PeerTlsError, ProvenPeer,
     },
--- a/goldcrestramp-node/src/peer_accept.rs
+++ b/goldcrestramp-node/src/peer_accept.rs
@@ -1,4 +1,5 @@
-//! Connections of peers: bounded in number, and only those that speak.
+//! Accepts plain connections of peers, with bounds on their number and on
+//! the time until the HTTP/2 preface arrives.
 
 use std::{
     io,
@@ -17,36 +18,37 @@
 };
 use tonic::transport::server::Connected;
 
-/// Connections of peers at once; beyond these they wait in the system's own
-/// queue. 640 VMs have one each, and some more while they reconnect.
-pub(crate) const CONNECTIONS_MOST: usize = 4_096;
-/// Accepted connections that wait for the server.
-const QUEUE: usize = 64;
-/// A pause after the system refused to accept: out of file descriptors
-/// ends by itself, and spinning would not help.
-pub(crate) const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// A peer that has not sent its first line by then is cut off: half-open
-/// connections would otherwise use up all of [`CONNECTIONS_MOST`].
-const GREETING_TIMEOUT: Duration = Duration::from_secs(5);
-/// How often it is looked whether the rest of the first line has come.
-const GREETING_LOOK: Duration = Duration::from_millis(20);
-/// What every HTTP/2 connection begins with.
-const GREETING: &[u8] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
-
-/// A connection that holds its place until it ends.
+/// The most concurrent connections of peers; further ones wait in the
+/// kernel's accept queue. 640 VMs have one each, and some more while they
+/// reconnect.
+pub(crate) const MAX_CONNECTIONS: usize = 4_096;
+/// The most accepted connections that wait for the server.
+const MAX_QUEUED: usize = 64;
+/// The delay after a failed `accept`. A lack of file descriptors passes when
+/// connections close, so retrying immediately would only use CPU time.
+pub(crate) const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// A connection is closed unless its preface arrives within this time:
+/// half-open connections would otherwise use up all of [`MAX_CONNECTIONS`].
+const PREFACE_TIMEOUT: Duration = Duration::from_secs(5);
+/// How often a connection is checked for the rest of the preface.
+const PREFACE_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// The preface with which a client starts an HTTP/2 connection.
+const PREFACE: &[u8] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
+
+/// A connection that counts against a limit until it is dropped.
 #[derive(Debug)]
-pub struct PlacedStream<S> {
+pub struct LimitedStream<S> {
     stream: S,
-    _place: OwnedSemaphorePermit,
+    _permit: OwnedSemaphorePermit,
 }
 
-impl<S> PlacedStream<S> {
-    pub(crate) const fn new(stream: S, place: OwnedSemaphorePermit) -> Self {
-        Self { stream, _place: place }
+impl<S> LimitedStream<S> {
+    pub(crate) const fn new(stream: S, permit: OwnedSemaphorePermit) -> Self {
+        Self { stream, _permit: permit }
     }
 }
 
-impl<S: Connected> Connected for PlacedStream<S> {
+impl<S: Connected> Connected for LimitedStream<S> {
     type ConnectInfo = S::ConnectInfo;
 
     fn connect_info(&self) -> Self::ConnectInfo {
@@ -54,7 +56,7 @@
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for PlacedStream<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for LimitedStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -64,7 +66,7 @@
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for PlacedStream<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for LimitedStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -100,24 +102,24 @@
     }
 }
 
-/// Plain connections of peers that have begun to speak HTTP/2.
+/// Plain connections of peers that have sent the HTTP/2 preface.
 #[derive(Debug)]
 pub(crate) struct PlainIncoming {
-    accepted: mpsc::Receiver<PlacedStream<TcpStream>>,
+    accepted: mpsc::Receiver<LimitedStream<TcpStream>>,
     task: JoinHandle<()>,
 }
 
 impl PlainIncoming {
     /// Accepts connections on `listener` until this is dropped.
     pub(crate) fn spawn(listener: TcpListener) -> Self {
-        let (sender, accepted) = mpsc::channel(QUEUE);
+        let (sender, accepted) = mpsc::channel(MAX_QUEUED);
         let task = tokio::spawn(accept(listener, sender));
         Self { accepted, task }
     }
 }
 
 impl Stream for PlainIncoming {
-    type Item = io::Result<PlacedStream<TcpStream>>;
+    type Item = io::Result<LimitedStream<TcpStream>>;
 
     fn poll_next(
         mut self: Pin<&mut Self>,
@@ -135,40 +137,42 @@
 
 async fn accept(
     listener: TcpListener,
-    sender: mpsc::Sender<PlacedStream<TcpStream>>,
+    sender: mpsc::Sender<LimitedStream<TcpStream>>,
 ) {
-    let room = Arc::new(Semaphore::new(CONNECTIONS_MOST));
-    while let Ok(place) = Arc::clone(&room).acquire_owned().await {
+    let connections = Arc::new(Semaphore::new(MAX_CONNECTIONS));
+    while let Ok(permit) = Arc::clone(&connections).acquire_owned().await {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let sender = sender.clone();
         tokio::spawn(async move {
-            // Small answers would otherwise wait for an acknowledgement.
+            // With Nagle's algorithm, small responses would wait for an
+            // acknowledgement.
             drop(stream.set_nodelay(true));
-            let greeting = is_greeted(&stream);
-            let greeted = tokio::time::timeout(GREETING_TIMEOUT, greeting);
-            if greeted.await == Ok(true) {
-                let stream = PlacedStream::new(stream, place);
-                // The server that would take it may have ended.
+            let preface = has_preface(&stream);
+            let checked = tokio::time::timeout(PREFACE_TIMEOUT, preface);
+            if checked.await == Ok(true) {
+                let stream = LimitedStream::new(stream, permit);
+                // Sending fails only if the server has ended.
                 drop(sender.send(stream).await);
             }
         });
     }
 }
 
-/// Waits for the first line; `false`: something else came, or the end.
-async fn is_greeted(stream: &TcpStream) -> bool {
-    let mut first = [0; GREETING.len()];
+/// Waits for the HTTP/2 preface; `false` if other data or the end of the
+/// stream arrives, or reading fails.
+async fn has_preface(stream: &TcpStream) -> bool {
+    let mut received = [0; PREFACE.len()];
     loop {
-        match stream.peek(&mut first).await {
+        match stream.peek(&mut received).await {
             Ok(0) | Err(_) => return false,
-            Ok(length) if first[..length] != GREETING[..length] => {
+            Ok(length) if received[..length] != PREFACE[..length] => {
                 return false;
             }
-            Ok(length) if length == GREETING.len() => return true,
-            Ok(_part) => tokio::time::sleep(GREETING_LOOK).await,
+            Ok(length) if length == PREFACE.len() => return true,
+            Ok(_incomplete) => tokio::time::sleep(PREFACE_POLL_INTERVAL).await,
         }
     }
 }
--- a/goldcrestramp-node/src/peer_tls/accept.rs
+++ b/goldcrestramp-node/src/peer_tls/accept.rs
@@ -1,4 +1,5 @@
-//! Accepts peers' connections and lets in whom the certificate names.
+//! Accepts TLS connections of peers whose certificate belongs to the
+//! deployment.
 
 use std::{
     io,
@@ -16,27 +17,27 @@
 };
 use tokio_rustls::{TlsAcceptor, server::TlsStream};
 
-use crate::peer_accept::{ACCEPT_PAUSE, CONNECTIONS_MOST, PlacedStream};
+use crate::peer_accept::{ACCEPT_RETRY_DELAY, LimitedStream, MAX_CONNECTIONS};
 
 use super::{PeerTls, identity::PeerIdentity};
 
-/// A peer that has not proved itself by then is cut off.
+/// A connection is closed unless its handshake ends within this time.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Handshakes at once; half-open ones can't take more than this.
-const HANDSHAKES_MOST: usize = 256;
-/// Accepted connections that wait for the server.
-const QUEUE: usize = 64;
+/// The most concurrent handshakes, which bounds half-open connections.
+const MAX_HANDSHAKES: usize = 256;
+/// The most accepted connections that wait for the server.
+const MAX_QUEUED: usize = 64;
 
 type PeerStream = TlsStream<TcpStream>;
-type PlacedPeer = PlacedStream<PeerStream>;
+type LimitedPeer = LimitedStream<PeerStream>;
 
-/// Connections of peers that have proved who they are.
+/// Connections of authenticated peers.
 ///
-/// Handshakes run beside each other, so a peer that goes silent in the
-/// middle of one keeps nobody else waiting.
+/// Handshakes run concurrently, so a peer that stops responding during one
+/// does not delay others.
 #[derive(Debug)]
 pub struct PeerIncoming {
-    accepted: mpsc::Receiver<PlacedPeer>,
+    accepted: mpsc::Receiver<LimitedPeer>,
     task: JoinHandle<()>,
 }
 
@@ -44,14 +45,14 @@
     /// Accepts connections on `listener` until this is dropped.
     #[must_use]
     pub fn spawn(listener: TcpListener, tls: Arc<PeerTls>) -> Self {
-        let (sender, accepted) = mpsc::channel(QUEUE);
+        let (sender, accepted) = mpsc::channel(MAX_QUEUED);
         let task = tokio::spawn(accept(listener, tls, sender));
         Self { accepted, task }
     }
 }
 
 impl Stream for PeerIncoming {
-    type Item = io::Result<PlacedPeer>;
+    type Item = io::Result<LimitedPeer>;
 
     fn poll_next(
         mut self: Pin<&mut Self>,
@@ -70,44 +71,45 @@
 async fn accept(
     listener: TcpListener,
     tls: Arc<PeerTls>,
-    sender: mpsc::Sender<PlacedPeer>,
+    sender: mpsc::Sender<LimitedPeer>,
 ) {
-    let room = Arc::new(Semaphore::new(HANDSHAKES_MOST));
-    let places = Arc::new(Semaphore::new(CONNECTIONS_MOST));
-    while let (Ok(permit), Ok(place)) = (
-        Arc::clone(&room).acquire_owned().await,
-        Arc::clone(&places).acquire_owned().await,
+    let handshakes = Arc::new(Semaphore::new(MAX_HANDSHAKES));
+    let connections = Arc::new(Semaphore::new(MAX_CONNECTIONS));
+    while let (Ok(handshake_permit), Ok(permit)) = (
+        Arc::clone(&handshakes).acquire_owned().await,
+        Arc::clone(&connections).acquire_owned().await,
     ) {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let (tls, sender) = (Arc::clone(&tls), sender.clone());
         tokio::spawn(async move {
             if let Some(stream) = handshake(stream, &tls).await {
-                let stream = PlacedStream::new(stream, place);
-                // The server that would take it may have ended.
+                let stream = LimitedStream::new(stream, permit);
+                // Sending fails only if the server has ended.
                 drop(sender.send(stream).await);
             }
-            drop(permit);
+            drop(handshake_permit);
         });
     }
 }
 
 async fn handshake(stream: TcpStream, tls: &PeerTls) -> Option<PeerStream> {
-    // Small answers would otherwise wait for the peer's acknowledgement.
+    // With Nagle's algorithm, small responses would wait for the peer's
+    // acknowledgement.
     drop(stream.set_nodelay(true));
     let acceptor = TlsAcceptor::from(tls.server());
-    let shaken = acceptor.accept(stream);
-    let shaken = tokio::time::timeout(HANDSHAKE_TIMEOUT, shaken).await;
-    let stream = match shaken {
+    let accepted = acceptor.accept(stream);
+    let accepted = tokio::time::timeout(HANDSHAKE_TIMEOUT, accepted).await;
+    let stream = match accepted {
         Ok(Ok(stream)) => stream,
         Ok(Err(error)) => {
-            log::warn!("peers: a connection was refused: {error}.");
+            log::warn!("peers: a TLS handshake failed: {error}.");
             return None;
         }
         Err(_elapsed) => {
-            log::warn!("peers: a handshake took too long.");
+            log::warn!("peers: a TLS handshake timed out.");
             return None;
         }
     };
--- a/goldcrestramp-node/src/peer_tls/identity.rs
+++ b/goldcrestramp-node/src/peer_tls/identity.rs
@@ -1,21 +1,21 @@
-//! Who a certificate says that a peer is.
+//! The identity of a peer, as read from its certificate.
 
 use std::sync::Arc;
 
 use goldcrestramp_types::{DomainName, VmName};
 use tokio_rustls::rustls::pki_types::CertificateDer;
 
-/// The last label of every name in peers' certificates.
+/// The last label of every DNS name in peers' certificates.
 const SUFFIX: &str = "goldcrestramp";
 
-/// A VM of a deployment, as its certificate names it.
+/// The VM that a peer's certificate names.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PeerIdentity {
-    /// The deployment.
+    /// The name of the deployment.
     pub deployment: Arc<str>,
-    /// The failure domain.
+    /// The failure domain of the VM.
     pub domain: DomainName,
-    /// The VM.
+    /// The name of the VM.
     pub vm: VmName,
 }
 
@@ -27,15 +27,16 @@
         format!("{vm}.{domain}.{deployment}.{SUFFIX}")
     }
 
-    /// The name that every peer of a deployment has besides its own.
+    /// The DNS name that all peers of a deployment have in common, besides
+    /// their own: `DEPLOYMENT.goldcrestramp`.
     #[must_use]
     pub fn common_name(deployment: &str) -> String {
         format!("{deployment}.{SUFFIX}")
     }
 
-    /// Reads the certificate of a peer of `deployment`.
+    /// Reads the identity from the certificate of a peer of `deployment`.
     ///
-    /// `None`: it names no VM of this deployment, or more than one.
+    /// Returns `None` if it names no VM of this deployment, or several.
     #[must_use]
     pub fn read(
         certificate: &CertificateDer<'_>,
@@ -47,7 +48,7 @@
             .valid_dns_names()
             .filter_map(|name| name.strip_suffix(suffix.as_str()));
         let (vm, domain) = vms.next()?.split_once('.')?;
-        // With two names a peer could be whichever suits it.
+        // With two names, a peer could choose its identity per request.
         if vms.next().is_some() || domain.contains('.') {
             return None;
         }
--- a/goldcrestramp-node/src/peer_tls/keys.rs
+++ b/goldcrestramp-node/src/peer_tls/keys.rs
@@ -1,4 +1,4 @@
-//! Reads keys and makes the two sides' configurations of them.
+//! Reads key files and builds the TLS configurations of both sides.
 
 use std::{
     fs,
@@ -18,32 +18,34 @@
 
 use super::{PeerTlsError, identity::PeerIdentity};
 
-/// What changes when a file is replaced: its time and its size.
-type FileMark = Option<(SystemTime, u64)>;
+/// Time of modification and size of a file, which change when the file is
+/// replaced; `None` if they can't be read.
+type FileVersion = Option<(SystemTime, u64)>;
 
-/// Keys for both sides of a connection.
+/// The TLS configurations of both sides of a connection.
 #[derive(Clone, Debug)]
 pub(super) struct KeyMaterial {
-    marks: [FileMark; 3],
+    file_versions: [FileVersion; 3],
     pub(super) server: Arc<ServerConfig>,
     pub(super) client: ClientTlsConfig,
 }
 
 impl KeyMaterial {
-    /// Reads the files; they must belong to `identity`.
+    /// Reads the files, whose certificate must name `identity`.
     pub(super) fn read(
         files: &PeerTlsSettings,
         identity: &PeerIdentity,
     ) -> Result<Self, PeerTlsError> {
-        // Taken first: a file that changes meanwhile is read once more.
-        let marks = marks(files);
+        // Read before the files: if a file changes during the read, its
+        // version is newer than this, and all files are read again.
+        let file_versions = file_versions(files);
         let authority = read_file(&files.authority_file)?;
         let chain = read_file(&files.certificate_file)?;
         let key = read_file(&files.key_file)?;
         let certificates = read_certificates(&files.certificate_file, &chain)?;
         let first = certificates.first();
         let own = first
-            .and_then(|one| PeerIdentity::read(one, &identity.deployment));
+            .and_then(|leaf| PeerIdentity::read(leaf, &identity.deployment));
         if own.as_ref() != Some(identity) {
             let expected = identity.name();
             return Err(PeerTlsError::OtherName { expected });
@@ -54,16 +56,16 @@
             .ca_certificate(Certificate::from_pem(authority))
             .identity(Identity::from_pem(chain, key))
             .domain_name(PeerIdentity::common_name(&identity.deployment));
-        Ok(Self { marks, server: Arc::new(server), client })
+        Ok(Self { file_versions, server: Arc::new(server), client })
     }
 
-    /// Whether no file has changed since they were read.
-    pub(super) fn is_newest(&self, files: &PeerTlsSettings) -> bool {
-        self.marks == marks(files)
+    /// Returns whether no file has changed since the files were read.
+    pub(super) fn is_current(&self, files: &PeerTlsSettings) -> bool {
+        self.file_versions == file_versions(files)
     }
 }
 
-fn marks(files: &PeerTlsSettings) -> [FileMark; 3] {
+fn file_versions(files: &PeerTlsSettings) -> [FileVersion; 3] {
     let PeerTlsSettings { authority_file, certificate_file, key_file } = files;
     [authority_file, certificate_file, key_file].map(|file| {
         let metadata = fs::metadata(file).ok()?;
@@ -92,7 +94,8 @@
     Ok(certificates)
 }
 
-/// A side that accepts only peers whose certificate the authority signed.
+/// The configuration of a server that accepts only peers whose certificate
+/// the authority has signed.
 fn server_config(
     authority: Vec<CertificateDer<'static>>,
     chain: Vec<CertificateDer<'static>>,
--- a/goldcrestramp-node/src/peer_tls/mod.rs
+++ b/goldcrestramp-node/src/peer_tls/mod.rs
@@ -1,11 +1,12 @@
-//! TLS between peers: both sides prove who they are.
+//! Mutual TLS between peers.
 //!
 //! Every VM has a certificate signed by the deployment's authority. It
-//! holds two DNS names: `VM.DOMAIN.DEPLOYMENT.goldcrestramp`, which says
-//! who the VM is, and `DEPLOYMENT.goldcrestramp`, which every peer of the
-//! deployment expects of whom it calls. A peer of another deployment is
-//! refused in the handshake, also when the same authority signed it; one
-//! that claims another VM or failure domain in a message is refused there.
+//! contains two DNS names: `VM.DOMAIN.DEPLOYMENT.goldcrestramp`, which
+//! identifies the VM, and `DEPLOYMENT.goldcrestramp`, which every client of
+//! the deployment expects of the server it connects to. A peer of another
+//! deployment is refused in the handshake, even if the same authority signed
+//! its certificate. A message in which a peer claims to be another VM or in
+//! another failure domain is refused.
 
 mod accept;
 mod identity;
@@ -24,16 +25,16 @@
 use self::keys::KeyMaterial;
 pub use self::{accept::PeerIncoming, identity::PeerIdentity};
 
-/// Why peers can't be met by TLS.
+/// Why TLS between peers can't be set up.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum PeerTlsError {
-    /// A file can't be read, or holds nothing of use.
+    /// A file can't be read, or holds no valid keys or certificates.
     Unreadable(PathBuf, String),
-    /// Certificate, key and authority do not go together.
+    /// Certificate, key and authority do not match.
     Mismatch(String),
-    /// The certificate names another VM than the settings.
+    /// The certificate does not name the VM of the settings.
     OtherName {
-        /// The name that the settings call for.
+        /// The DNS name that the settings require.
         expected: String,
     },
 }
@@ -54,7 +55,7 @@
 
 impl std::error::Error for PeerTlsError {}
 
-/// This VM's keys, read again whenever their files change.
+/// The keys of this VM, read again whenever their files change.
 #[derive(Debug)]
 pub struct PeerTls {
     files: PeerTlsSettings,
@@ -63,12 +64,12 @@
 }
 
 impl PeerTls {
-    /// Reads the keys that the settings name; `None`: they name none.
+    /// Reads the keys that the settings name; `None` if they name none.
     ///
     /// # Errors
     ///
-    /// A [`PeerTlsError`] when the files are unfit, or name another VM:
-    /// every peer would refuse this one.
+    /// Returns a [`PeerTlsError`] if the files can't be used, or if the
+    /// certificate names another VM: every peer would refuse it.
     pub fn open(
         settings: &NodeSettings,
     ) -> Result<Option<Arc<Self>>, PeerTlsError> {
@@ -85,19 +86,20 @@
         Ok(Some(Arc::new(Self { files, identity, current })))
     }
 
-    /// Who this VM is.
+    /// The identity of this VM.
     #[must_use]
     pub const fn identity(&self) -> &PeerIdentity {
         &self.identity
     }
 
-    /// Makes a connection to a peer use TLS with the newest keys.
+    /// Sets up TLS with the newest keys for connections to a peer.
     ///
     /// The endpoint's address must begin with `https://`.
     ///
     /// # Errors
     ///
-    /// [`PeerTlsError::Mismatch`] when the library refuses the keys.
+    /// Returns [`PeerTlsError::Mismatch`] if the TLS library refuses the
+    /// keys.
     pub fn secure(
         &self,
         endpoint: Endpoint,
@@ -107,26 +109,28 @@
         secured.map_err(|error| PeerTlsError::Mismatch(error.to_string()))
     }
 
-    /// The newest keys for accepting connections.
+    /// The configuration with the newest keys for accepting connections.
     pub(crate) fn server(&self) -> Arc<rustls::ServerConfig> {
         self.newest().server
     }
 
-    /// The keys, read again when a file has changed.
+    /// Returns the keys, read again if a file has changed.
     ///
-    /// Files are replaced one after another, so for a moment they may not
-    /// go together: the former keys stay in use until the new ones do.
+    /// Files are replaced one after another, so they may briefly not match.
+    /// The previous keys stay in use until the new ones match.
     fn newest(&self) -> KeyMaterial {
         let current = self.current.lock();
         let mut current = current.unwrap_or_else(PoisonError::into_inner);
-        if !current.is_newest(&self.files) {
+        if !current.is_current(&self.files) {
             match KeyMaterial::read(&self.files, &self.identity) {
                 Ok(read) => {
                     log::info!("peers: new keys are in use.");
                     *current = read;
                 }
                 Err(error) => {
-                    log::warn!("peers: the former keys stay: {error}.");
+                    log::warn!(
+                        "peers: the previous keys stay in use: {error}."
+                    );
                 }
             }
         }
@@ -134,18 +138,20 @@
     }
 }
 
-/// Who sent a request, as far as it is proven.
+/// The authenticated sender of a request.
 ///
-/// On loopback without TLS nobody proves anything, and every claim passes.
+/// On loopback without TLS no sender is authenticated, and every claim is
+/// accepted.
 #[derive(Clone, Debug)]
 pub struct ProvenPeer(Option<PeerIdentity>);
 
 impl ProvenPeer {
-    /// Reads who sent `request`; `tls` is `None` without TLS.
+    /// Reads the sender of `request` from its certificate; `tls` is `None`
+    /// without TLS.
     ///
     /// # Errors
     ///
-    /// `UNAUTHENTICATED` when there is no certificate of a peer.
+    /// Returns `UNAUTHENTICATED` if there is no certificate of a peer.
     pub fn of<T>(
         tls: Option<&PeerTls>,
         request: &Request<T>,
@@ -154,22 +160,22 @@
         let certificates = request.peer_certs();
         let first = certificates.as_ref().and_then(|list| list.first());
         let deployment = &tls.identity.deployment;
-        let peer = first.and_then(|one| PeerIdentity::read(one, deployment));
+        let peer = first.and_then(|leaf| PeerIdentity::read(leaf, deployment));
         match peer {
             Some(peer) => Ok(Self(Some(peer))),
             None => Err(Status::unauthenticated("no certificate of a peer")),
         }
     }
 
-    /// Refuses a message whose sender claims to be somebody else.
+    /// Refuses a message whose sender claims to be another VM.
     ///
-    /// A VM of another failure domain that claimed this one could confirm
-    /// its terms, and the domain would have two stewards.
+    /// A VM of another failure domain that claimed to be in this one could
+    /// confirm its terms, and the domain would have two stewards.
     ///
     /// # Errors
     ///
-    /// `PERMISSION_DENIED` when the certificate says another VM or failure
-    /// domain.
+    /// Returns `PERMISSION_DENIED` if the certificate names another VM or
+    /// failure domain.
     pub fn check(&self, domain: &str, vm: &str) -> Result<(), Status> {
         let Some(peer) = &self.0 else { return Ok(()) };
         if peer.domain.as_str() == domain && peer.vm.as_str() == vm {
--- a/goldcrestramp-node/src/peers.rs
+++ b/goldcrestramp-node/src/peers.rs
@@ -1,4 +1,4 @@
-//! Connections to peers, kept open and shared.
+//! Connections to peers, shared by all requests, and servers for peers.
 
 use std::{
     sync::{Arc, Mutex, PoisonError},
@@ -16,21 +16,22 @@
     peer_tls::{PeerIncoming, PeerTls},
 };
 
-/// A peer that takes no connection within this time is out of reach.
+/// A peer that accepts no connection within this time is unreachable.
 ///
-/// Thirty round trips between regions; a keeper is lost long before.
+/// This is 30 round trips between regions, and longer than the time after
+/// which a keeper counts as lost.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
-/// How often an idle connection is probed, so that a dead peer is noticed.
-const PROBE_EVERY: Duration = Duration::from_secs(1);
-/// A probe without an answer for so long ends the connection.
+/// How often an idle connection is probed, to detect a dead peer.
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
+/// A connection is closed if a probe is not acknowledged within this time.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// The most peers whose channels and ways are kept: three times the VMs of
-/// the largest deployment. VMs are replaced at any time, and those that are
-/// gone would otherwise stay for good.
-const PEERS_MOST: usize = 2_048;
+/// The most peers whose channels and transit times are kept: three times the
+/// VMs of the largest deployment. VMs are replaced at any time; without a
+/// bound, entries of removed VMs would accumulate.
+const MAX_PEERS: usize = 2_048;
 
-/// Open channels to peers by address.
+/// Open channels to peers and their transit times, by address.
 #[derive(Debug)]
 pub(crate) struct PeerChannels {
     context: Arc<NodeContext>,
@@ -38,7 +39,7 @@
     transits: Mutex<FastMap<Arc<str>, TransitEstimate>>,
 }
 
-/// Why no message could be sent to a peer; none was.
+/// No connection to a peer could be opened, so nothing was sent to it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) struct PeerUnreachable;
 
@@ -48,10 +49,10 @@
         Self { context, channels, transits }
     }
 
-    /// An open channel to the peer at `address`.
+    /// Returns an open channel to the peer at `address`.
     ///
-    /// The connection stands when this returns, so a failure here proves
-    /// that nothing was sent.
+    /// The connection is established when this returns, so a failure here
+    /// proves that nothing was sent.
     pub(crate) async fn open(
         &self,
         address: &Arc<str>,
@@ -74,14 +75,15 @@
         Ok(channel)
     }
 
-    /// Drops the channel after a failure, so that the next is new.
+    /// Drops the channel and the transit time of a peer after a failure, so
+    /// that the next request opens a new connection.
     pub(crate) fn forget(&self, address: &Arc<str>) {
         self.lock().remove(address);
         let transits = self.transits.lock();
         transits.unwrap_or_else(PoisonError::into_inner).remove(address);
     }
 
-    /// The usual time of one way to a peer; zero while it is not known.
+    /// The typical one-way transit time to a peer; zero while it is unknown.
     pub(crate) fn one_way(&self, address: &Arc<str>) -> TimeSpan {
         let transits =
             self.transits.lock().unwrap_or_else(PoisonError::into_inner);
@@ -90,7 +92,7 @@
         transit.map_or(TimeSpan::ZERO, |transit| transit.one_way(now))
     }
 
-    /// Takes the time that a peer's answer was on its way, there and back.
+    /// Records the network round-trip time of an exchange with a peer.
     pub(crate) fn record_trip(&self, address: &Arc<str>, trip: TimeSpan) {
         let mut transits =
             self.transits.lock().unwrap_or_else(PoisonError::into_inner);
@@ -107,15 +109,16 @@
     }
 }
 
-/// Forgets all peers when there are too many; those in use are back at
-/// once, and requests under way keep their channels.
+/// Removes all peers if there are too many. Those in use are added again by
+/// the next request, and requests in flight keep their channels.
 fn make_room<T>(peers: &mut FastMap<Arc<str>, T>) {
-    if peers.len() >= PEERS_MOST {
+    if peers.len() >= MAX_PEERS {
         peers.clear();
     }
 }
 
-/// How a peer is connected to.
+/// The endpoint of a peer with its timeouts and, with keys, TLS; `None` if
+/// the address or the keys are invalid.
 pub(crate) fn endpoint(
     address: &str,
     tls: Option<&PeerTls>,
@@ -126,7 +129,7 @@
     let endpoint = endpoint
         .connect_timeout(CONNECT_TIMEOUT)
         .tcp_nodelay(true)
-        .http2_keep_alive_interval(PROBE_EVERY)
+        .http2_keep_alive_interval(PROBE_INTERVAL)
         .keep_alive_timeout(PROBE_TIMEOUT)
         .keep_alive_while_idle(true);
     match tls {
@@ -135,30 +138,33 @@
     }
 }
 
-/// Requests under way on one connection of a peer; others wait at the peer.
+/// The most requests in flight on one connection of a peer; further ones wait
+/// at the peer.
 ///
-/// As many as may wait for a server: those that wait at the peer do so in
-/// the order of their coming, where a hot caller takes the whole way.
-const STREAMS_MOST: u32 = 10_000;
-/// The largest head of a peer's request, in bytes.
-const HEAD_LIMIT: u32 = 16 * 1_024;
-/// How often a peer's connection is probed here: one whose VM is gone would
-/// otherwise hold its place for good.
-const SERVER_PROBE_EVERY: Duration = Duration::from_secs(10);
-/// A probe without an answer for so long ends the connection.
+/// This equals the number that may wait for a server. Requests that wait at
+/// the peer do so in order of arrival, so a busy caller could take up the
+/// whole connection.
+const MAX_STREAMS: u32 = 10_000;
+/// The largest header list of a peer's request, in bytes.
+const MAX_HEADER_LIST_BYTES: u32 = 16 * 1_024;
+/// How often the server probes a peer's connection. Without probes, the
+/// connection of a lost VM would count against the limit forever.
+const SERVER_PROBE_INTERVAL: Duration = Duration::from_secs(10);
+/// A connection is closed if a probe is not acknowledged within this time.
 const SERVER_PROBE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A server of peers with all its bounds.
+/// A server for peers with bounds on streams, header sizes and dead
+/// connections.
 pub(crate) fn bounded_server() -> Server {
     Server::builder()
         .tcp_nodelay(true)
-        .max_concurrent_streams(STREAMS_MOST)
-        .http2_max_header_list_size(HEAD_LIMIT)
-        .http2_keepalive_interval(Some(SERVER_PROBE_EVERY))
+        .max_concurrent_streams(MAX_STREAMS)
+        .http2_max_header_list_size(MAX_HEADER_LIST_BYTES)
+        .http2_keepalive_interval(Some(SERVER_PROBE_INTERVAL))
         .http2_keepalive_timeout(Some(SERVER_PROBE_TIMEOUT))
 }
 
-/// Serves peers on `listener`, by TLS when there are keys for it.
+/// Serves peers on `listener`, with TLS if there are keys for it.
 pub(crate) async fn serve_router(
     tls: Option<Arc<PeerTls>>,
     listener: TcpListener,
