--- a/goldcrestramp-node/src/operators/answer.rs
+++ b/goldcrestramp-node/src/operators/answer.rs
@@ -1,4 +1,4 @@
-//! What an operator is told of a ticket.
+//! The response to an operator's ticket.
 
 use std::fmt;
 
@@ -7,47 +7,49 @@
 
 use super::apply::ApplyOutcome;
 
-/// What became of a ticket, in one word.
+/// The outcome of a ticket.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TicketOutcome {
-    /// Accepted and stored.
+    /// The ticket is accepted and stored.
     Accepted,
-    /// Accepted before; nothing changed.
+    /// The ticket was accepted before; nothing changed.
     AcceptedAlready,
-    /// Not accepted; nothing changed.
+    /// The ticket is refused; nothing changed.
     Refused,
-    /// The store took nothing; nothing changed.
+    /// Nothing was written to the store; nothing changed.
     NotApplied,
-    /// It may be stored; the same ticket again tells.
+    /// The ticket may be stored; applying it again shows whether it is.
     Unknown,
 }
 
-/// One reason of a refusal.
+/// One reason for a refusal.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct RefusalLine {
-    /// The value's path in the ticket, such as `servers[3].service`.
+    /// The path of the value in the ticket, such as `servers[3].service`.
     pub path: String,
-    /// The stable code; `malformed` for a fault of the text itself.
+    /// The stable code of the reason; `malformed` for a syntax fault.
     pub code: String,
     /// The reason as a short sentence.
     pub message: String,
 }
 
-/// The answer to `POST /tickets`.
+/// The body of the response to `POST /tickets`.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct TicketAnswer {
-    /// What became of the ticket.
+    /// The outcome of the ticket.
     pub outcome: TicketOutcome,
-    /// The configuration's version that holds it, when accepted.
+    /// The version of the configuration that includes the ticket, if it is
+    /// accepted.
     pub version: Option<u64>,
-    /// Every reason, when refused.
+    /// Every reason, if the ticket is refused.
     #[serde(default)]
     pub refusals: Vec<RefusalLine>,
-    /// Tickets of others that went in while this one was tried.
+    /// Other tickets that were stored while this one was being applied.
     #[serde(default)]
     pub raced: Vec<u64>,
-    /// What the store said, when it is not applied or unknown.
+    /// The store's error, if the ticket is not applied or its outcome is
+    /// unknown.
     pub why: Option<String>,
 }
 
@@ -57,7 +59,7 @@
         Self { outcome, version: None, refusals, raced, why: None }
     }
 
-    /// The answer to a ticket whose text has faults.
+    /// The response to a ticket whose text has faults.
     #[must_use]
     pub fn malformed(faults: &FaultList) -> Self {
         let lines = faults.faults().iter().map(|fault| RefusalLine {
--- a/goldcrestramp-node/src/operators/apply.rs
+++ b/goldcrestramp-node/src/operators/apply.rs
@@ -1,9 +1,10 @@
-//! Brings a change ticket into the store, whatever the store does.
+//! Applies a change ticket to the configuration in the store.
 //!
-//! Operators race each other, answers are lost after the write took effect,
-//! and a store may be down or come back with older data. The loop here
-//! reads, judges and writes by compare-and-swap, and reads back whatever it
-//! is not sure of, so that an operator is told the truth.
+//! Operators may write concurrently, a response may be lost after its write
+//! took effect, and the store may be unavailable or restored from older data.
+//! The loop here reads, validates and writes by compare-and-swap, and reads
+//! back every write whose outcome it does not know, so that the reported
+//! outcome is correct.
 
 use bytes::Bytes;
 use goldcrestramp_config::{
@@ -16,82 +17,94 @@
 };
 use goldcrestramp_types::FastSet;
 
-/// How often a write is tried when others write at the same time.
+/// The most attempts to write when others write concurrently.
 ///
-/// Each lost try means that another ticket went in; at 3,700 tickets a day
-/// sixteen in a row is no race but a fault.
-const WRITE_TRIES: usize = 16;
+/// Each conflict means that another ticket was stored. At 3,700 tickets per
+/// day, 16 conflicts in a row indicate a fault and not a race.
+const MAX_WRITE_ATTEMPTS: usize = 16;
 
-/// What became of a ticket.
+/// The outcome of applying a ticket.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ApplyOutcome {
-    /// It is accepted and stored, in this state.
+    /// The ticket is accepted and stored, in this state.
     Accepted(Box<DeploymentState>),
-    /// It had been accepted before; the stored state holds it.
+    /// The ticket was accepted before; the stored state includes it.
     AcceptedAlready(Box<DeploymentState>),
-    /// It is not accepted and changed nothing.
+    /// The ticket is refused and changed nothing.
     Refused {
-        /// Every reason.
+        /// Every reason for the refusal.
         refusals: Vec<TicketRefusal>,
-        /// Tickets of other operators that went in while this one was
-        /// tried, lowest number first.
+        /// Tickets of other operators that were stored while this one was
+        /// being applied, in ascending order.
         raced: Vec<u64>,
     },
-    /// The store took nothing; the ticket certainly changed nothing.
+    /// Nothing was written to the store; the ticket changed nothing.
     NotApplied(String),
-    /// The ticket may be in the store. Applying the same one again tells.
+    /// The ticket may be in the store. Applying it again shows whether it
+    /// is.
     Unknown(String),
 }
 
 /// Applies `ticket` to the stored configuration.
 ///
-/// `held` is the newest configuration that this VM knows: when the store
-/// came back with older data, what it lost is written back with the ticket.
-/// The caller takes the state of an accepted ticket as its own before it
-/// answers, so that a store that is restored afterwards can be told again.
+/// `known` is the newest configuration that this VM knows. If the store was
+/// restored from older data, the lost tickets are written back together with
+/// this one. The caller must adopt the state of an accepted ticket before it
+/// responds, so that the ticket can be written back if the store is restored
+/// afterwards.
 pub async fn apply_ticket<S: StoreAccess>(
     store: &S,
-    held: &DeploymentState,
+    known: &DeploymentState,
     ticket: &ChangeTicket,
 ) -> ApplyOutcome {
-    let mut run = ApplyRun { store, held, ticket, seen: None, unsure: false };
-    for _ in 0..WRITE_TRIES {
-        if let Some(outcome) = run.attempt().await {
+    let mut application = TicketApplication {
+        store,
+        known,
+        ticket,
+        initial_numbers: None,
+        may_be_written: false,
+    };
+    for _ in 0..MAX_WRITE_ATTEMPTS {
+        if let Some(outcome) = application.attempt().await {
             return outcome;
         }
     }
-    run.given_up("other tickets went in at every try".to_owned())
+    application
+        .failure("another ticket was stored at every attempt".to_owned())
 }
 
-/// Writes back what a store that came back with older data has lost.
+/// Writes back the configuration that a store restored from older data has
+/// lost.
 ///
-/// Gives the joined state, which the caller takes as its own. Nothing is
-/// written while the store holds all that `held` does.
+/// Returns the merged state, which the caller must adopt. Nothing is written
+/// if the store already includes everything in `known`.
 ///
 /// # Errors
 ///
-/// The store's error; the same call may be made again.
+/// Returns the store's error; the call may be retried.
 pub async fn restore_config<S: StoreAccess>(
     store: &S,
-    held: &DeploymentState,
+    known: &DeploymentState,
 ) -> Result<DeploymentState, StoreError> {
-    for _ in 0..WRITE_TRIES {
+    for _ in 0..MAX_WRITE_ATTEMPTS {
         let stored = read_config(store).await?;
-        let joined = merge_states(held, &stored.state);
-        if joined == stored.state {
-            return Ok(joined);
+        let merged = merge_states(known, &stored.state);
+        if merged == stored.state {
+            return Ok(merged);
         }
-        match write_config(store, stored.condition, &joined).await {
-            Ok(PutOutcome::Written(_)) => return Ok(joined),
-            // Another VM was first, or the answer was lost: read again.
+        match write_config(store, stored.condition, &merged).await {
+            Ok(PutOutcome::Written(_)) => return Ok(merged),
+            // Another VM wrote first, or the response was lost: read again.
             Ok(PutOutcome::Conflict) | Err(StoreError::Unknown(_)) => {}
             Err(error) => return Err(error),
         }
     }
-    Err(StoreError::Unavailable("others wrote at every try".to_owned()))
+    Err(StoreError::Unavailable(
+        "another VM wrote at every attempt".to_owned(),
+    ))
 }
 
-/// The stored configuration and what a write of it must find.
+/// The stored configuration and the condition for a write that replaces it.
 struct StoredConfig {
     state: DeploymentState,
     condition: PutCondition,
@@ -105,8 +118,9 @@
         let condition = PutCondition::Absent;
         return Ok(StoredConfig { state, condition });
     };
-    // Never written over: a newer program may have stored what this one
-    // does not understand, and all of it would be lost.
+    // A value that can't be decoded is never overwritten: a newer version of
+    // the program may have written it, and the whole configuration would be
+    // lost.
     let state = DeploymentState::decode(&stored.value).map_err(|error| {
         StoreError::Refused(format!("stored configuration: {error}"))
     })?;
@@ -125,27 +139,27 @@
     store.put(keys::CONFIG, condition, value, None).await
 }
 
-/// One ticket on its way into the store.
-struct ApplyRun<'a, S> {
+/// The state of applying one ticket over several attempts.
+struct TicketApplication<'a, S> {
     store: &'a S,
-    held: &'a DeploymentState,
+    known: &'a DeploymentState,
     ticket: &'a ChangeTicket,
-    /// The accepted numbers at the first read.
-    seen: Option<FastSet<u64>>,
-    /// A write of this run may have taken effect.
-    unsure: bool,
+    /// The numbers of the accepted tickets at the first read.
+    initial_numbers: Option<FastSet<u64>>,
+    /// Whether an earlier write of this ticket may have taken effect.
+    may_be_written: bool,
 }
 
-impl<S: StoreAccess> ApplyRun<'_, S> {
-    /// Reads, judges and writes once; `None`: it must be tried again.
+impl<S: StoreAccess> TicketApplication<'_, S> {
+    /// Reads, validates and writes once; `None` if another attempt is needed.
     async fn attempt(&mut self) -> Option<ApplyOutcome> {
         let stored = match read_config(self.store).await {
             Ok(stored) => stored,
-            Err(error) => return Some(self.given_up(error.to_string())),
+            Err(error) => return Some(self.failure(error.to_string())),
         };
-        let current = merge_states(self.held, &stored.state);
-        if self.seen.is_none() {
-            self.seen = Some(numbers(&current).collect());
+        let current = merge_states(self.known, &stored.state);
+        if self.initial_numbers.is_none() {
+            self.initial_numbers = Some(numbers(&current).collect());
         }
         match accept_ticket(&current, self.ticket) {
             AcceptOutcome::Accepted(next) => {
@@ -154,7 +168,7 @@
             AcceptOutcome::AcceptedAlready { .. } => {
                 let next = Box::new(current);
                 if *next == stored.state {
-                    return Some(self.found(next));
+                    return Some(self.already_stored(next));
                 }
                 self.write(stored.condition, next, true).await
             }
@@ -172,31 +186,35 @@
         already: bool,
     ) -> Option<ApplyOutcome> {
         match write_config(self.store, condition, &next).await {
-            Ok(PutOutcome::Written(_)) if already => Some(self.found(next)),
+            Ok(PutOutcome::Written(_)) if already => {
+                Some(self.already_stored(next))
+            }
             Ok(PutOutcome::Written(_)) => Some(ApplyOutcome::Accepted(next)),
             Ok(PutOutcome::Conflict) => None,
-            // The answer was lost, perhaps after the write took effect. The
-            // next read tells: it holds the ticket's number, or the write
-            // is tried again on the same version, which at most one wins.
+            // The response was lost, perhaps after the write took effect.
+            // The next read shows which: it includes the ticket's number, or
+            // the write is retried on the same version, where at most one of
+            // the two writes can succeed.
             Err(StoreError::Unknown(_)) => {
-                self.unsure = true;
+                self.may_be_written = true;
                 None
             }
-            Err(error) => Some(self.given_up(error.to_string())),
+            Err(error) => Some(self.failure(error.to_string())),
         }
     }
 
-    /// The stored state holds the ticket: from this run, or from before.
-    fn found(&self, state: Box<DeploymentState>) -> ApplyOutcome {
-        if self.unsure {
+    /// The outcome if the stored state includes the ticket: it was written by
+    /// an earlier attempt of this call, or before the call.
+    fn already_stored(&self, state: Box<DeploymentState>) -> ApplyOutcome {
+        if self.may_be_written {
             ApplyOutcome::Accepted(state)
         } else {
             ApplyOutcome::AcceptedAlready(state)
         }
     }
 
-    fn given_up(&self, why: String) -> ApplyOutcome {
-        if self.unsure {
+    fn failure(&self, why: String) -> ApplyOutcome {
+        if self.may_be_written {
             ApplyOutcome::Unknown(why)
         } else {
             ApplyOutcome::NotApplied(why)
@@ -204,9 +222,13 @@
     }
 
     fn raced(&self, current: &DeploymentState) -> Vec<u64> {
-        let seen = self.seen.as_ref();
+        let initial_numbers = self.initial_numbers.as_ref();
         let new = numbers(current);
-        new.filter(|n| seen.is_some_and(|seen| !seen.contains(n))).collect()
+        new.filter(|n| {
+            initial_numbers
+                .is_some_and(|initial_numbers| !initial_numbers.contains(n))
+        })
+        .collect()
     }
 }
 
--- a/goldcrestramp-node/src/operators/control.rs
+++ b/goldcrestramp-node/src/operators/control.rs
@@ -1,4 +1,4 @@
-//! What the operators' listener asks of the daemon.
+//! The interface between the operators' listener and the daemon.
 
 use goldcrestramp_config::{ChangeTicket, DeploymentState};
 use goldcrestramp_types::ServiceName;
@@ -8,63 +8,66 @@
     report::{ExplainReport, StatusReport},
 };
 
-/// The daemon as its operators' listener sees it; cheap to clone.
+/// The operations that the operators' listener needs from the daemon; cheap
+/// to clone.
 pub trait OperatorControl: Clone + Send + Sync + 'static {
-    /// What this VM knows now; `None`: its control thread has ended.
+    /// The current state of this VM, or `None` if its control thread has
+    /// ended.
     fn status(&self) -> impl Future<Output = Option<StatusReport>> + Send;
 
-    /// The configuration in force here; `None`: the control thread has
-    /// ended.
+    /// The configuration in force on this VM, or `None` if its control thread
+    /// has ended.
     fn config(&self) -> impl Future<Output = Option<DeploymentState>> + Send;
 
-    /// Who owns `key` and why; `None`: no such service is known here.
+    /// The owner of `key` and the reasons; `None` if this VM knows no such
+    /// service.
     fn explain(
         &self,
         service: &ServiceName,
         key: &str,
     ) -> impl Future<Output = Option<ExplainReport>> + Send;
 
-    /// Applies a ticket; an accepted one is taken as this VM's own
+    /// Applies a ticket. The state of an accepted ticket becomes this VM's
     /// configuration before this returns.
     fn apply(
         &self,
         ticket: ChangeTicket,
     ) -> impl Future<Output = ApplyOutcome> + Send;
 
-    /// All counters as Prometheus text.
+    /// All metrics as Prometheus text.
     fn metrics(&self) -> String;
 
-    /// Whether callers may be sent here; else why not.
+    /// Returns whether this VM is ready for callers.
     ///
     /// # Errors
     ///
-    /// A short sentence.
+    /// Returns the reason as a short sentence if it is not.
     fn readiness(&self) -> Result<(), &'static str>;
 
-    /// Counts a request of an operator that was refused.
+    /// Counts a refused request of an operator.
     fn count_refusal(&self, refusal: OperatorRefusal);
 }
 
 /// Why a request of an operator is refused.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum OperatorRefusal {
-    /// It carries no bearer token.
+    /// The request has no bearer token.
     NoToken,
-    /// It carries another token.
+    /// The request has a wrong token.
     WrongToken,
-    /// The file with the token can't be read, or holds none.
+    /// The token file can't be read or holds no token.
     TokenUnreadable,
-    /// A ticket came without `content-type: application/json`.
+    /// A ticket was sent without `content-type: application/json`.
     ContentType,
     /// The ticket has faults or is refused by the configuration.
     Ticket,
-    /// The store took nothing.
+    /// A ticket was not applied: nothing was written to the store.
     Store,
-    /// The query names no service or a malformed one.
+    /// The query has no key, or no valid name of a service.
     BadQuery,
-    /// No such service is known here.
+    /// The service is unknown to this VM.
     UnknownService,
-    /// Other tickets are being applied.
+    /// Too many other tickets are being applied.
     Busy,
     /// The control thread has ended.
     Ended,
@@ -85,7 +88,7 @@
         Self::Ended,
     ];
 
-    /// The stable code in counters and answers.
+    /// The stable code in metrics and responses.
     #[must_use]
     pub const fn code(self) -> &'static str {
         match self {
--- a/goldcrestramp-node/src/operators/mod.rs
+++ b/goldcrestramp-node/src/operators/mod.rs
@@ -1,14 +1,16 @@
-//! What operators reach: tickets, status, metrics.
+//! The HTTP interface for operators: tickets, status, metrics.
 //!
-//! | route | answer |
+//! | route | response |
 //! | --- | --- |
 //! | `GET /healthz` | 200 while the daemon runs; needs no token |
-//! | `GET /readyz` | 200 when it may be sent callers; needs no token |
-//! | `GET /metrics` | all counters as Prometheus text |
+//! | `GET /readyz` | 200 if the VM is ready for callers; needs no token |
+//! | `GET /metrics` | all metrics as Prometheus text |
 //! | `GET /status` | [`StatusReport`] as JSON |
-//! | `GET /config` | the configuration in force here, as JSON |
+//! | `GET /config` | the configuration in force on this VM, as JSON |
 //! | `GET /explain?service=S&key=K` | [`ExplainReport`] as JSON |
-//! | `POST /tickets` | a ticket, JSON with comments; [`TicketAnswer`] |
+//! | `POST /tickets` | [`TicketAnswer`] as JSON |
+//!
+//! The body of `POST /tickets` is a ticket in JSON with comments.
 //!
 //! Every refusal is counted by its [`OperatorRefusal`].
 
--- a/goldcrestramp-node/src/operators/node.rs
+++ b/goldcrestramp-node/src/operators/node.rs
@@ -1,4 +1,4 @@
-//! The daemon behind its operators' listener.
+//! Implements the operators' interface for a daemon.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -20,22 +20,22 @@
     },
 };
 
-/// One daemon, as its operators' listener sees it.
+/// The [`OperatorControl`] of one daemon.
 #[derive(Clone, Debug)]
 pub(crate) struct NodeOperators {
     pub(crate) context: Arc<NodeContext>,
     pub(crate) actor: Address<ControlActor>,
     pub(crate) store: PlatformClient,
     links: ControlLinks,
-    /// What the steward last said, and when.
+    /// The last view received from the steward.
     known: Arc<Mutex<Option<KnownView>>>,
 }
 
-/// A steward's view as it came.
+/// A steward's view and the time at which it was received.
 #[derive(Clone, Debug)]
 struct KnownView {
     view: StewardView,
-    came: LocalTime,
+    received_at: LocalTime,
 }
 
 impl NodeOperators {
@@ -48,10 +48,11 @@
         Self { context, actor, store, links, known: Arc::default() }
     }
 
-    /// What the steward of this failure domain knows: its own view, else
-    /// what it answers, else what it last answered, with its age.
+    /// The view of this failure domain's steward: this VM's own if it is the
+    /// steward, else the steward's response, else its last response, with its
+    /// age.
     async fn view(&self, status: &ControlStatus) -> Option<StewardView> {
-        let heard = match &status.steward_seen {
+        let received = match &status.steward_seen {
             _ if status.steward.leading => {
                 let now = self.context.now();
                 show::steward_view(self.context.vm(), status, now)
@@ -64,11 +65,11 @@
         };
         let known = self.known.lock();
         let mut known = known.unwrap_or_else(PoisonError::into_inner);
-        if let Some(view) = heard {
-            *known = Some(KnownView { view, came: self.context.now() });
+        if let Some(view) = received {
+            *known = Some(KnownView { view, received_at: self.context.now() });
         }
-        let KnownView { mut view, came } = known.clone()?;
-        view.age_ms += self.context.now().since(came).as_millis();
+        let KnownView { mut view, received_at } = known.clone()?;
+        view.age_ms += self.context.now().since(received_at).as_millis();
         Some(view)
     }
 
@@ -81,9 +82,9 @@
         TrafficState {
             leaving: self.context.leaving(),
             requests: self.context.requests() as u64,
-            refused: owned(metrics.not_run_counts()),
-            unknown: owned(metrics.unknown_counts()),
-            retried: owned(metrics.retry_counts()),
+            refused: with_owned_codes(metrics.not_run_counts()),
+            unknown: with_owned_codes(metrics.unknown_counts()),
+            retried: with_owned_codes(metrics.retry_counts()),
         }
     }
 }
@@ -160,7 +161,7 @@
     }
 }
 
-fn owned(
+fn with_owned_codes(
     counts: impl Iterator<Item = (&'static str, u64)>,
 ) -> Vec<(String, u64)> {
     counts.map(|(code, count)| (code.to_owned(), count)).collect()
--- a/goldcrestramp-node/src/operators/policy.rs
+++ b/goldcrestramp-node/src/operators/policy.rs
@@ -1,4 +1,4 @@
-//! Who may use the operators' listener.
+//! Authorization of requests to the operators' listener.
 
 use std::{
     fmt,
@@ -13,26 +13,26 @@
 
 use super::control::OperatorRefusal;
 
-/// The longest token that is read, in bytes.
-const TOKEN_LIMIT: u64 = 4_096;
+/// The most bytes that are read from a token file.
+const MAX_TOKEN_BYTES: u64 = 4_096;
 const SCHEME: &str = "Bearer ";
 
 /// Checks the bearer token of each request; cheap to clone.
 ///
-/// The file is read for each request, so a replaced token counts at once:
-/// operators ask seldom, and the file is small.
+/// The file is read for each request, so a replaced token takes effect
+/// immediately. Operators send few requests, and the file is small.
 #[derive(Clone, Debug)]
 pub struct OperatorPolicy {
     token_file: Option<Arc<Path>>,
 }
 
-/// Why no policy can be made of the settings.
+/// Why the settings give no valid policy.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum PolicyError {
-    /// Off loopback a token is needed: anybody who reaches the port could
-    /// apply a ticket.
+    /// A listener off loopback needs a token: otherwise anyone who can reach
+    /// the port could apply a ticket.
     TokenNeeded,
-    /// The token's file can't be read, or holds no token.
+    /// The token file can't be read or holds no token.
     TokenUnreadable(PathBuf),
 }
 
@@ -52,12 +52,12 @@
 impl std::error::Error for PolicyError {}
 
 impl OperatorPolicy {
-    /// Makes the policy of these settings.
+    /// Creates the policy of these settings.
     ///
     /// # Errors
     ///
-    /// A [`PolicyError`] when the listener would stand open, or nobody
-    /// could pass it.
+    /// Returns a [`PolicyError`] if the listener would be open to everyone,
+    /// or to no one.
     pub fn open(settings: &OperatorSettings) -> Result<Self, PolicyError> {
         let Some(file) = &settings.token_file else {
             if settings.listen.ip().is_loopback() {
@@ -71,22 +71,22 @@
         Ok(Self { token_file: Some(Arc::from(file.as_path())) })
     }
 
-    /// Judges the `authorization` header of a request.
+    /// Checks the `authorization` header of a request.
     ///
     /// # Errors
     ///
-    /// The reason to refuse the request.
+    /// Returns the reason for refusing the request.
     pub fn check(&self, header: Option<&str>) -> Result<(), OperatorRefusal> {
         let Some(file) = &self.token_file else { return Ok(()) };
         let header = header.ok_or(OperatorRefusal::NoToken)?;
         let given =
             header.strip_prefix(SCHEME).ok_or(OperatorRefusal::NoToken)?;
-        // A file that is gone refuses everybody: taking a token away is how
-        // an operator locks a listener whose token has leaked.
+        // Without the file every request is refused: an operator can lock a
+        // listener whose token has leaked by removing the file.
         let token =
             read_token(file).ok_or(OperatorRefusal::TokenUnreadable)?;
-        // Comparing byte by byte until one differs would let a peer find
-        // the token by its answer times; only the length may leak.
+        // Comparing in constant time keeps a client from finding the token
+        // by response times; only its length may leak.
         if bool::from(token.as_bytes().ct_eq(given.trim().as_bytes())) {
             Ok(())
         } else {
@@ -97,7 +97,7 @@
 
 fn read_token(file: &Path) -> Option<String> {
     let mut text = String::new();
-    let mut open = File::open(file).ok()?.take(TOKEN_LIMIT);
+    let mut open = File::open(file).ok()?.take(MAX_TOKEN_BYTES);
     open.read_to_string(&mut text).ok()?;
     let token = text.trim();
     (!token.is_empty()).then(|| token.to_owned())
--- a/goldcrestramp-node/src/operators/report.rs
+++ b/goldcrestramp-node/src/operators/report.rs
@@ -1,4 +1,4 @@
-//! What operators are shown; every report says how old it is.
+//! The JSON reports for operators, each with its age.
 
 use goldcrestramp_types::{
     DomainName, FenceToken, RegionName, ServerName, ServiceName, TableVersion,
@@ -6,190 +6,196 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// What one VM knows, also when it is cut off.
+/// The state of one VM; available also while the VM is disconnected.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StatusReport {
-    /// The deployment.
+    /// The name of the deployment.
     pub deployment: String,
-    /// The VM that tells this.
+    /// The VM that makes this report.
     pub vm: VmName,
-    /// Its failure domain.
+    /// The failure domain of the VM.
     pub domain: DomainName,
-    /// Its region.
+    /// The region of the VM.
     pub region: RegionName,
-    /// How old this report is, in milliseconds.
+    /// The age of this report, in milliseconds.
     pub age_ms: u64,
     /// Whether the daemon is being stopped.
     pub leaving: bool,
-    /// Requests under way here.
+    /// Requests in flight on this VM.
     pub requests: u64,
-    /// The configuration's version in force here; 0: none yet.
+    /// The version of the configuration in force on this VM; 0 if none is
+    /// known yet.
     pub config_version: u64,
-    /// The highest accepted ticket in it.
+    /// The highest number of an accepted ticket in that configuration.
     pub last_ticket: Option<u64>,
     /// The steward of this VM's failure domain.
     pub steward: StewardReport,
-    /// Every failure domain, as far as this VM knows.
+    /// Every failure domain that this VM knows.
     pub domains: Vec<DomainReport>,
-    /// The servers that this VM keeps.
+    /// The servers whose keeper this VM is.
     pub keeps: Vec<KeepReport>,
-    /// What the steward of this VM's failure domain knows, as last heard;
-    /// `None`: it was never heard.
+    /// The last view received from the steward of this VM's failure domain;
+    /// `None` if none was received.
     pub view: Option<StewardView>,
-    /// Slices on their way between failure domains.
+    /// Slices that are moving between failure domains.
     pub moving: Vec<LeavingReport>,
-    /// What this VM refused, by reason, since it started.
+    /// Requests that this VM refused since it started, by reason.
     pub refused: Vec<(String, u64)>,
-    /// Requests that may have run, by reason, since it started.
+    /// Requests with an unknown outcome since this VM started, by reason.
     pub unknown: Vec<(String, u64)>,
-    /// What this VM sent again or elsewhere, by reason, since it started.
+    /// Requests that this VM sent again, to the same target or another one,
+    /// since it started, by reason.
     pub retried: Vec<(String, u64)>,
 }
 
-/// A failure domain's steward, as one VM sees it.
+/// The steward of a failure domain, as known to one VM.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StewardReport {
-    /// The steward's VM; `None`: none is known.
+    /// The steward's VM; `None` if no steward is known.
     pub vm: Option<String>,
-    /// Whether it is the VM that tells this.
+    /// Whether the steward runs on the VM that makes this report.
     pub here: bool,
-    /// The term.
+    /// The steward's term.
     pub term: TermId,
 }
 
-/// What a steward knows of its failure domain.
+/// The state of a failure domain, as known to its steward.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StewardView {
     /// The steward's VM.
     pub vm: VmName,
-    /// How old this is, in milliseconds; all other spans of the view are as
-    /// of then.
+    /// The age of this view, in milliseconds. All other times of the view
+    /// are relative to when it was made.
     pub age_ms: u64,
-    /// How long it may act unless it is confirmed again, in milliseconds.
+    /// The time for which the steward may still act unless it is confirmed
+    /// again, in milliseconds.
     pub deadline_left_ms: u64,
-    /// What moves within the domain.
+    /// Moves of slices within the domain.
     pub moves: MoveReport,
-    /// The domain's VMs, the steward's own among them.
+    /// The VMs of the domain, including the steward's own.
     pub nodes: Vec<NodeReport>,
-    /// The domain's servers.
+    /// The servers of the domain.
     pub servers: Vec<ServerReport>,
-    /// The other failure domains whose tables it follows.
+    /// The other failure domains whose tables the steward follows.
     pub heard: Vec<HeardReport>,
 }
 
-/// What a VM has in force, as its steward knows.
+/// The versions in force on a VM, as known to its steward.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NodeReport {
     /// The VM.
     pub vm: VmName,
-    /// Its configuration's version; 0: none.
+    /// The version of the VM's configuration; 0 if it has none.
     pub config_version: u64,
-    /// The version of its table of this failure domain.
+    /// The version of the VM's table of this failure domain.
     pub table: Option<TableVersion>,
-    /// How long ago it told this, in milliseconds.
+    /// The time since the VM reported this, in milliseconds.
     pub heard_ms: u64,
-    /// Whether its configuration or its table is older than the steward's.
+    /// Whether the VM's configuration or table is older than the steward's.
     pub lags: bool,
 }
 
-/// When a failure domain was last heard.
+/// The time of the last contact with a failure domain.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HeardReport {
     /// The failure domain.
     pub domain: DomainName,
-    /// How long ago, in milliseconds. A cut may show up to 2,500 ms late.
+    /// The time since the last contact, in milliseconds. A lost connection
+    /// may be detected up to 2,500 ms late.
     pub heard_ms: u64,
 }
 
-/// Slices of a service that are to leave a failure domain.
+/// Slices of a service that are moving out of a failure domain.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeavingReport {
     /// The service.
     pub service: ServiceName,
-    /// The failure domain that still holds them.
+    /// The failure domain that still holds the slices.
     pub domain: DomainName,
-    /// How many are left.
+    /// The number of slices that have not left yet.
     pub slices: u64,
 }
 
-/// How far moves within a failure domain have come.
+/// The progress of moves within a failure domain.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MoveReport {
-    /// Whether the steward may move slices already.
+    /// Whether the steward is allowed to move slices yet.
     pub may_move: bool,
-    /// Moves begun and not ended.
+    /// The number of moves in progress.
     pub moving: u64,
-    /// Slices moved since this VM started.
+    /// The number of slices moved since this VM started.
     pub moved: u64,
 }
 
-/// A failure domain's table, as one VM holds it.
+/// The table of a failure domain, as known to one VM.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DomainReport {
     /// The failure domain.
     pub domain: DomainName,
-    /// Declared lost by a ticket.
+    /// Whether a ticket has declared the domain lost.
     pub lost: bool,
-    /// The table's version; `None`: no table has come.
+    /// The version of the table; `None` if none was received.
     pub table: Option<TableVersion>,
-    /// How long ago the table was surely the newest there, in milliseconds;
-    /// `None`: not known. A cut may show up to 2,500 ms late.
+    /// The time since the table was last known to be the domain's newest, in
+    /// milliseconds; `None` if unknown. A lost connection may be detected up
+    /// to 2,500 ms late.
     pub age_ms: Option<u64>,
-    /// Slices that the table gives an owner.
+    /// The number of slices that have an owner in the table.
     pub owned_slices: u64,
 }
 
-/// A server that a VM keeps.
+/// A server and the permit of its keeper.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct KeepReport {
     /// The server.
     pub server: ServerName,
-    /// How long the VM may send to it, in milliseconds, unless renewed.
+    /// The time for which the VM may still send to the server unless the
+    /// permit is renewed, in milliseconds.
     pub permit_left_ms: u64,
 }
 
-/// A server, as its steward sees it.
+/// A server, as known to its steward.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServerReport {
     /// The server.
     pub server: ServerName,
-    /// Its keeper.
+    /// The VM of the server's keeper.
     pub keeper: Option<VmName>,
-    /// How many slices it owns.
+    /// The number of slices that the server owns.
     pub slices: u64,
-    /// How many it is to get yet.
+    /// The number of slices that it is still to gain.
     pub gains: u64,
-    /// How many it is to give up yet.
+    /// The number of slices that it is still to release.
     pub releases: u64,
-    /// The fencing token of its order.
+    /// The fencing token of the server's order.
     pub token: Option<FenceToken>,
 }
 
-/// Who owns a key, and why there.
+/// The owner of a key, with the reasons.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ExplainReport {
-    /// The VM that tells this.
+    /// The VM that makes this report.
     pub vm: VmName,
-    /// How old this report is, in milliseconds.
+    /// The age of this report, in milliseconds.
     pub age_ms: u64,
     /// The service.
     pub service: ServiceName,
     /// The key.
     pub key: String,
-    /// The key's slice.
+    /// The slice of the key.
     pub slice: u32,
-    /// The service's number of slices.
+    /// The number of slices of the service.
     pub slices: u32,
-    /// The failure domain that serves it.
+    /// The failure domain that serves the key.
     pub domain: Option<DomainName>,
-    /// The owner.
+    /// The server that owns the key.
     pub server: Option<ServerName>,
-    /// The owner's keeper.
+    /// The VM of the owner's keeper.
     pub keeper: Option<VmName>,
-    /// The fencing token; known in the owner's failure domain.
+    /// The owner's fencing token; known only in its failure domain.
     pub token: Option<FenceToken>,
-    /// The version of the table that says so.
+    /// The version of the table that names the owner.
     pub table: Option<TableVersion>,
-    /// Short sentences: why there, or why nowhere.
+    /// The reasons for the owner, or for the lack of one, as short sentences.
     pub why: Vec<String>,
 }
--- a/goldcrestramp-node/src/operators/routes.rs
+++ b/goldcrestramp-node/src/operators/routes.rs
@@ -22,17 +22,18 @@
     policy::OperatorPolicy,
 };
 
-/// The largest ticket, in bytes; the whole state is below it.
-const TICKET_BYTES: u64 = 1_048_576;
-/// Tickets that are applied at once by one VM; each may hold a whole state.
-const TICKETS_AT_ONCE: usize = 2;
+/// The largest ticket, in bytes; even a full configuration is smaller.
+const MAX_TICKET_BYTES: u64 = 1_048_576;
+/// The most tickets that one VM applies concurrently. Each may hold a full
+/// configuration in memory.
+const MAX_CONCURRENT_TICKETS: usize = 2;
 
-/// What each route needs.
+/// The state shared by all routes.
 #[derive(Clone, Debug)]
 struct RouteContext<C> {
     control: C,
     policy: OperatorPolicy,
-    room: Arc<Semaphore>,
+    permits: Arc<Semaphore>,
 }
 
 #[derive(Debug, Deserialize)]
@@ -43,28 +44,28 @@
     key: String,
 }
 
-/// The routes of the operators' listener over `control`.
+/// Returns the routes of the operators' listener, served by `control`.
 pub fn operator_routes<C: OperatorControl>(
     control: C,
     policy: OperatorPolicy,
 ) -> impl Filter<Extract = (WarpResponse,), Error = Rejection> + Clone {
-    let room = Arc::new(Semaphore::new(TICKETS_AT_ONCE));
-    let context = RouteContext { control, policy, room };
-    let open = open_routes(context.clone());
-    let shown = shown_routes(context.clone());
+    let permits = Arc::new(Semaphore::new(MAX_CONCURRENT_TICKETS));
+    let context = RouteContext { control, policy, permits };
+    let probes = probe_routes(context.clone());
+    let reports = report_routes(context.clone());
     let tickets = ticket_route(context);
-    open.or(shown).unify().or(tickets).unify().recover(recover).unify()
+    probes.or(reports).unify().or(tickets).unify().recover(recover).unify()
 }
 
-/// Gives a route its context.
-fn with<C: OperatorControl>(
+/// A filter that passes the context to a route.
+fn with_context<C: OperatorControl>(
     context: RouteContext<C>,
 ) -> impl Filter<Extract = (RouteContext<C>,), Error = Infallible> + Clone {
     warp::any().map(move || context.clone())
 }
 
-/// What the platform's balancer asks; it has no token.
-fn open_routes<C: OperatorControl>(
+/// The health checks of the platform's load balancer, which has no token.
+fn probe_routes<C: OperatorControl>(
     context: RouteContext<C>,
 ) -> impl Filter<Extract = (WarpResponse,), Error = Rejection> + Clone {
     let health = warp::get()
@@ -72,38 +73,38 @@
         .map(|| plain(StatusCode::OK, "alive"));
     let ready = warp::get()
         .and(warp::path!("readyz"))
-        .and(with(context))
+        .and(with_context(context))
         .map(|context: RouteContext<C>| readiness(&context));
     health.or(ready).unify()
 }
 
-fn shown_routes<C: OperatorControl>(
+fn report_routes<C: OperatorControl>(
     context: RouteContext<C>,
 ) -> impl Filter<Extract = (WarpResponse,), Error = Rejection> + Clone {
     let headers = warp::header::headers_cloned();
     let metrics = warp::get()
         .and(warp::path!("metrics"))
         .and(headers)
-        .and(with(context.clone()))
+        .and(with_context(context.clone()))
         .map(|headers, context| metrics::<C>(&headers, &context));
     let status = warp::get()
         .and(warp::path!("status"))
         .and(headers)
-        .and(with(context.clone()))
+        .and(with_context(context.clone()))
         .then(status::<C>);
     let config = warp::get()
         .and(warp::path!("config"))
         .and(headers)
-        .and(with(context.clone()))
+        .and(with_context(context.clone()))
         .then(config::<C>);
     let explain = warp::get()
         .and(warp::path!("explain"))
         .and(warp::query::<ExplainQuery>())
         .and(headers)
-        .and(with(context))
+        .and(with_context(context))
         .then(explain::<C>);
-    let shown = metrics.or(status).unify().or(config).unify();
-    shown.or(explain).unify()
+    let reports = metrics.or(status).unify().or(config).unify();
+    reports.or(explain).unify()
 }
 
 fn ticket_route<C: OperatorControl>(
@@ -112,34 +113,34 @@
     warp::post()
         .and(warp::path!("tickets"))
         .and(warp::header::headers_cloned())
-        .and(with(context))
+        .and(with_context(context))
         .and_then(admit::<C>)
-        .and(warp::body::content_length_limit(TICKET_BYTES))
+        .and(warp::body::content_length_limit(MAX_TICKET_BYTES))
         .and(warp::body::bytes())
         .then(ticket::<C>)
 }
 
-/// A refusal on its way through warp's filters.
+/// A refusal as a rejection of warp's filters.
 #[derive(Debug)]
 struct RefusedRequest(OperatorRefusal);
 
 impl warp::reject::Reject for RefusedRequest {}
 
-/// Turns refusals into answers, and leaves the rest to warp.
+/// Turns refusals into responses, and leaves other rejections to warp.
 async fn recover(rejection: Rejection) -> Result<WarpResponse, Rejection> {
     match rejection.find::<RefusedRequest>() {
-        Some(RefusedRequest(refusal)) => Ok(refusal_answer(*refusal)),
+        Some(RefusedRequest(refusal)) => Ok(refusal_response(*refusal)),
         None => Err(rejection),
     }
 }
 
-/// Judges a ticket's sender before any of its body is read.
+/// Checks the headers of a ticket's request before its body is read.
 async fn admit<C: OperatorControl>(
     headers: HeaderMap,
     context: RouteContext<C>,
 ) -> Result<RouteContext<C>, Rejection> {
-    let judged = authorize(&headers, &context);
-    match judged.and_then(|()| json_content(&headers)) {
+    let authorized = authorize(&headers, &context);
+    match authorized.and_then(|()| json_content(&headers)) {
         Ok(()) => Ok(context),
         Err(refusal) => {
             context.control.count_refusal(refusal);
@@ -148,8 +149,11 @@
     }
 }
 
-/// A web page can make an operator's browser post text to loopback, but
-/// not with this content type unless the listener agrees beforehand.
+/// Checks that the content type is JSON.
+///
+/// This prevents cross-site requests: a web page can make an operator's
+/// browser post text to loopback, but this content type needs a preflight
+/// request, which the listener does not grant.
 fn json_content(headers: &HeaderMap) -> Result<(), OperatorRefusal> {
     let given = headers.get(CONTENT_TYPE);
     let given = given.and_then(|value| value.to_str().ok()).unwrap_or("");
@@ -236,7 +240,7 @@
     context: RouteContext<C>,
     body: Bytes,
 ) -> WarpResponse {
-    let Ok(_permit) = context.room.try_acquire() else {
+    let Ok(_permit) = context.permits.try_acquire() else {
         return refuse(&context, OperatorRefusal::Busy);
     };
     let text = String::from_utf8_lossy(&body);
@@ -274,10 +278,10 @@
     refusal: OperatorRefusal,
 ) -> WarpResponse {
     context.control.count_refusal(refusal);
-    refusal_answer(refusal)
+    refusal_response(refusal)
 }
 
-fn refusal_answer(refusal: OperatorRefusal) -> WarpResponse {
+fn refusal_response(refusal: OperatorRefusal) -> WarpResponse {
     let status = match refusal {
         OperatorRefusal::NoToken | OperatorRefusal::WrongToken => {
             StatusCode::UNAUTHORIZED
--- a/goldcrestramp-node/src/operators/show.rs
+++ b/goldcrestramp-node/src/operators/show.rs
@@ -1,4 +1,4 @@
-//! From the control state to what operators are shown; pure.
+//! Builds the reports for operators from the control state; pure functions.
 
 use goldcrestramp_config::{DeploymentState, NodeSettings, ServiceRules};
 use goldcrestramp_ownership::{DomainTable, ServiceTable, TableServer};
@@ -14,7 +14,7 @@
 };
 use crate::control::{ControlStatus, VmVersions};
 
-/// What only the traffic side of the VM knows.
+/// The part of the status that the traffic threads know.
 #[derive(Debug, Default)]
 pub(super) struct TrafficState {
     pub(super) leaving: bool,
@@ -24,7 +24,7 @@
     pub(super) retried: Vec<(String, u64)>,
 }
 
-/// The report of a VM at `now`, from the state it took a little before.
+/// The report of a VM at `now`, from a control state read shortly before.
 pub(super) fn status_report(
     settings: &NodeSettings,
     traffic: TrafficState,
@@ -70,7 +70,7 @@
     }
 }
 
-/// What this VM knows as a steward; `None`: it is none.
+/// The view of this VM as steward; `None` if it is not the steward.
 pub(crate) fn steward_view(
     vm: &VmName,
     status: &ControlStatus,
@@ -127,7 +127,7 @@
     nodes
 }
 
-/// Slices on their way between failure domains.
+/// Slices that are moving between failure domains.
 fn leaving_reports(status: &ControlStatus) -> Vec<LeavingReport> {
     let names = status.tables.keys();
     let pairs = status
@@ -146,10 +146,11 @@
     reports
 }
 
-/// How long ago a domain's table was surely the newest there.
+/// The time since a domain's table was last known to be the newest, in
+/// milliseconds.
 ///
-/// This VM may have followed the domain as a steward, or heard of it from
-/// its steward; the later of both counts.
+/// This VM may have followed the domain as a steward, or learned of it from
+/// its steward; the more recent of both counts.
 fn table_age(
     status: &ControlStatus,
     view: Option<&StewardView>,
@@ -158,12 +159,12 @@
 ) -> Option<u64> {
     let own = status.heard.get(domain);
     let own = own.map(|heard| now.since(*heard).as_millis());
-    let viewed = view.and_then(|view| {
+    let from_view = view.and_then(|view| {
         let mut heard = view.heard.iter();
         let heard = heard.find(|heard| heard.domain == *domain)?;
         Some(view.age_ms + heard.heard_ms)
     });
-    [own, viewed].into_iter().flatten().min()
+    [own, from_view].into_iter().flatten().min()
 }
 
 fn domain_reports(
@@ -209,13 +210,13 @@
 fn server_reports(status: &ControlStatus) -> Vec<ServerReport> {
     let steward = &status.steward;
     let servers = steward.holders.iter().map(|(server, slices)| {
-        let due = steward.due.get(server).copied().unwrap_or_default();
+        let pending = steward.due.get(server).copied().unwrap_or_default();
         ServerReport {
             server: server.clone(),
             keeper: steward.keepers.get(server).cloned(),
             slices: slices.len() as u64,
-            gains: due.gains as u64,
-            releases: due.releases as u64,
+            gains: pending.gains as u64,
+            releases: pending.releases as u64,
             token: steward.tokens.get(server).copied(),
         }
     });
@@ -224,10 +225,12 @@
     servers
 }
 
-/// Who owns `key`; `None`: the configuration names no such service.
+/// Reports the owner of `key`; `None` if the configuration has no such
+/// service.
 ///
-/// `token` gives the token of a slice when this VM keeps its owner; else
-/// the steward's view has it, if the owner is in this failure domain.
+/// `token` returns the token of a slice if this VM is the keeper of its
+/// owner. Otherwise it is read from the steward's view, which has it if the
+/// owner is in this failure domain.
 pub(super) fn explain_report(
     settings: &NodeSettings,
     status: &ControlStatus,
@@ -253,13 +256,13 @@
         domain: table.map(|table| table.domain.clone()),
         server: owner.map(|owner| owner.server.clone()),
         keeper: owner.map(|owner| owner.keeper.clone()),
-        token: token(slice).or_else(|| viewed_token(view?, owner?)),
+        token: token(slice).or_else(|| token_from_view(view?, owner?)),
         table: table.map(|table| table.version),
         why: reasons(config, rules, status, found),
     })
 }
 
-fn viewed_token(
+fn token_from_view(
     view: &StewardView,
     owner: &TableServer,
 ) -> Option<FenceToken> {
@@ -269,9 +272,9 @@
 
 type FoundOwner<'a> = Option<(&'a DomainTable, &'a TableServer)>;
 
-/// The owner by the table with the highest version that names one.
+/// Finds the owner in the table with the highest version that names one.
 ///
-/// Two tables may name one for a moment while a slice moves between
+/// Two tables may both name an owner briefly while a slice moves between
 /// domains.
 fn find_owner<'a>(
     status: &'a ControlStatus,
@@ -280,15 +283,19 @@
 ) -> FoundOwner<'a> {
     let tables = status.tables.values().map(|table| &**table);
     let found = tables.filter_map(|table| {
-        let part = table.services.iter().find(|s| s.service == *service)?;
-        Some((table, owner_in(part, slice)?))
+        let service_table =
+            table.services.iter().find(|s| s.service == *service)?;
+        Some((table, owner_in(service_table, slice)?))
     });
     found.max_by_key(|(table, _)| table.version)
 }
 
-fn owner_in(part: &ServiceTable, slice: SliceIndex) -> Option<&TableServer> {
-    let position = (*part.owners.get(slice.position())?)?;
-    part.servers.get(usize::from(position))
+fn owner_in(
+    service_table: &ServiceTable,
+    slice: SliceIndex,
+) -> Option<&TableServer> {
+    let position = (*service_table.owners.get(slice.position())?)?;
+    service_table.servers.get(usize::from(position))
 }
 
 fn reasons(
@@ -303,17 +310,17 @@
         return why;
     };
     let servers = config.servers.iter();
-    let alike = servers
+    let eligible = servers
         .filter(|s| s.domain == table.domain && config.may_own(rules, s));
-    let count = alike.count();
+    let count = eligible.count();
     why.push(format!(
-        "{} of its servers in {} may own keys, shares follow slots",
+        "{} of its servers in {} may own keys, in proportion to slots",
         count, table.domain
     ));
     match config.server(&owner.server) {
         None => why.push(format!("{} is no longer configured", owner.server)),
         Some(rules) if rules.drain => {
-            why.push(format!("{} drains, its slices move", owner.server));
+            why.push(format!("{} is draining, its slices move", owner.server));
         }
         Some(_) => {}
     }
@@ -329,7 +336,7 @@
     let regions: Vec<_> =
         rules.regions.iter().map(RegionName::as_str).collect();
     format!(
-        "{} may be owned in domains [{}], regions [{}]; empty is all",
+        "{} may be owned in domains [{}], regions [{}]; empty means all",
         rules.name,
         domains.join(", "),
         regions.join(", ")
@@ -352,8 +359,9 @@
         .map(|d| d.name.as_str())
         .collect();
     if missing.is_empty() {
-        "no table names an owner: it moves, or its owner was lost".to_owned()
+        "no table names an owner: it is moving, or its owner was lost"
+            .to_owned()
     } else {
-        format!("no table has come from {}", missing.join(", "))
+        format!("no table received from {}", missing.join(", "))
     }
 }
