--- a/goldcrestramp-node/src/context.rs
+++ b/goldcrestramp-node/src/context.rs
@@ -1,4 +1,4 @@
-//! What the parts of one daemon share.
+//! The state that all parts of one daemon share.
 
 use std::sync::{
     Arc,
@@ -20,44 +20,46 @@
     running::RunningWork,
 };
 
-/// The weights of callers that operators have named.
+/// The weights that the configuration gives to callers.
 pub(crate) type CallerWeights = FastMap<CallerName, u32>;
 
 /// The shared state of one daemon: settings, snapshots and counters.
 #[derive(Debug)]
 pub struct NodeContext {
-    /// The settings it was started with.
+    /// The settings that the daemon was started with.
     pub settings: NodeSettings,
-    /// A random number of this process start.
+    /// A random number that identifies this start of the process.
     pub start: u64,
-    /// Counters.
+    /// The daemon's metrics.
     pub metrics: NodeMetrics,
     /// Faults that the demo and the tests switch on.
     pub faults: Arc<NodeFaults>,
-    /// Where each slice's requests go: a hint.
+    /// Where the requests of each slice are sent. It may be out of date: a
+    /// keeper that does not keep the owner redirects.
     pub(crate) table: ArcSwap<RoutingTable>,
-    /// The platform's list of VMs, as last read.
+    /// The platform's list of VMs, as of the last read.
     pub(crate) vms: ArcSwap<Vec<VmEntry>>,
-    /// The services of the configuration; `None`: it is not known yet.
+    /// The services of the configuration, or `None` before it is known.
     pub(crate) services: ArcSwapOption<FastSet<ServiceName>>,
-    /// Told whenever `table` was replaced.
+    /// Notified whenever `table` is replaced.
     pub(crate) table_changed: watch::Sender<u64>,
-    /// What this VM may send to which server.
+    /// Which requests this VM may send to which server.
     pub(crate) view: ArcSwap<KeeperView>,
-    /// Non-idempotent work that this VM has under way, by slice.
+    /// Non-idempotent requests of this VM that are in flight, by slice.
     pub(crate) running: RunningWork,
-    /// Slot time used at the servers that this VM keeps.
+    /// Slot time used at the servers whose keeper this VM is.
     pub(crate) loads: ServerLoads,
-    /// The weights of callers in fair shares; 1 for those not named.
+    /// The weights of callers in fair queuing; a caller that is missing here
+    /// has weight 1.
     pub(crate) weights: ArcSwap<CallerWeights>,
-    /// Keys for meeting peers; `None`: plain TCP on loopback.
+    /// The keys for TLS between peers, or `None` for plain TCP on loopback.
     pub(crate) tls: Option<Arc<PeerTls>>,
     leaving: AtomicBool,
     requests: AtomicUsize,
 }
 
 impl NodeContext {
-    /// The context of a daemon that has just started.
+    /// Creates the context of a daemon that has just started.
     #[must_use]
     pub fn new(settings: NodeSettings, faults: Arc<NodeFaults>) -> Self {
         Self {
@@ -79,24 +81,24 @@
         }
     }
 
-    /// The same context, meeting peers by TLS with these keys.
+    /// Sets the keys for TLS between peers; `None` means plain TCP.
     #[must_use]
     pub fn with_tls(mut self, tls: Option<Arc<PeerTls>>) -> Self {
         self.tls = tls;
         self
     }
 
-    /// Whether the configuration is known and has no such service.
+    /// Returns whether the configuration is known and lacks the service.
     ///
-    /// A VM that has just started knows no configuration: calling every
-    /// service unknown would turn callers away for good.
+    /// A VM that has just started knows no configuration. If it reported
+    /// every service as unknown, callers would not retry.
     pub(crate) fn lacks_service(&self, name: &ServiceName) -> bool {
         let services = self.services.load();
         services.as_ref().is_some_and(|known| !known.contains(name))
     }
 
-    /// Whether callers may be sent here: the configuration is known and
-    /// every service of it has a routing table.
+    /// Returns whether this VM is ready for callers: the configuration is
+    /// known and each of its services has a routing table.
     pub(crate) fn is_ready(&self) -> bool {
         let services = self.services.load();
         let table = self.table.load();
@@ -105,7 +107,7 @@
         })
     }
 
-    /// The present moment.
+    /// The current time of the monotonic clock.
     #[must_use]
     pub fn now(&self) -> LocalTime {
         MonotonicClock.now()
@@ -123,7 +125,7 @@
         &self.settings.domain
     }
 
-    /// Where peers reach this VM's control listener.
+    /// The address at which peers reach this VM's control listener.
     pub(crate) fn control_address(&self) -> Arc<str> {
         let settings = &self.settings;
         let address =
@@ -131,7 +133,7 @@
         Arc::from(address.to_string())
     }
 
-    /// Where peers send this VM requests for keys.
+    /// The address to which peers send this VM requests for keys.
     pub(crate) fn peers_address(&self) -> Arc<str> {
         let settings = &self.settings;
         let address = settings.peers_address.unwrap_or(settings.peers_listen);
@@ -149,20 +151,20 @@
         self.leaving.store(true, Ordering::Release);
     }
 
-    /// Requests under way at this gateway and keeper.
+    /// The number of requests in flight at this gateway and keeper.
     #[must_use]
     pub fn requests(&self) -> usize {
         self.requests.load(Ordering::Acquire)
     }
 
-    /// Counts a request until the guard is dropped.
+    /// Counts a request as in flight until the guard is dropped.
     pub(crate) fn request(self: &Arc<Self>) -> RequestGuard {
         self.requests.fetch_add(1, Ordering::AcqRel);
         RequestGuard { context: Arc::clone(self) }
     }
 }
 
-/// Counts one request as under way.
+/// Counts one request as in flight until it is dropped.
 #[derive(Debug)]
 pub(crate) struct RequestGuard {
     context: Arc<NodeContext>,
--- a/goldcrestramp-node/src/faults.rs
+++ b/goldcrestramp-node/src/faults.rs
@@ -1,7 +1,7 @@
-//! Faults that the demo and in-process tests switch on.
+//! Fault injection for the demo and for tests with daemons in one process.
 //!
-//! Real processes are killed, frozen and cut off from outside; several
-//! daemons in one process need these switches instead.
+//! Separate processes are killed, paused and disconnected from outside.
+//! Several daemons in one process need these switches instead.
 
 use std::sync::{
     PoisonError, RwLock,
@@ -11,59 +11,60 @@
 use goldcrestramp_types::FastSet;
 use tokio::sync::watch;
 
-/// A safeguard that a daemon leaves out on purpose.
+/// A safeguard that a daemon disables on purpose.
 ///
-/// A check that cannot fail proves nothing: with one of these, the checks
-/// after a run must find what the safeguard prevents.
+/// These faults test the checks themselves: with one of them planted, the
+/// checks after a run must find what the safeguard prevents.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[repr(u8)]
 pub enum PlantedFault {
-    /// A keeper sends to another server than the owner.
+    /// A keeper sends a request to a server that is not the owner.
     WrongServer = 1,
-    /// An order that may have run is sent again, and its keeper has
-    /// forgotten the first.
+    /// A non-idempotent request that may have run is retried, and its
+    /// keeper has no record of the first attempt.
     StartedRetried,
-    /// A caller is told "not run" where nobody knows.
+    /// A caller gets "not run" for a request whose outcome is unknown.
     UnknownDenied,
-    /// An answer under another request's id is passed on.
+    /// A response with the id of another request is forwarded.
     CrossedPassed,
-    /// An answer that broke off ends as if it were whole.
+    /// A truncated response ends as if it were complete.
     CutPassed,
 }
 
-/// The switches of one daemon; all off at first.
+/// The fault switches of one daemon; initially, all are off.
 #[derive(Debug, Default)]
 pub struct NodeFaults {
-    /// A [`PlantedFault`], or 0.
+    /// The number of a [`PlantedFault`], or 0 for none.
     planted: AtomicU8,
     paused: watch::Sender<bool>,
     cut: RwLock<FastSet<String>>,
 }
 
 impl NodeFaults {
-    /// Leaves a safeguard out, or none.
+    /// Disables one safeguard, or enables all of them for `None`.
     pub fn plant(&self, fault: Option<PlantedFault>) {
         let number = fault.map_or(0, |fault| fault as u8);
         self.planted.store(number, Ordering::Relaxed);
     }
 
-    /// Whether a safeguard is left out.
+    /// Returns whether this fault is planted.
     pub(crate) fn has(&self, fault: PlantedFault) -> bool {
         self.planted.load(Ordering::Relaxed) == fault as u8
     }
 
-    /// Makes the daemon stand still, as a paused VM does.
+    /// Pauses or resumes the daemon, as if its VM were paused or resumed.
     pub fn pause(&self, paused: bool) {
         self.paused.send_replace(paused);
     }
 
-    /// Cuts the daemon off from these `IP:port` addresses, and no others.
+    /// Disconnects the daemon from these `IP:port` addresses. The set
+    /// replaces that of an earlier call.
     pub fn cut(&self, addresses: impl IntoIterator<Item = String>) {
         let mut cut = self.cut.write().unwrap_or_else(PoisonError::into_inner);
         *cut = addresses.into_iter().collect();
     }
 
-    /// Whether the daemon is cut off from `address`.
+    /// Returns whether the daemon is disconnected from `address`.
     #[must_use]
     pub fn is_cut(&self, address: &str) -> bool {
         let cut = self.cut.read().unwrap_or_else(PoisonError::into_inner);
@@ -75,7 +76,7 @@
         let mut paused = self.paused.subscribe();
         while *paused.borrow_and_update() {
             if paused.changed().await.is_err() {
-                // No switch is left that could end the pause.
+                // The sender is dropped, so nothing can end the pause.
                 std::future::pending::<()>().await;
             }
         }
--- a/goldcrestramp-node/src/handle.rs
+++ b/goldcrestramp-node/src/handle.rs
@@ -1,4 +1,4 @@
-//! A running daemon.
+//! Starts, drains and stops a daemon.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -20,29 +20,30 @@
     peers::{bounded_server, serve_router},
 };
 
-/// How often a stopping daemon looks whether it is done.
-const DRAIN_POLL: Duration = Duration::from_millis(50);
+/// How often a draining daemon checks whether it has finished.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The longest wait until this VM is taken out of its domain's roster.
+/// How long a draining VM waits to be removed from its domain's roster.
 ///
-/// That takes a few hundred milliseconds, and the store; without the store,
-/// or with no other VM that stays, it does not come.
-const ROSTER_WAIT: Duration = Duration::from_secs(2);
+/// Removal takes a few hundred milliseconds and needs the store. It does not
+/// happen while the store is unavailable or if no other VM stays.
+const ROSTER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Where a running daemon listens.
+/// The addresses on which a running daemon listens.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct NodeAddresses {
-    /// For callers.
+    /// The listener for callers.
     pub callers: SocketAddr,
-    /// For peers' requests.
+    /// The listener for requests of peers.
     pub peers: SocketAddr,
-    /// For peers' control messages.
+    /// The listener for control messages of peers.
     pub control: SocketAddr,
-    /// For operators.
+    /// The listener for operators.
     pub operators: SocketAddr,
 }
 
-/// A running daemon; dropping it ends it at once, as a loss would.
+/// A running daemon. Dropping it stops the daemon immediately, as a crash
+/// would; see [`NodeHandle::drain`].
 #[derive(Debug)]
 pub struct NodeHandle {
     context: Arc<NodeContext>,
@@ -58,13 +59,13 @@
 impl NodeHandle {
     /// Starts a daemon with these settings; it listens when this returns.
     ///
-    /// Traffic runs on the present tokio runtime, control state on a thread
+    /// Traffic runs on the current tokio runtime, control state on a thread
     /// of its own.
     ///
     /// # Errors
     ///
-    /// A report when a listener cannot be bound or the platform's URL is
-    /// not one.
+    /// Fails if a listener can't be bound, if the platform's URL is invalid
+    /// or if the files with keys and tokens can't be used.
     pub async fn spawn(settings: NodeSettings) -> eyre::Result<Self> {
         let faults = Arc::new(NodeFaults::default());
         let store = PlatformClient::open(&settings.platform_url)?;
@@ -89,8 +90,8 @@
         let keeper = KeeperService::new(Arc::clone(&context));
         let handover = keeper.handover();
         let peers = serve_peers(&context, keeper, peers);
-        log::info!("gateway: callers are served at {}.", addresses.callers);
-        log::info!("operators: served at {}.", addresses.operators);
+        log::info!("gateway: listening for callers at {}.", addresses.callers);
+        log::info!("operators: listening at {}.", addresses.operators);
         Ok(Self {
             context,
             control,
@@ -103,62 +104,66 @@
         })
     }
 
-    /// Where it listens.
+    /// The addresses on which the daemon listens.
     #[must_use]
     pub const fn addresses(&self) -> NodeAddresses {
         self.addresses
     }
 
-    /// Its settings, counters and fault switches.
+    /// The daemon's settings, metrics and fault switches.
     #[must_use]
     pub const fn context(&self) -> &Arc<NodeContext> {
         &self.context
     }
 
-    /// Its calls to the platform.
+    /// The counts of the daemon's calls to the platform.
     #[must_use]
     pub const fn store_calls(&self) -> &Arc<CallCounts> {
         &self.counts
     }
 
-    /// What its control thread knows; `None`: the thread has ended.
+    /// The state of the control thread, or `None` if the thread has ended.
     pub async fn status(&self) -> Option<ControlStatus> {
         self.control.actor.send(StatusAsk).await.ok()
     }
 
-    /// Stops it without cutting a request: hands its servers to other VMs,
-    /// takes no new request and waits for those under way.
+    /// Drains the daemon without interrupting a request: hands its servers
+    /// over to other VMs, accepts no new request and waits for those in
+    /// flight.
     pub async fn drain(&mut self) {
         self.context.leave();
-        self.wait_handed_over().await;
+        self.wait_until_handed_over().await;
         self.handover.finish().await;
-        self.wait_dispensable().await;
+        self.wait_until_dispensable().await;
         self.callers.drain().await;
         while self.context.requests() > 0 {
-            tokio::time::sleep(DRAIN_POLL).await;
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
     }
 
-    /// Waits, for a while, until the others have a majority without it.
+    /// Waits up to [`ROSTER_TIMEOUT`] until the other voters have a majority
+    /// without this VM.
     ///
-    /// Gone before, one of two leaves the other without a majority, and its
-    /// domain serves nothing until the roster is changed.
-    async fn wait_dispensable(&self) {
-        let until = Instant::now() + ROSTER_WAIT;
+    /// If one of two voters stopped earlier, the other would have no majority
+    /// and its domain would serve nothing until the roster is changed.
+    async fn wait_until_dispensable(&self) {
+        let until = Instant::now() + ROSTER_TIMEOUT;
         while Instant::now() < until {
             match self.control.actor.send(DispensableAsk).await {
-                Ok(false) => tokio::time::sleep(DRAIN_POLL).await,
+                Ok(false) => tokio::time::sleep(DRAIN_POLL_INTERVAL).await,
                 Ok(true) | Err(_) => return,
             }
         }
-        log::warn!("node: leaves as a voter, the store took no change.");
+        log::warn!(
+            "node: stops while still a voter: the roster did not change."
+        );
     }
 
-    /// Waits until other VMs keep its servers.
-    async fn wait_handed_over(&self) {
+    /// Waits until other VMs are the keepers of this VM's servers.
+    async fn wait_until_handed_over(&self) {
         loop {
             match self.control.actor.send(DrainedAsk).await {
-                Ok(false) => tokio::time::sleep(DRAIN_POLL).await,
+                Ok(false) => tokio::time::sleep(DRAIN_POLL_INTERVAL).await,
                 Ok(true) | Err(_) => return,
             }
         }
@@ -190,16 +195,16 @@
     service: KeeperService,
     listener: TcpListener,
 ) -> JoinHandle<()> {
-    let limit = context.settings.body_bytes as usize + MESSAGE_ROOM;
+    let limit = context.settings.body_bytes as usize + MESSAGE_OVERHEAD;
     let service = PeerServer::new(service).max_decoding_message_size(limit);
     let server = bounded_server().add_service(service);
     let server = serve_router(context.tls.clone(), listener, server);
     tokio::spawn(async move {
         if let Err(error) = server.await {
-            log::error!("keeper: the listener ended: {error}.");
+            log::error!("keeper: the listener for peers failed: {error}.");
         }
     })
 }
 
-/// Room for the fields of a request besides its body, in bytes.
-const MESSAGE_ROOM: usize = 64 * 1_024;
+/// Allowance for the fields of a request besides its body, in bytes.
+const MESSAGE_OVERHEAD: usize = 64 * 1_024;
--- a/goldcrestramp-node/src/load.rs
+++ b/goldcrestramp-node/src/load.rs
@@ -1,4 +1,4 @@
-//! Slot time used at the servers that this VM keeps.
+//! Slot time used at the servers whose keeper this VM is.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -7,14 +7,15 @@
     FastMap, LocalTime, ServerName, SliceIndex, TimeSpan,
 };
 
-/// Filled by the traffic threads, read by the control thread's reports.
+/// Slot time by server. The traffic threads record it; the control thread
+/// reads it for its reports.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ServerLoads {
     loads: Arc<Mutex<FastMap<ServerName, ServerLoad>>>,
 }
 
 impl ServerLoads {
-    /// Adds the slot time of a request that has ended.
+    /// Adds `span`, the slot time of a request that has ended.
     pub(crate) fn record(
         &self,
         server: &ServerName,
@@ -29,7 +30,8 @@
         loads.entry(server.clone()).or_default().record(slice, span);
     }
 
-    /// Notes that a server of so many slots is slow or silent.
+    /// Records that a server is slow or not responding, which counts as full
+    /// use of its `slots`.
     pub(crate) fn set_full(
         &self,
         now: LocalTime,
@@ -41,7 +43,7 @@
         load.set_full(now, slots);
     }
 
-    /// What was used at a server since it was last read.
+    /// Returns and resets the load of a server since the last call.
     pub(crate) fn take(
         &self,
         now: LocalTime,
--- a/goldcrestramp-node/src/routing.rs
+++ b/goldcrestramp-node/src/routing.rs
@@ -1,4 +1,4 @@
-//! The routing table that gateways read: all failure domains in one.
+//! The routing table of gateways, merged from all failure domains.
 
 use std::sync::Arc;
 
@@ -8,47 +8,47 @@
     VmName,
 };
 
-/// Where requests for a slice go.
+/// Where the requests of a slice are sent.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct RouteTarget {
-    /// The owner.
+    /// The server that owns the slice.
     pub(crate) server: ServerName,
-    /// Its keeper's VM.
+    /// The VM of the server's keeper.
     pub(crate) keeper: VmName,
-    /// Where the keeper takes requests.
+    /// The address at which the keeper accepts requests.
     pub(crate) address: Arc<str>,
-    /// The failure domain of both.
+    /// The failure domain of the server and its keeper.
     pub(crate) domain: DomainName,
 }
 
-/// The targets of one service's slices.
+/// The targets of the slices of one service.
 #[derive(Debug)]
 pub(crate) struct ServiceRoutes {
-    /// Its number of slices.
+    /// The number of slices of the service.
     pub(crate) count: SliceCount,
     targets: Vec<RouteTarget>,
     owners: Vec<Option<u16>>,
 }
 
 impl ServiceRoutes {
-    /// Where requests for `slice` go; `None`: it has no owner now.
+    /// The target of requests for `slice`, or `None` if it has no owner.
     pub(crate) fn target(&self, slice: SliceIndex) -> Option<&RouteTarget> {
         let position = (*self.owners.get(slice.position())?)?;
         self.targets.get(usize::from(position))
     }
 
-    /// Lays a domain's table over what is there.
-    ///
-    /// Where another domain claims a slice too, the service's record
-    /// decides. A lost domain never publishes that it has nothing any more:
-    /// without this its last table would draw requests for ever.
-    /// Where the keeper of a server takes requests.
+    /// The address at which the keeper of a server accepts requests.
     pub(crate) fn keeper_of(&self, server: &ServerName) -> Option<&Arc<str>> {
         let mut targets = self.targets.iter();
         let target = targets.find(|target| target.server == *server)?;
         Some(&target.address)
     }
 
+    /// Adds the targets of a domain's table.
+    ///
+    /// Where another domain claims a slice too, the service's record
+    /// decides. A lost domain never publishes that it owns nothing any more;
+    /// without the record, its last table would attract requests forever.
     fn overlay(
         &mut self,
         domain: &DomainName,
@@ -64,32 +64,34 @@
             domain: domain.clone(),
         }));
         let owners = self.owners.iter_mut().zip(&table.owners);
-        for (slice, (mine, theirs)) in owners.enumerate() {
-            let Some(theirs) = theirs else {
+        for (slice, (current, claimed)) in owners.enumerate() {
+            let Some(claimed) = claimed else {
                 continue;
             };
-            let holding = record.and_then(|record| record.slices.get(slice));
-            let holder = holding.map(|holding| holding.domain);
-            if mine.is_some() && holder.is_some() && holder != position {
+            let assignment =
+                record.and_then(|record| record.slices.get(slice));
+            let assigned = assignment.map(|assignment| assignment.domain);
+            if current.is_some() && assigned.is_some() && assigned != position
+            {
                 continue;
             }
-            *mine = u16::try_from(base + usize::from(*theirs)).ok();
+            *current = u16::try_from(base + usize::from(*claimed)).ok();
         }
     }
 }
 
-/// The routes of every service; immutable, replaced as a whole.
+/// The routes of every service; immutable, and replaced as a whole.
 #[derive(Debug, Default)]
 pub(crate) struct RoutingTable {
     services: FastMap<ServiceName, ServiceRoutes>,
 }
 
 impl RoutingTable {
-    /// Lays the failure domains' tables over each other.
+    /// Merges the tables of the failure domains.
     ///
-    /// Two domains may both claim a slice for a moment while it moves
-    /// between them: a table is a hint, and the wrong keeper redirects. Of
-    /// two claims the service's record decides.
+    /// Two domains may both claim a slice briefly while it moves between
+    /// them. That is safe: a table may be out of date, and the wrong keeper
+    /// redirects. The service's record decides between two claims.
     pub(crate) fn merge<'a>(
         tables: impl IntoIterator<Item = &'a Arc<DomainTable>>,
         records: &FastMap<ServiceName, Arc<ServiceRecord>>,
@@ -116,7 +118,7 @@
         Self { services }
     }
 
-    /// Whether it sends anybody to this VM.
+    /// Returns whether any slice is routed to a keeper on this VM.
     pub(crate) fn names(&self, vm: &VmName) -> bool {
         self.services.values().any(|routes| {
             let owners = routes.owners.iter().flatten();
--- a/goldcrestramp-node/src/running.rs
+++ b/goldcrestramp-node/src/running.rs
@@ -1,20 +1,20 @@
-//! Non-idempotent work under way, by server and slice.
+//! Non-idempotent requests in flight, by server and slice.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
 use goldcrestramp_types::{FastMap, ServerName, SliceIndex, SliceSet};
 
-/// Counts of running work by slice, one map a server.
+/// Counts of requests in flight by slice, one map for each server.
 type SliceCounts = FastMap<ServerName, FastMap<SliceIndex, u32>>;
 
-/// Work that must end before its slice may be reported as released.
+/// Requests that must end before their slice may be reported as released.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RunningWork {
     counts: Arc<Mutex<SliceCounts>>,
 }
 
 impl RunningWork {
-    /// Counts one request until the guard is dropped.
+    /// Counts one request as in flight until the guard is dropped.
     pub(crate) fn start(
         &self,
         server: &ServerName,
@@ -27,7 +27,7 @@
         RunningGuard { work: self.clone(), server: server.clone(), slice }
     }
 
-    /// The slices of a server on which work is under way.
+    /// The slices of a server that have requests in flight.
     pub(crate) fn slices(&self, server: &ServerName) -> SliceSet {
         let counts =
             self.counts.lock().unwrap_or_else(PoisonError::into_inner);
@@ -50,7 +50,7 @@
     }
 }
 
-/// Marks one request as under way.
+/// Counts one request as in flight until it is dropped.
 #[derive(Debug)]
 pub(crate) struct RunningGuard {
     work: RunningWork,
