--- a/goldcrestramp-node/src/convert/mod.rs
+++ b/goldcrestramp-node/src/convert/mod.rs
@@ -1,7 +1,8 @@
-//! Between the machines' messages and those of the peer protocol.
+//! Conversions between messages of the ownership crate and of the peer
+//! protocol.
 //!
-//! A message from a peer is checked here: what does not convert is dropped
-//! as a whole, with [`BadMessage`].
+//! Messages from peers are validated here: a message with any invalid part is
+//! rejected as a whole, with [`BadMessage`].
 
 mod tables;
 
@@ -21,7 +22,7 @@
 
 pub(crate) use self::tables::{change_in, change_out, table_in, table_out};
 
-/// A peer's message that makes no sense.
+/// A peer's message is invalid: a name, a slice or a range is malformed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) struct BadMessage;
 
@@ -31,9 +32,9 @@
     }
 }
 
-/// Refusal text of a voter that has just started.
+/// The refusal text of a voter that has just started and does not vote yet.
 const SILENT: &str = "silent";
-/// Refusal text of a voter that follows another term.
+/// The refusal text of a voter that follows another term.
 const REFUSED: &str = "refused";
 
 pub(crate) fn term_out(term: TermId) -> peer::Term {
@@ -74,8 +75,8 @@
     runs.collect()
 }
 
-/// Reads runs, which must rise: a peer cannot make this cost more than one
-/// pass over the slices that exist.
+/// Reads slice ranges, which must be ascending and disjoint. This bounds the
+/// cost of a peer's message to one pass over the existing slices.
 fn slices_in(runs: &[peer::SliceRun]) -> Result<SliceSet, BadMessage> {
     let mut ranges = Vec::new();
     let mut next = 0;
--- a/goldcrestramp-node/src/convert/tables.rs
+++ b/goldcrestramp-node/src/convert/tables.rs
@@ -1,4 +1,4 @@
-//! Routing tables and their changes.
+//! Conversions of routing tables and of changes to them.
 
 use std::sync::Arc;
 
@@ -52,7 +52,7 @@
     let runs = change.ranges.iter().map(|run| peer::TableRun {
         first: u32::try_from(run.first).unwrap_or(u32::MAX),
         last: u32::try_from(run.last).unwrap_or(u32::MAX),
-        owner: run.owner.map_or(0, |place| u32::from(place) + 1),
+        owner: run.owner.map_or(0, |position| u32::from(position) + 1),
     });
     peer::ServiceTable {
         service: change.service.to_string(),
@@ -82,7 +82,7 @@
     let servers: Result<Vec<_>, _> =
         service.servers.iter().map(table_server_in).collect();
     let runs: Result<Vec<_>, _> =
-        service.runs.iter().map(owner_run_in).collect();
+        service.runs.iter().map(owner_range_in).collect();
     let servers = servers?;
     Ok(ServiceChange {
         service: ServiceName::new(&service.service)?,
@@ -91,10 +91,10 @@
     })
 }
 
-fn owner_run_in(run: &peer::TableRun) -> Result<OwnerRange, BadMessage> {
+fn owner_range_in(run: &peer::TableRun) -> Result<OwnerRange, BadMessage> {
     let owner = match run.owner.checked_sub(1) {
-        Some(place) => {
-            Some(u16::try_from(place).map_err(|_error| BadMessage)?)
+        Some(position) => {
+            Some(u16::try_from(position).map_err(|_error| BadMessage)?)
         }
         None => None,
     };
@@ -134,7 +134,8 @@
     }
 }
 
-/// Neighbouring slices of one owner become one run.
+/// Encodes owners as runs: adjacent slices of one owner become one run, and
+/// slices without an owner are left out.
 fn runs_out(owners: &[Option<u16>]) -> Vec<peer::TableRun> {
     let mut runs: Vec<peer::TableRun> = Vec::new();
     for (slice, owner) in (0_u32..).zip(owners) {
