--- a/goldcrestramp-node/src/context.rs
+++ b/goldcrestramp-node/src/context.rs
@@ -50,7 +50,7 @@
     /// Slot time used at the servers whose keeper this VM is.
     pub(crate) loads: ServerLoads,
     /// The weights of callers in fair queuing; a caller that is missing here
-    /// has weight 1.
+    /// has the weight 1.
     pub(crate) weights: ArcSwap<CallerWeights>,
     /// The keys for TLS between peers, or `None` for plain TCP on loopback.
     pub(crate) tls: Option<Arc<PeerTls>>,
--- a/goldcrestramp-node/src/convert/mod.rs
+++ b/goldcrestramp-node/src/convert/mod.rs
@@ -1,8 +1,9 @@
 //! Conversions between messages of the ownership crate and of the peer
 //! protocol.
 //!
-//! Messages from peers are validated here: a message with any invalid part is
-//! rejected as a whole, with [`BadMessage`].
+//! Messages from peers are validated here. A message with an invalid name,
+//! slice or range is rejected as a whole, with [`BadMessage`]; only reported
+//! loads of slices that don't exist are skipped.
 
 mod tables;
 
@@ -32,7 +33,7 @@
     }
 }
 
-/// The refusal text of a voter that has just started and does not vote yet.
+/// The refusal text of a voter that abstains, such as after its start.
 const SILENT: &str = "silent";
 /// The refusal text of a voter that follows another term.
 const REFUSED: &str = "refused";
--- a/goldcrestramp-node/src/load.rs
+++ b/goldcrestramp-node/src/load.rs
@@ -30,8 +30,8 @@
         loads.entry(server.clone()).or_default().record(slice, span);
     }
 
-    /// Records that a server is slow or not responding, which counts as full
-    /// use of its `slots`.
+    /// Records that a server, which has `slots` slots, is slow or not
+    /// responding, so that it counts as full.
     pub(crate) fn set_full(
         &self,
         now: LocalTime,
--- a/goldcrestramp-node/src/peers.rs
+++ b/goldcrestramp-node/src/peers.rs
@@ -141,9 +141,9 @@
 /// The most requests in flight on one connection of a peer; further ones wait
 /// at the peer.
 ///
-/// This equals the number that may wait for a server. Requests that wait at
-/// the peer do so in order of arrival, so a busy caller could take up the
-/// whole connection.
+/// This equals the number that may wait for a server. Further requests wait
+/// in order of arrival and not in a fair queue, so a busy caller could take
+/// up the whole connection.
 const MAX_STREAMS: u32 = 10_000;
 /// The largest header list of a peer's request, in bytes.
 const MAX_HEADER_LIST_BYTES: u32 = 16 * 1_024;
