--- a/goldcrestramp-node/src/context.rs
+++ b/goldcrestramp-node/src/context.rs
@@ -49,8 +49,8 @@
     pub(crate) running: RunningWork,
     /// Slot time used at the servers whose keeper this VM is.
     pub(crate) loads: ServerLoads,
-    /// The weights of callers in fair queuing; a caller that is missing here
-    /// has the weight 1.
+    /// The weights of callers in fair queuing: 1 for a caller that is missing
+    /// here.
     pub(crate) weights: ArcSwap<CallerWeights>,
     /// The keys for TLS between peers, or `None` for plain TCP on loopback.
     pub(crate) tls: Option<Arc<PeerTls>>,
