--- a/goldcrestramp-node/src/control/actor.rs
+++ b/goldcrestramp-node/src/control/actor.rs
@@ -1,4 +1,4 @@
-//! The actor that owns all control state of a VM.
+//! The actor that owns the control state of a VM.
 
 use std::sync::Arc;
 
@@ -20,9 +20,9 @@
         grants,
         links::ControlLinks,
         messages::StewardNotice,
-        permit_stream::{PermitQuestion, PermitStream},
+        permit_stream::{PermitCall, PermitStream},
         permits::StewardSearch,
-        seen::{SeenBook, VmVersions},
+        seen::{ReportTable, VmVersions},
         tables::TableHub,
         unserved::UnservedMeter,
     },
@@ -32,7 +32,8 @@
     store::{self, RecordStore},
 };
 
-/// Steward, grants and voter of one VM, with all that they need.
+/// The steward, keeper and voter of one VM, with their connections, stores
+/// and measurements.
 #[derive(Debug)]
 pub(crate) struct ControlActor {
     pub(super) context: Arc<NodeContext>,
@@ -47,18 +48,18 @@
     pub(super) hub: Arc<TableHub>,
     pub(super) feed: PlacementFeed,
     pub(super) search: StewardSearch,
-    pub(super) seen: SeenBook,
+    pub(super) reports: ReportTable,
     pub(super) churn: MoveMeter,
     pub(super) unserved: UnservedMeter,
     pub(super) permits: PermitStream,
     pub(super) address: Option<WeakAddress<Self>>,
-    pub(super) ask_at: LocalTime,
-    pub(super) asking: bool,
+    pub(super) permit_due_at: LocalTime,
+    pub(super) permit_in_flight: bool,
     pub(super) leading: watch::Sender<bool>,
 }
 
 impl ControlActor {
-    /// The actor of a VM whose daemon has just started.
+    /// Creates the actor of a VM whose daemon has just started.
     pub(crate) fn new(
         context: Arc<NodeContext>,
         store: PlatformClient,
@@ -96,13 +97,13 @@
             hub,
             feed: PlacementFeed::default(),
             search: StewardSearch::default(),
-            seen: SeenBook::default(),
+            reports: ReportTable::default(),
             churn: MoveMeter::default(),
             unserved: UnservedMeter::default(),
             permits: PermitStream::default(),
             address: None,
-            ask_at: now,
-            asking: false,
+            permit_due_at: now,
+            permit_in_flight: false,
             leading,
             context,
         }
@@ -112,7 +113,7 @@
         self.address.as_ref()?.try_upgrade()
     }
 
-    /// Hands an event to the steward and carries out what it wants.
+    /// Passes an event to the steward and carries out the resulting effects.
     pub(super) fn steward_event(&mut self, event: StewardEvent) {
         let now = self.context.now();
         let effects = self.steward.handle(now, event);
@@ -136,7 +137,7 @@
                 for (service, tally) in self.churn.take(&table) {
                     self.context.metrics.count_moves(&service, tally);
                 }
-                self.hub.take_table(&table);
+                self.hub.apply_table(&table);
             }
             StewardEffect::SaveRoster(roster) => {
                 self.spawn_store(store::save_roster(
@@ -161,7 +162,7 @@
         }
     }
 
-    /// Runs a call to the store and hands its event to the steward.
+    /// Spawns a call to the store and sends its event to the steward.
     pub(super) fn spawn_store(
         &self,
         call: impl Future<Output = Option<StewardEvent>> + Send + 'static,
@@ -176,7 +177,8 @@
         });
     }
 
-    /// Asks a voter: this VM's own at once, others over the network.
+    /// Asks a voter to confirm: this VM's own directly, others over the
+    /// network.
     pub(super) fn ask_voter(
         &mut self,
         vm: VmName,
@@ -186,7 +188,7 @@
         let sent = self.context.now();
         if vm == *self.context.vm() {
             let answer = self.vote(&ask);
-            let event = answered(vm, sent, &ask, answer);
+            let event = answer_event(vm, sent, &ask, answer);
             self.steward_event(event);
             return;
         }
@@ -197,7 +199,7 @@
         tokio::spawn(async move {
             let answer = links.confirm(&address, &ask).await;
             if let Some(answer) = answer {
-                let event = answered(vm, sent, &ask, answer);
+                let event = answer_event(vm, sent, &ask, answer);
                 drop(actor.send(StewardNotice(event)).await);
             }
         });
@@ -207,29 +209,29 @@
         let now = self.context.now();
         let answer = self.voter.confirm(now, ask);
         if answer == ConfirmAnswer::Confirmed {
-            let place = (ask.vm.clone(), Arc::clone(&ask.address));
-            self.search.take_steward(place.0, place.1);
+            let steward = (ask.vm.clone(), Arc::clone(&ask.address));
+            self.search.set_steward(steward.0, steward.1);
         }
         answer
     }
 
-    /// Asks for a permit when it is time and no question is under way.
-    pub(super) fn ask_permit(&mut self) {
+    /// Asks for a permit if it is due and no call is in flight.
+    pub(super) fn request_permit(&mut self) {
         let now = self.context.now();
-        let due = self.ask_at.min(self.keeper.poll_at());
-        if self.asking || now < due {
+        let due = self.permit_due_at.min(self.keeper.poll_at());
+        if self.permit_in_flight || now < due {
             return;
         }
-        self.ask_at = now + self.timing.renew_interval;
+        self.permit_due_at = now + self.timing.renew_interval;
         let report = self.report(now);
         if self.steward.leads(now) {
-            self.feed.take(now, &report);
+            self.feed.record_report(now, &report);
             let answer = self.steward.permit(now, report);
             self.keeper.permitted(now, now, answer);
             self.publish_view();
             return;
         }
-        // What a report drops must be sent no request any more.
+        // What the report has dropped must receive no more requests.
         self.publish_view();
         let Some(address) = self.search.next() else {
             return;
@@ -237,20 +239,20 @@
         let Some(actor) = self.address() else {
             return;
         };
-        self.asking = true;
+        self.permit_in_flight = true;
         let domain = self.context.domain();
         let versions = self.versions();
         let message = convert::report_out(&report, domain, versions);
-        let question = PermitQuestion { sent: now, address, message };
-        self.permits.ask(&self.links, actor, question);
+        let call = PermitCall { sent: now, address, message };
+        self.permits.send(&self.links, actor, call);
     }
 
-    /// What this VM has in force.
+    /// The versions that this VM has in force.
     pub(super) fn versions(&self) -> VmVersions {
         let set = self.hub.set();
         let table = set.domains.get(self.context.domain());
         VmVersions {
-            config: set.config_mark.version,
+            config: set.config_revision.version,
             table: table.map(|table| table.version),
         }
     }
@@ -285,17 +287,19 @@
         }
     }
 
-    /// Shows the traffic threads what they may send.
+    /// Publishes to the traffic threads what they may send.
     ///
-    /// Only after a report, a permit or a server's reply: nothing else
-    /// changes it, and what has run out the threads see by its deadline.
+    /// Called only after a report, a permit or a server's reply, since
+    /// nothing else changes it. The threads check the deadlines themselves,
+    /// so that an expiry needs no update.
     pub(super) fn publish_view(&mut self) {
         let passes = self.keeper.passes(self.context.now());
         let view = KeeperView::new(passes, self.keeper.servers());
         self.context.view.store(Arc::new(view));
     }
 
-    /// Gives the steward its plan once configuration or records changed.
+    /// Gives the steward a new plan after a change of the configuration or of
+    /// a service's record.
     pub(super) fn refresh_plan(&mut self) {
         let set = self.hub.set();
         let Some(config) = &set.config else {
@@ -309,15 +313,16 @@
         self.steward_event(StewardEvent::PlanRead(Arc::new(plan)));
     }
 
-    pub(super) fn take_config(&mut self, state: &Arc<DeploymentState>) {
-        if self.hub.take_config(state) {
+    pub(super) fn apply_config(&mut self, state: &Arc<DeploymentState>) {
+        if self.hub.apply_config(state) {
             log::info!("store: configuration {} is in force", state.version);
             self.refresh_plan();
         }
     }
 
-    /// Tells the keeper what must end before a slice is released.
-    pub(super) fn tell_running(&mut self) {
+    /// Updates the keeper's view of running requests, which must end before
+    /// their slice is released.
+    pub(super) fn update_running(&mut self) {
         for order in self.keeper.servers() {
             let slices = self.context.running.slices(&order.server);
             self.keeper.set_running(&order.server, slices);
@@ -325,7 +330,7 @@
     }
 }
 
-fn answered(
+fn answer_event(
     voter: VmName,
     sent: LocalTime,
     ask: &ConfirmAsk,
--- a/goldcrestramp-node/src/control/follow.rs
+++ b/goldcrestramp-node/src/control/follow.rs
@@ -1,8 +1,9 @@
-//! Streams of routing tables from other VMs.
+//! Subscribes to the streams of routing tables of other VMs.
 //!
-//! Every VM follows its steward; a steward also follows one VM of each
-//! other failure domain. So a VM has one inbound stream, whatever the size
-//! of the fleet, and a domain that is cut off keeps the last it had.
+//! Every VM follows its steward. A steward also follows one VM of each other
+//! failure domain. A VM that is no steward therefore has one inbound stream,
+//! whatever the size of the fleet, and a domain that is cut off keeps the
+//! last tables that it received.
 
 use std::{sync::Arc, time::Duration};
 
@@ -22,24 +23,26 @@
         actor::ControlActor,
         links::ControlLinks,
         messages::{
-            ConfigNotice, HomesNotice, StewardAsk, StewardPlace, TableNotice,
+            ConfigNotice, HomesNotice, StewardAsk, StewardLocation,
+            TableNotice,
         },
         tables::{TableHub, TableSet},
     },
     convert,
 };
 
-/// A pause before a stream is opened again.
-const OPEN_PAUSE: Duration = Duration::from_millis(200);
-/// How often the steward looks for domains that it does not follow.
-const LOOK_EVERY: Duration = Duration::from_secs(1);
-/// How often a follower looks whether it still follows the right VM.
+/// The delay before a stream is opened again.
+const REOPEN_DELAY: Duration = Duration::from_millis(200);
+/// How often the steward checks for domains that it does not follow.
+const DOMAIN_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// How often a follower checks that it still follows the current steward.
 ///
-/// A steward that was paused or cut off sends nothing, and its connection
-/// stays open for seconds: its followers would keep old tables for so long.
-const CHECK_EVERY: Duration = Duration::from_millis(250);
+/// A steward that is paused or cut off sends nothing, but its connection
+/// stays open for seconds. Without the check its followers would keep old
+/// tables for that time.
+const STEWARD_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Follows the steward's stream: all tables and the configuration.
+/// Follows the steward's stream of all tables and the configuration.
 pub(crate) async fn follow_steward(
     context: Arc<NodeContext>,
     hub: Arc<TableHub>,
@@ -47,10 +50,10 @@
 ) {
     let links = ControlLinks::new(Arc::clone(&context));
     loop {
-        let Ok(place) = actor.send(StewardAsk).await else {
+        let Ok(location) = actor.send(StewardAsk).await else {
             return;
         };
-        if let StewardPlace::There(_, address) = place {
+        if let StewardLocation::Remote(_, address) = location {
             let stream = TableStream {
                 context: Arc::clone(&context),
                 links: links.clone(),
@@ -62,11 +65,12 @@
             };
             stream.follow().await;
         }
-        tokio::time::sleep(OPEN_PAUSE).await;
+        tokio::time::sleep(REOPEN_DELAY).await;
     }
 }
 
-/// While this VM leads, follows one VM of every other failure domain.
+/// Follows one VM of every other failure domain while this VM is the
+/// steward.
 pub(crate) async fn follow_domains(
     context: Arc<NodeContext>,
     hub: Arc<TableHub>,
@@ -75,10 +79,10 @@
     let links = ControlLinks::new(Arc::clone(&context));
     let mut tasks: FastMap<DomainName, JoinHandle<()>> = FastMap::default();
     loop {
-        let Ok(place) = actor.send(StewardAsk).await else {
+        let Ok(location) = actor.send(StewardAsk).await else {
             return;
         };
-        if place == StewardPlace::Here {
+        if location == StewardLocation::Local {
             tasks.retain(|_, task| !task.is_finished());
             let vms = context.vms.load_full();
             for domain in other_domains(&context, &vms) {
@@ -96,7 +100,7 @@
                 task.abort();
             }
         }
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(DOMAIN_CHECK_INTERVAL).await;
     }
 }
 
@@ -108,8 +112,10 @@
     others.map(|vm| vm.domain.clone()).collect()
 }
 
-/// A stream from some VM of a domain; the list lags, so any may be gone,
-/// and the next try takes another.
+/// Returns a stream from a random VM of a domain.
+///
+/// The VM list lags, so that the VM may no longer exist; the next attempt
+/// chooses again.
 fn open(
     links: &ControlLinks,
     hub: &Arc<TableHub>,
@@ -117,8 +123,9 @@
     vms: &[VmEntry],
     domain: &DomainName,
 ) -> Option<TableStream> {
-    let there: Vec<_> = vms.iter().filter(|vm| vm.domain == *domain).collect();
-    let vm = there.choose(&mut rand::rng())?;
+    let candidates: Vec<_> =
+        vms.iter().filter(|vm| vm.domain == *domain).collect();
+    let vm = candidates.choose(&mut rand::rng())?;
     Some(TableStream {
         context: Arc::clone(hub.context()),
         links: links.clone(),
@@ -130,58 +137,62 @@
     })
 }
 
-/// One stream of updates.
+/// A stream of updates from one VM.
 struct TableStream {
     context: Arc<NodeContext>,
     links: ControlLinks,
     actor: Address<ControlActor>,
     address: Arc<str>,
-    /// The one domain asked for; none: all of them, from the steward.
+    /// The requested domain; `None` requests all domains, from the steward.
     domain: Option<DomainName>,
     hub: Arc<TableHub>,
-    /// The newest tables of this VM.
+    /// The newest tables that this VM knows.
     tables: watch::Receiver<Arc<TableSet>>,
 }
 
 impl TableStream {
-    /// Hands updates to the actor until the stream ends.
+    /// Sends updates to the actor until the stream ends.
     async fn follow(self) {
         let Some(mut client) = self.links.stream(&self.address).await else {
             return;
         };
         let Ok(response) = client.tables(self.request()).await else {
-            self.links.forget(&self.address);
+            self.links.disconnect(&self.address);
             return;
         };
         let mut updates = response.into_inner();
         loop {
-            let next =
-                tokio::time::timeout(CHECK_EVERY, updates.message()).await;
+            let next = tokio::time::timeout(
+                STEWARD_CHECK_INTERVAL,
+                updates.message(),
+            )
+            .await;
             self.context.faults.wait().await;
-            if !self.is_right().await {
+            if !self.is_current().await {
                 return;
             }
             match next {
                 Ok(Ok(Some(update))) => {
-                    if !self.take(&update).await {
+                    if !self.apply(&update).await {
                         return;
                     }
                 }
                 Ok(_ended) => {
-                    self.links.forget(&self.address);
+                    self.links.disconnect(&self.address);
                     return;
                 }
-                Err(_nothing_new) => {}
+                Err(_no_update) => {}
             }
             let own = self.context.domain();
-            self.hub.note_heard(self.domain.as_ref().unwrap_or(own));
+            self.hub.record_heard(self.domain.as_ref().unwrap_or(own));
         }
     }
 
-    /// What is asked for, and what need not be sent.
+    /// The request, with the revision of the configuration that need not be
+    /// sent.
     fn request(&self) -> TablesRequest {
         let domain = self.domain.as_ref().map(ToString::to_string);
-        let config = self.tables.borrow().config_mark;
+        let config = self.tables.borrow().config_revision;
         TablesRequest {
             vm: self.context.vm().to_string(),
             domain: domain.unwrap_or_default(),
@@ -190,8 +201,8 @@
         }
     }
 
-    /// Whether this is still the VM to follow.
-    async fn is_right(&self) -> bool {
+    /// Whether this VM should still follow that VM.
+    async fn is_current(&self) -> bool {
         if self.links.is_cut(&self.address) {
             return false;
         }
@@ -199,14 +210,15 @@
             return true;
         }
         match self.actor.send(StewardAsk).await {
-            Ok(StewardPlace::There(_, now)) => now == self.address,
-            Ok(StewardPlace::Unknown) => true,
-            Ok(StewardPlace::Here) | Err(_) => false,
+            Ok(StewardLocation::Remote(_, now)) => now == self.address,
+            Ok(StewardLocation::Unknown) => true,
+            Ok(StewardLocation::Local) | Err(_) => false,
         }
     }
 
-    /// Takes an update; `false`: the stream is of no use any more.
-    async fn take(&self, update: &TableUpdate) -> bool {
+    /// Applies an update. Returns `false` if the stream cannot be used any
+    /// longer.
+    async fn apply(&self, update: &TableUpdate) -> bool {
         let bytes = update.encoded_len();
         self.context.metrics.count_control("table", bytes);
         for homes in &update.homes {
@@ -215,7 +227,7 @@
                 drop(self.actor.send(notice).await);
             }
         }
-        if !self.take_config(update).await {
+        if !self.apply_config(update).await {
             return false;
         }
         match self.table(update) {
@@ -223,19 +235,20 @@
                 let notice = TableNotice(Arc::new(table));
                 self.actor.send(notice).await.is_ok()
             }
-            Err(fault) => fault != TableFault::Unfit,
+            Err(fault) => fault != TableFault::Mismatch,
         }
     }
 
-    /// Takes the configuration of an update, whole or by its changes.
+    /// Applies the configuration of an update, in full or as changes.
     ///
-    /// `false`: a change does not fit what this VM has. The stream is
-    /// opened again and begins with the whole; going on would leave this
-    /// VM behind until the next steward. What this program does not
-    /// understand it leaves: asking again would not help.
-    async fn take_config(&self, update: &TableUpdate) -> bool {
+    /// Returns `false` if a change does not apply to the configuration of
+    /// this VM. The stream is then opened again and starts with the full
+    /// configuration; continuing would leave this VM outdated until there
+    /// is another steward. A configuration that cannot be decoded is
+    /// skipped, since requesting it again would not help.
+    async fn apply_config(&self, update: &TableUpdate) -> bool {
         if !update.config.is_empty() {
-            self.hand_over(serde_json::from_slice(&update.config)).await;
+            self.send_config(serde_json::from_slice(&update.config)).await;
         }
         for change in &update.config_changes {
             let change = serde_json::from_slice::<StateChange>(change);
@@ -249,55 +262,55 @@
             }
             let state = change.map(|change| change.apply(&known));
             match state.transpose() {
-                Some(state) => self.hand_over(state).await,
+                Some(state) => self.send_config(state).await,
                 None => return false,
             }
         }
         true
     }
 
-    /// Gives the actor a configuration that could be read.
-    async fn hand_over(&self, state: serde_json::Result<DeploymentState>) {
+    /// Sends a configuration to the actor if it could be decoded.
+    async fn send_config(&self, state: serde_json::Result<DeploymentState>) {
         match state {
             Ok(state) => {
                 let notice = ConfigNotice(Arc::new(state));
                 drop(self.actor.send(notice).await);
             }
             Err(error) => {
-                log::warn!("store: a configuration is not read: {error}.");
+                log::warn!("store: cannot decode a configuration: {error}.");
             }
         }
     }
 
-    /// The whole table of an update.
+    /// The full table that results from an update.
     fn table(&self, update: &TableUpdate) -> Result<DomainTable, TableFault> {
         if update.domain.is_empty() {
             return Err(TableFault::NoTable);
         }
         if update.whole {
             return convert::table_in(update)
-                .map_err(|_bad| TableFault::Unfit);
+                .map_err(|_bad| TableFault::Mismatch);
         }
         let change =
-            convert::change_in(update).map_err(|_bad| TableFault::Unfit)?;
+            convert::change_in(update).map_err(|_bad| TableFault::Mismatch)?;
         let set = self.tables.borrow();
         let known = set.domains.get(&change.domain);
-        let known = known.ok_or(TableFault::Unfit)?;
+        let known = known.ok_or(TableFault::Mismatch)?;
         if known.version >= change.version {
-            return Err(TableFault::Known);
+            return Err(TableFault::NotNewer);
         }
-        change.apply(known).ok_or(TableFault::Unfit)
+        change.apply(known).ok_or(TableFault::Mismatch)
     }
 }
 
-/// Why an update brought no table.
+/// Why an update results in no new table.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum TableFault {
-    /// It was about something else.
+    /// It carries no table.
     NoTable,
-    /// This VM has that version or a newer one by another way.
-    Known,
-    /// It changes a version that this VM has not, or it is malformed: the
-    /// stream is opened again, and begins with the whole.
-    Unfit,
+    /// This VM has received that version or a newer one already.
+    NotNewer,
+    /// It is malformed, or changes a version that this VM does not have.
+    /// The stream is opened again and starts with the full table.
+    Mismatch,
 }
--- a/goldcrestramp-node/src/control/grants.rs
+++ b/goldcrestramp-node/src/control/grants.rs
@@ -1,4 +1,4 @@
-//! Orders to backend servers, over HTTP.
+//! Sends grant orders to backend servers over HTTP.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,12 +12,14 @@
     control::{actor::ControlActor, messages::GrantNotice},
 };
 
-/// A server that has not replied for so long is taken as out of reach.
+/// How long a server has to reply before it counts as unreachable.
 ///
-/// A third of the lease: three tries fit into what a grant lasts.
+/// It is a third of the lease, so that three attempts fit into the duration
+/// of a grant.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Sends an order and gives the reply, or its lack, to the actor.
+/// Sends an order. The actor receives a [`GrantNotice`] with the reply, or
+/// with none after a failure.
 pub(crate) fn send_order(
     context: &Arc<NodeContext>,
     http: &reqwest::Client,
@@ -39,7 +41,7 @@
     tokio::spawn(async move {
         let reply = if cut { None } else { reply(&context, request).await };
         let notice = GrantNotice { server, sent, reply };
-        // The actor is gone only when the daemon ends.
+        // The send fails only if the daemon is stopping.
         drop(actor.send(notice).await);
     });
 }
--- a/goldcrestramp-node/src/control/handlers.rs
+++ b/goldcrestramp-node/src/control/handlers.rs
@@ -1,4 +1,4 @@
-//! What the control actor does with each message.
+//! The control actor's handlers, one for each message.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
     messages::{
         ConfigNotice, DispensableAsk, DrainedAsk, GrantNotice, HomesNotice,
         PermitAsk, PermitNotice, RosterNotice, StatusAsk, StewardAsk,
-        StewardNotice, StewardPlace, TableNotice, TickNotice, VmsNotice,
+        StewardLocation, StewardNotice, TableNotice, TickNotice, VmsNotice,
         VoteAsk,
     },
     reader,
@@ -27,11 +27,11 @@
             self.steward_event(event);
         }
         self.steward_event(StewardEvent::Tick);
-        self.show_leading();
-        self.weigh_moves();
+        self.publish_leading();
+        self.plan_moves();
         self.count_unserved();
-        self.tell_running();
-        self.ask_permit();
+        self.update_running();
+        self.request_permit();
         self.send_orders();
     }
 }
@@ -58,8 +58,8 @@
     ) -> PermitAnswer {
         let now = self.context.now();
         if self.steward.leads(now) {
-            self.seen.note(now, report.vm.clone(), versions);
-            self.feed.take(now, &report);
+            self.reports.record(now, report.vm.clone(), versions);
+            self.feed.record_report(now, &report);
         }
         let answer = self.steward.permit(now, report);
         if let PermitAnswer::NotSteward { steward: None } = &answer {
@@ -81,7 +81,7 @@
         if let StewardEvent::RosterRead(Some(roster))
         | StewardEvent::RosterSaved(Ok(roster)) = &event
         {
-            self.search.take_roster(roster);
+            self.search.set_voters(roster);
         }
         self.steward_event(event);
     }
@@ -93,14 +93,14 @@
     async fn handle(&mut self, message: PermitNotice, _: &mut Context<Self>) {
         let PermitNotice { sent, answer } = message;
         self.context.faults.wait().await;
-        self.asking = false;
-        self.search.learn(answer.as_ref());
+        self.permit_in_flight = false;
+        self.search.record_answer(answer.as_ref());
         let Some(answer) = answer else {
             return;
         };
         let now = self.context.now();
         if matches!(answer, PermitAnswer::NotSteward { .. }) {
-            self.ask_at = now + self.timing.renew_interval.percent(25);
+            self.permit_due_at = now + self.timing.renew_interval.percent(25);
         }
         self.keeper.permitted(now, sent, answer);
         self.send_orders();
@@ -132,7 +132,7 @@
         ConfigNotice(state): ConfigNotice,
         _: &mut Context<Self>,
     ) {
-        self.take_config(&state);
+        self.apply_config(&state);
     }
 }
 
@@ -144,7 +144,7 @@
         HomesNotice(homes): HomesNotice,
         _: &mut Context<Self>,
     ) {
-        if self.hub.take_homes(homes) {
+        if self.hub.apply_homes(homes) {
             self.refresh_plan();
         }
     }
@@ -159,7 +159,7 @@
         _: &mut Context<Self>,
     ) {
         if let Some(roster) = &roster {
-            self.search.take_roster(roster);
+            self.search.set_voters(roster);
         }
         self.steward_event(StewardEvent::RosterRead(roster));
     }
@@ -173,7 +173,7 @@
         TableNotice(table): TableNotice,
         _: &mut Context<Self>,
     ) {
-        self.hub.take_table(&table);
+        self.hub.apply_table(&table);
     }
 }
 
@@ -186,7 +186,7 @@
         _: &mut Context<Self>,
     ) {
         self.context.vms.store(Arc::new(vms.clone()));
-        self.seen.keep_listed(&vms);
+        self.reports.retain_listed(&vms);
         let domain = self.context.domain();
         let voters = reader::domain_voters(&vms, domain);
         self.steward_event(StewardEvent::VmsRead(voters));
@@ -214,7 +214,7 @@
             tables: set.domains.clone(),
             keeps: keeps.map(|(s, p)| (s.clone(), p.until)).collect(),
             versions: self.versions(),
-            seen: self.seen.list(),
+            seen: self.reports.list(),
             heard: self.hub.heard(),
             homes: set.homes.values().cloned().collect(),
         }
@@ -242,19 +242,21 @@
 }
 
 impl Handler<StewardAsk> for ControlActor {
-    type Return = StewardPlace;
+    type Return = StewardLocation;
 
     async fn handle(
         &mut self,
         _: StewardAsk,
         _: &mut Context<Self>,
-    ) -> StewardPlace {
+    ) -> StewardLocation {
         if self.steward.leads(self.context.now()) {
-            return StewardPlace::Here;
+            return StewardLocation::Local;
         }
         match self.search.known() {
-            Some((vm, at)) => StewardPlace::There(vm.clone(), Arc::clone(at)),
-            None => StewardPlace::Unknown,
+            Some((vm, at)) => {
+                StewardLocation::Remote(vm.clone(), Arc::clone(at))
+            }
+            None => StewardLocation::Unknown,
         }
     }
 }
--- a/goldcrestramp-node/src/control/links.rs
+++ b/goldcrestramp-node/src/control/links.rs
@@ -1,4 +1,4 @@
-//! Control messages to peers.
+//! Sends control messages to peers.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,13 +10,13 @@
 
 use crate::{context::NodeContext, convert, peers::PeerChannels};
 
-/// A peer that has not answered for so long is asked again.
+/// How long to wait for a peer's reply before it is asked again.
 ///
-/// Below the lease's renewal interval plus one round trip between regions,
-/// so that a lost message costs one renewal and no more.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
+/// It is shorter than the lease's renewal interval plus one round trip
+/// between regions, so that a lost message costs only one renewal.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Sends control messages to peers; cheap to clone.
+/// Sends control messages to peers. Cheap to clone.
 #[derive(Clone, Debug)]
 pub(crate) struct ControlLinks {
     context: Arc<NodeContext>,
@@ -29,7 +29,8 @@
         Self { context, channels }
     }
 
-    /// Asks the voter at `address`; `None`: it did not answer.
+    /// Asks the voter at `address` to confirm. Returns `None` if it did not
+    /// reply.
     pub(crate) async fn confirm(
         &self,
         address: &Arc<str>,
@@ -40,15 +41,15 @@
         let message = convert::ask_out(ask);
         self.count("confirm", &message);
         let mut request = Request::new(message);
-        request.set_timeout(ANSWER_TIMEOUT);
+        request.set_timeout(REPLY_TIMEOUT);
         let call = client.confirm(request);
-        let reply = self.answered(address, call).await?;
+        let reply = self.await_reply(address, call).await?;
         self.count("confirm-answer", &reply);
         Some(convert::confirm_in(&reply))
     }
 
-    /// Asks the steward at `address` what it knows, as JSON; `None`: it did
-    /// not answer, or is no steward.
+    /// Reads the view of the steward at `address`, as JSON. Returns `None`
+    /// if the peer did not reply or is not the steward.
     pub(crate) async fn view(&self, address: &Arc<str>) -> Option<Bytes> {
         let mut client = self.stream(address).await?;
         let message = ViewRequest {
@@ -56,26 +57,26 @@
             domain: self.context.domain().to_string(),
         };
         let call = client.view(message);
-        let view = self.answered(address, call).await?.view;
+        let view = self.await_reply(address, call).await?.view;
         (!view.is_empty()).then_some(view)
     }
 
-    /// A channel for a stream.
+    /// A client whose message limit allows a stream of tables.
     pub(crate) async fn stream(
         &self,
         address: &Arc<str>,
     ) -> Option<ControlClient<tonic::transport::Channel>> {
         let channel = self.channels.open(address).await.ok()?;
         let client = ControlClient::new(channel);
-        Some(client.max_decoding_message_size(MESSAGE_LIMIT))
+        Some(client.max_decoding_message_size(MAX_MESSAGE_BYTES))
     }
 
-    /// Drops the connection to a peer that failed.
-    pub(crate) fn forget(&self, address: &Arc<str>) {
+    /// Closes the connection to a peer that failed.
+    pub(crate) fn disconnect(&self, address: &Arc<str>) {
         self.channels.forget(address);
     }
 
-    /// Whether a test has cut this VM off from a peer.
+    /// Whether a test has cut the connection from this VM to a peer.
     pub(crate) fn is_cut(&self, address: &str) -> bool {
         self.context.faults.is_cut(address)
     }
@@ -85,12 +86,12 @@
         self.context.metrics.count_control(kind, bytes);
     }
 
-    async fn answered<T>(
+    async fn await_reply<T>(
         &self,
         address: &Arc<str>,
         call: impl Future<Output = Result<tonic::Response<T>, tonic::Status>>,
     ) -> Option<T> {
-        match tokio::time::timeout(ANSWER_TIMEOUT, call).await {
+        match tokio::time::timeout(REPLY_TIMEOUT, call).await {
             Ok(Ok(response)) => Some(response.into_inner()),
             Ok(Err(_status)) => {
                 self.channels.forget(address);
@@ -101,6 +102,6 @@
     }
 }
 
-/// The largest control message: a table of 65,536 slices, each a run of its
-/// own, is below 1 MiB a service.
-pub(crate) const MESSAGE_LIMIT: usize = 16 * 1_048_576;
+/// The largest control message. A table of 65,536 slices, each a separate
+/// run, takes less than 1 MiB for each service.
+pub(crate) const MAX_MESSAGE_BYTES: usize = 16 * 1_048_576;
--- a/goldcrestramp-node/src/control/messages.rs
+++ b/goldcrestramp-node/src/control/messages.rs
@@ -1,4 +1,4 @@
-//! What is sent to the control actor.
+//! The messages that the control actor handles.
 
 use std::sync::Arc;
 
@@ -12,33 +12,34 @@
 
 use crate::control::seen::VmVersions;
 
-/// Time has passed.
+/// Makes the actor run everything that is due.
 #[derive(Debug)]
 pub(crate) struct TickNotice;
 
-/// A steward asks this VM's voter.
+/// A steward asks this VM's voter to confirm its term.
 #[derive(Debug)]
 pub(crate) struct VoteAsk(pub(crate) ConfirmAsk);
 
-/// A keeper asks this VM's steward, and tells what it has in force.
+/// A keeper asks this VM's steward for a permit and reports the versions
+/// that it has in force.
 #[derive(Debug)]
 pub(crate) struct PermitAsk {
     pub(crate) report: KeeperReport,
     pub(crate) versions: VmVersions,
 }
 
-/// Something for the steward.
+/// An event for this VM's steward.
 #[derive(Debug)]
 pub(crate) struct StewardNotice(pub(crate) StewardEvent);
 
-/// The steward answered this VM's keeper, or nobody did.
+/// A steward answered this VM's keeper, or the call failed.
 #[derive(Debug)]
 pub(crate) struct PermitNotice {
     pub(crate) sent: LocalTime,
     pub(crate) answer: Option<PermitAnswer>,
 }
 
-/// A server replied to an order, or did not.
+/// A server replied to an order, or the order timed out or failed.
 #[derive(Debug)]
 pub(crate) struct GrantNotice {
     pub(crate) server: ServerName,
@@ -46,49 +47,51 @@
     pub(crate) reply: Option<GrantReply>,
 }
 
-/// The store's configuration was read, or a steward passed it on.
+/// The configuration was read from the store or received from a steward.
 #[derive(Debug)]
 pub(crate) struct ConfigNotice(pub(crate) Arc<DeploymentState>);
 
-/// A service's division among failure domains was read or passed on.
+/// The record that assigns a service's slices to failure domains was read
+/// or received.
 #[derive(Debug)]
 pub(crate) struct HomesNotice(pub(crate) Arc<ServiceRecord>);
 
-/// The roster was read from the store.
+/// The roster was read from the store, which may have none.
 #[derive(Debug)]
 pub(crate) struct RosterNotice(pub(crate) Option<VoterRoster>);
 
-/// A failure domain's table came from a peer.
+/// A failure domain's table was received from a peer.
 #[derive(Debug)]
 pub(crate) struct TableNotice(pub(crate) Arc<DomainTable>);
 
-/// VMs of the deployment: name, domain and control listener.
+/// The VMs of the deployment, with name, domain and control listener.
 #[derive(Debug)]
 pub(crate) struct VmsNotice(pub(crate) Vec<goldcrestramp_platform::VmEntry>);
 
-/// Asks for what operators are shown.
+/// Asks for the control state that operators are shown.
 #[derive(Debug)]
 pub(crate) struct StatusAsk;
 
-/// Asks whether this VM keeps no server any more.
+/// Asks whether this VM's keeper has no servers.
 #[derive(Debug)]
 pub(crate) struct DrainedAsk;
 
-/// Asks whether the others have a majority once this VM is gone.
+/// Asks whether the other voters still have a majority after this VM has
+/// stopped.
 #[derive(Debug)]
 pub(crate) struct DispensableAsk;
 
-/// Asks where to find the steward.
+/// Asks which VM is the steward.
 #[derive(Debug)]
 pub(crate) struct StewardAsk;
 
-/// Who is steward, as far as this VM knows.
+/// The VM that is the steward, as far as this VM knows.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(crate) enum StewardPlace {
+pub(crate) enum StewardLocation {
     /// This VM.
-    Here,
+    Local,
     /// Another VM, at this control listener.
-    There(VmName, Arc<str>),
-    /// Nobody known.
+    Remote(VmName, Arc<str>),
+    /// No steward is known.
     Unknown,
 }
--- a/goldcrestramp-node/src/control/mod.rs
+++ b/goldcrestramp-node/src/control/mod.rs
@@ -1,4 +1,5 @@
-//! The control thread: steward, grants, voter, and their messages.
+//! The control thread: runs the steward, the keeper and the voter of a VM
+//! and exchanges their messages.
 
 mod actor;
 mod churn;
--- a/goldcrestramp-node/src/control/permit_stream.rs
+++ b/goldcrestramp-node/src/control/permit_stream.rs
@@ -1,4 +1,4 @@
-//! The keeper's end of its stream to the steward.
+//! The keeper's side of its permit stream to the steward.
 
 use std::{sync::Arc, time::Duration};
 
@@ -23,48 +23,50 @@
     convert,
 };
 
-/// A steward that has not answered for so long is looked for elsewhere.
+/// How long the keeper waits for a reply before it tries another VM.
 ///
-/// Longer than a round trip between regions and a tick, and a quarter of
-/// the lease, so that another VM can be asked in time.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
-/// Questions that wait for the stream; the keeper asks one at a time.
-const QUESTION_QUEUE: usize = 2;
+/// It is longer than a round trip between regions plus a tick, and a quarter
+/// of the lease, so that another VM can be asked in time.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(400);
+/// The capacity of the queue of calls. The keeper has one call in flight.
+const CALL_QUEUE: usize = 2;
 
-/// A keeper's question, and where it goes.
+/// A keeper's report to a steward, which asks for a permit.
 #[derive(Debug)]
-pub(crate) struct PermitQuestion {
-    /// When it was asked: the permit counts from here.
+pub(crate) struct PermitCall {
+    /// When the call was made. The permit's duration starts here.
     pub(crate) sent: LocalTime,
-    /// The control listener to ask.
+    /// The address of the steward's control listener.
     pub(crate) address: Arc<str>,
-    /// The whole report.
+    /// The full report.
     pub(crate) message: PermitRequest,
 }
 
-/// Asks one steward after another; a task of its own holds the stream.
+/// Sends calls to stewards, one after another. A separate task owns the
+/// stream.
 #[derive(Debug, Default)]
 pub(crate) struct PermitStream {
-    questions: Option<mpsc::Sender<PermitQuestion>>,
+    calls: Option<mpsc::Sender<PermitCall>>,
 }
 
 impl PermitStream {
-    /// Asks; the answer, or its lack, comes to the actor as a notice.
-    pub(crate) fn ask(
+    /// Sends a call. The actor receives a [`PermitNotice`] with the answer,
+    /// or with none after a failure.
+    pub(crate) fn send(
         &mut self,
         links: &ControlLinks,
         actor: Address<ControlActor>,
-        question: PermitQuestion,
+        call: PermitCall,
     ) {
-        let sender = self.questions.get_or_insert_with(|| {
-            let (sender, questions) = mpsc::channel(QUESTION_QUEUE);
-            tokio::spawn(run(links.clone(), actor.clone(), questions));
+        let sender = self.calls.get_or_insert_with(|| {
+            let (sender, calls) = mpsc::channel(CALL_QUEUE);
+            tokio::spawn(run(links.clone(), actor.clone(), calls));
             sender
         });
-        let Err(full) = sender.try_send(question) else {
+        let Err(full) = sender.try_send(call) else {
             return;
         };
-        // The task is behind: the question counts as not answered.
+        // The queue is full: the call counts as unanswered.
         let sent = full.into_inner().sent;
         tokio::spawn(async move {
             let notice = PermitNotice { sent, answer: None };
@@ -85,45 +87,46 @@
 async fn run(
     links: ControlLinks,
     actor: Address<ControlActor>,
-    mut questions: mpsc::Receiver<PermitQuestion>,
+    mut calls: mpsc::Receiver<PermitCall>,
 ) {
     let mut stream: Option<OpenStream> = None;
-    while let Some(question) = questions.recv().await {
-        let sent = question.sent;
-        let end = Instant::now() + ANSWER_TIMEOUT;
-        let kept = stream.take().filter(|s| s.address == question.address);
-        let asked = timeout_at(end, exchange(&links, kept, question));
-        let answer = asked.await.ok().flatten();
-        let (kept, answer) = answer.unzip();
-        stream = kept;
+    while let Some(call) = calls.recv().await {
+        let sent = call.sent;
+        let deadline = Instant::now() + REPLY_TIMEOUT;
+        let reusable = stream.take().filter(|s| s.address == call.address);
+        let reply = timeout_at(deadline, exchange(&links, reusable, call));
+        let answer = reply.await.ok().flatten();
+        let (reusable, answer) = answer.unzip();
+        stream = reusable;
         if actor.send(PermitNotice { sent, answer }).await.is_err() {
             return;
         }
     }
 }
 
-/// One question and its answer; `None`: the stream is of no use any more.
+/// Sends one call and waits for its answer. Returns `None` if the stream
+/// cannot be used any longer.
 async fn exchange(
     links: &ControlLinks,
     stream: Option<OpenStream>,
-    question: PermitQuestion,
+    call: PermitCall,
 ) -> Option<(OpenStream, PermitAnswer)> {
     let mut stream = match stream {
         Some(stream) if !links.is_cut(&stream.address) => stream,
-        _ => open(links, question.address).await?,
+        _ => open(links, call.address).await?,
     };
-    let delta = stream.encoder.request(question.message);
+    let delta = stream.encoder.request(call.message);
     let sequence = delta.sequence;
     links.count("permit", &delta);
     stream.requests.send(delta).await.ok()?;
     let reply = stream.replies.message().await.ok().flatten();
     let Some(reply) = reply else {
-        links.forget(&stream.address);
+        links.disconnect(&stream.address);
         return None;
     };
     links.count("permit-answer", &reply);
     let reply = stream.decoder.reply(reply)?;
-    // An answer to another question would count from the wrong moment.
+    // The permit of another call would start at the wrong time.
     if reply.permitted && reply.sequence != sequence {
         return None;
     }
@@ -133,10 +136,10 @@
 
 async fn open(links: &ControlLinks, address: Arc<str>) -> Option<OpenStream> {
     let mut client = links.stream(&address).await?;
-    let (requests, receiver) = mpsc::channel(QUESTION_QUEUE);
-    let call = client.permits(ReceiverStream::new(receiver)).await;
-    let Ok(response) = call else {
-        links.forget(&address);
+    let (requests, receiver) = mpsc::channel(CALL_QUEUE);
+    let opened = client.permits(ReceiverStream::new(receiver)).await;
+    let Ok(response) = opened else {
+        links.disconnect(&address);
         return None;
     };
     Some(OpenStream {
--- a/goldcrestramp-node/src/control/reader.rs
+++ b/goldcrestramp-node/src/control/reader.rs
@@ -1,4 +1,5 @@
-//! What is read from the store and the VM list, and written there.
+//! Reads the configuration, the roster and the VM list from the platform,
+//! and restores an outdated configuration there.
 
 use std::{sync::Arc, time::Duration};
 
@@ -19,32 +20,34 @@
     control::{
         actor::ControlActor,
         messages::{
-            ConfigNotice, HomesNotice, RosterNotice, StewardAsk, StewardPlace,
-            VmsNotice,
+            ConfigNotice, HomesNotice, RosterNotice, StewardAsk,
+            StewardLocation, VmsNotice,
         },
         tables::TableHub,
     },
     operators::restore_config,
-    store::{StorePause, read_division, read_roster},
+    store::{StoreBackoff, read_division, read_roster},
 };
 
-/// How long one watch waits; each is one call for the service to count.
-const WATCH_SPAN: TimeSpan = TimeSpan::from_millis(10_000);
-/// How long a VM looks for a steward before it reads the roster again.
+/// How long one watch waits. Each watch is one call, and the key-value
+/// service limits the calls.
+const WATCH_TIMEOUT: TimeSpan = TimeSpan::from_millis(10_000);
+/// How long a VM searches for a steward before it reads the roster again.
 ///
-/// Longer than an election, after which every voter names the new one.
-const ROSTER_EVERY: Duration = Duration::from_secs(2);
+/// It is longer than an election, after which every voter knows the new
+/// steward.
+const ROSTER_INTERVAL: Duration = Duration::from_secs(2);
 /// How often the steward reads the VM list.
-const VMS_EVERY: Duration = Duration::from_secs(1);
+const VMS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The VMs of a domain as candidates for its roster.
+/// The live VMs of a domain, as candidates for its roster.
 pub(crate) fn domain_voters(
     vms: &[VmEntry],
     domain: &DomainName,
 ) -> Vec<RosterVoter> {
-    let mine = vms.iter().filter(|vm| vm.domain == *domain);
+    let own = vms.iter().filter(|vm| vm.domain == *domain);
     let live =
-        mine.filter(|vm| vm.state == goldcrestramp_platform::VmState::Live);
+        own.filter(|vm| vm.state == goldcrestramp_platform::VmState::Live);
     let voters = live.map(|vm| RosterVoter {
         vm: vm.name.clone(),
         address: Arc::from(vm.address.as_str()),
@@ -52,48 +55,50 @@
     voters.collect()
 }
 
-/// Reads what a VM needs to start, until it has a plan.
+/// Reads what a VM needs to start, and retries until it has a plan.
 ///
-/// Without one it never leads, and only who leads reads the store again:
-/// a VM that starts before the first ticket, or before the planner has
-/// noted the ticket that brought its lost domain back, would wait for ever.
+/// A VM without a plan never becomes the steward, and only the steward reads
+/// the store again. Without retries, a VM would wait forever if it starts
+/// before the first ticket, or before the planner has recorded the ticket
+/// that brought its lost domain back.
 pub(crate) async fn read_at_start(
     store: PlatformClient,
     domain: DomainName,
     actor: Address<ControlActor>,
 ) {
-    let mut pause = StorePause::new();
+    let mut backoff = StoreBackoff::new();
     loop {
         let read = read_all(&store, &domain, &actor).await;
         match read {
             Ok(true) => return,
             Ok(false) => log::info!("store: there is no plan yet."),
             Err(error) => {
-                log::warn!("store: cannot be read at start: {error}.");
+                log::warn!("store: the read at start failed: {error}.");
             }
         }
-        pause.wait().await;
+        backoff.wait().await;
     }
 }
 
 /// Reads the roster again while this VM knows no steward.
 ///
-/// A steward asks its voters alone. Of a domain that starts as a whole, the
-/// VMs that are no voters find no roster at first; those that run for long
-/// know one whose voters have all been replaced. Either would never learn
-/// who leads, and would keep no server and get no table for ever.
-pub(crate) async fn read_roster_again(
+/// A steward contacts only its voters, so that the other VMs have to find it.
+/// When all VMs of a domain start together, those that are no voters find no
+/// roster at first. A VM that has run for a long time may know a roster whose
+/// voters have all been replaced. Without this, either would never find the
+/// steward, keep no server and receive no table.
+pub(crate) async fn poll_roster(
     store: PlatformClient,
     domain: DomainName,
     actor: Address<ControlActor>,
 ) {
-    let mut pause = StorePause::new();
+    let mut backoff = StoreBackoff::new();
     loop {
-        tokio::time::sleep(ROSTER_EVERY).await;
+        tokio::time::sleep(ROSTER_INTERVAL).await;
         match actor.send(StewardAsk).await {
-            Ok(StewardPlace::Unknown) => {}
+            Ok(StewardLocation::Unknown) => {}
             Ok(_known) => {
-                pause.reset();
+                backoff.reset();
                 continue;
             }
             Err(_ended) => return,
@@ -102,7 +107,7 @@
         if let Some(StewardEvent::RosterRead(roster)) = read {
             drop(actor.send(RosterNotice(roster)).await);
         }
-        pause.wait().await;
+        backoff.wait().await;
     }
 }
 
@@ -121,64 +126,65 @@
     let Some(stored) = store.get(keys::CONFIG).await? else {
         return Ok(false);
     };
-    let taken = take_config(store, None, &stored.value, actor).await?;
-    Ok(domain_plan(&taken.state, domain, &taken.records).is_some())
+    let applied = apply_config(store, None, &stored.value, actor).await?;
+    Ok(domain_plan(&applied.state, domain, &applied.records).is_some())
 }
 
-/// While this VM leads, watches the configuration for its domain.
+/// Watches the configuration for its domain while this VM is the steward.
 pub(crate) async fn watch_config(
     store: PlatformClient,
     hub: Arc<TableHub>,
     mut leading: watch::Receiver<bool>,
     actor: Address<ControlActor>,
 ) {
-    let mut pause = StorePause::new();
+    let mut backoff = StoreBackoff::new();
     let mut seen = 0;
     while wait_leading(&mut leading).await {
-        match store.watch(keys::CONFIG, seen, WATCH_SPAN).await {
+        match store.watch(keys::CONFIG, seen, WATCH_TIMEOUT).await {
             Ok(Some(stored)) => {
                 seen = stored.version;
-                pause.reset();
-                let taken = take_newer(&store, &hub, &stored.value, &actor);
-                if taken.await.is_err() {
+                backoff.reset();
+                let applied =
+                    apply_or_restore(&store, &hub, &stored.value, &actor);
+                if applied.await.is_err() {
                     seen = 0;
-                    pause.wait().await;
+                    backoff.wait().await;
                 }
             }
-            Ok(None) => pause.reset(),
+            Ok(None) => backoff.reset(),
             Err(error) => {
-                log::warn!("store: configuration not read: {error}.");
-                pause.wait().await;
+                log::warn!("store: cannot watch the configuration: {error}.");
+                backoff.wait().await;
             }
         }
     }
 }
 
-/// Takes a configuration, or writes back what the store has lost.
+/// Applies a configuration, or writes back the tickets that the store lost.
 ///
-/// A store that came back with older data would otherwise hand old rules to
-/// every VM that starts, while the others follow the newer ones. Versions
-/// alone do not tell: tickets accepted since may have brought the store to
-/// the same version or a higher one, without those that it lost.
-async fn take_newer(
+/// A store that was restored from older data would otherwise give old rules
+/// to every VM that starts, while the others follow the newer ones. Versions
+/// alone do not show this: tickets accepted since may have brought the store
+/// to the same or a higher version, without the lost tickets.
+async fn apply_or_restore(
     store: &PlatformClient,
     hub: &TableHub,
     value: &Bytes,
     actor: &Address<ControlActor>,
 ) -> Result<(), StoreError> {
-    let held = hub.set().config.clone();
+    let known = hub.set().config.clone();
     let read = decode::<DeploymentState>(value)?;
-    let lost = held.filter(|held| merge_states(held, &read) != read);
-    if let Some(held) = lost {
-        log::warn!("store: it came back with an older configuration.");
-        let joined = restore_config(store, &held).await?;
-        drop(actor.send(ConfigNotice(Arc::new(joined))).await);
+    let lost = known.filter(|known| merge_states(known, &read) != read);
+    if let Some(known) = lost {
+        log::warn!("store: it has lost tickets; writing them back.");
+        let merged = restore_config(store, &known).await?;
+        drop(actor.send(ConfigNotice(Arc::new(merged))).await);
         return Ok(());
     }
-    take_config(store, Some(hub), value, actor).await.map(drop)
+    apply_config(store, Some(hub), value, actor).await.map(drop)
 }
 
-/// While this VM leads, reads the VM list for its domain.
+/// Reads the VM list at intervals while this VM is the steward.
 pub(crate) async fn watch_vms(
     store: PlatformClient,
     mut leading: watch::Receiver<bool>,
@@ -188,11 +194,12 @@
         if let Ok(vms) = store.vms().await {
             drop(actor.send(VmsNotice(vms)).await);
         }
-        tokio::time::sleep(VMS_EVERY).await;
+        tokio::time::sleep(VMS_INTERVAL).await;
     }
 }
 
-/// Waits until this VM leads; `false`: the daemon ends.
+/// Waits until this VM is the steward. Returns `false` if the daemon is
+/// stopping.
 async fn wait_leading(leading: &mut watch::Receiver<bool>) -> bool {
     loop {
         if *leading.borrow_and_update() {
@@ -204,22 +211,23 @@
     }
 }
 
-/// A configuration with the divisions of its services.
-struct TakenConfig {
+/// A configuration, and the records of its services that were read with it.
+struct AppliedConfig {
     state: Arc<DeploymentState>,
     records: Vec<Arc<ServiceRecord>>,
 }
 
-/// Takes a configuration with the divisions of its services.
+/// Applies a configuration and the records of its services.
 ///
-/// Those that `hub` has are watched already: reading them again with each
-/// ticket would cost the store a read for each service and domain.
-async fn take_config(
+/// Records that `hub` has are skipped, since they are watched. Reading them
+/// again with each ticket would cost the store a read for each service and
+/// domain.
+async fn apply_config(
     store: &PlatformClient,
     hub: Option<&TableHub>,
     value: &Bytes,
     actor: &Address<ControlActor>,
-) -> Result<TakenConfig, StoreError> {
+) -> Result<AppliedConfig, StoreError> {
     let state = Arc::new(decode::<DeploymentState>(value)?);
     let mut records = Vec::new();
     let known = hub.map(|hub| hub.set().homes.clone()).unwrap_or_default();
@@ -235,10 +243,10 @@
         }
     }
     drop(actor.send(ConfigNotice(Arc::clone(&state))).await);
-    Ok(TakenConfig { state, records })
+    Ok(AppliedConfig { state, records })
 }
 
-/// A value that nobody can read is an error, never "no value".
+/// Decodes a value. A malformed value is an error, never "no value".
 fn decode<R: StoreRecord>(value: &Bytes) -> Result<R, StoreError> {
     R::decode(value).map_err(|error| StoreError::Refused(error.to_string()))
 }
--- a/goldcrestramp-node/src/control/seen.rs
+++ b/goldcrestramp-node/src/control/seen.rs
@@ -1,35 +1,35 @@
-//! What a VM hears of others: versions, and when.
+//! The versions that other VMs reported, and when they reported them.
 
 use goldcrestramp_platform::VmEntry;
 use goldcrestramp_types::{FastMap, LocalTime, TableVersion, VmName};
 
-/// What a VM has in force.
+/// The versions that a VM has in force.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct VmVersions {
-    /// The configuration's version; 0: none.
+    /// The configuration's version, or 0 if there is none.
     pub config: u64,
     /// The version of its own failure domain's table.
     pub table: Option<TableVersion>,
 }
 
-/// What a VM of the failure domain last reported.
+/// The last report of a VM of the failure domain.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct SeenVm {
-    /// What it had in force.
+    /// The versions that it had in force.
     pub versions: VmVersions,
-    /// When the report came.
+    /// When the report arrived, in the steward's clock.
     pub heard: LocalTime,
 }
 
-/// What a steward has heard of the VMs of its failure domain.
+/// The last reports of the VMs of a steward's failure domain.
 #[derive(Debug, Default)]
-pub(crate) struct SeenBook {
+pub(crate) struct ReportTable {
     vms: FastMap<VmName, SeenVm>,
 }
 
-impl SeenBook {
-    /// Notes a VM's report.
-    pub(crate) fn note(
+impl ReportTable {
+    /// Records a VM's report.
+    pub(crate) fn record(
         &mut self,
         now: LocalTime,
         vm: VmName,
@@ -38,18 +38,18 @@
         self.vms.insert(vm, SeenVm { versions, heard: now });
     }
 
-    /// Forgets VMs that the platform lists no more: a hundred are replaced
-    /// in a day, and the book would grow for as long as this VM runs.
-    pub(crate) fn keep_listed(&mut self, vms: &[VmEntry]) {
+    /// Removes VMs that the platform no longer lists. A hundred are replaced
+    /// in a day, and the table would grow for as long as this VM runs.
+    pub(crate) fn retain_listed(&mut self, vms: &[VmEntry]) {
         self.vms.retain(|vm, _| vms.iter().any(|entry| entry.name == *vm));
     }
 
-    /// Forgets everything: this VM does not lead.
+    /// Removes every report, because this VM is not the steward.
     pub(crate) fn clear(&mut self) {
         self.vms.clear();
     }
 
-    /// Every VM, by name.
+    /// Every VM with its last report, sorted by name.
     pub(crate) fn list(&self) -> Vec<(VmName, SeenVm)> {
         let vms = self.vms.iter();
         let mut vms: Vec<_> =
--- a/goldcrestramp-node/src/control/service.rs
+++ b/goldcrestramp-node/src/control/service.rs
@@ -1,4 +1,4 @@
-//! The control listener: peers' control messages into the actor.
+//! The control listener, which passes peers' control messages to the actor.
 
 use std::{pin::Pin, sync::Arc};
 
@@ -30,8 +30,10 @@
     peer_tls::ProvenPeer,
 };
 
-/// Updates that wait for a slow subscriber; the newest set is read when
-/// there is room, so a slow one skips versions and holds no memory.
+/// The capacity of a subscriber's queue of updates.
+///
+/// The newest set is read once there is room, so that a slow subscriber skips
+/// versions and uses no more memory.
 const STREAM_QUEUE: usize = 4;
 
 /// The gRPC service of the control thread.
@@ -49,8 +51,10 @@
     }
 }
 
-/// A peer that counts this VM to another failure domain must not vote or be
-/// permitted here: two domains would share one steward.
+/// Rejects a request that names another failure domain.
+///
+/// If a peer of another domain got a vote or a permit here, two domains would
+/// share one steward.
 fn check_domain(context: &NodeContext, domain: &str) -> Result<(), Status> {
     if domain == context.domain().as_str() {
         return Ok(());
@@ -71,7 +75,7 @@
         peer.check(&request.domain, &request.vm)?;
         check_domain(&self.context, &request.domain)?;
         let ask = convert::ask_in(request).map_err(bad_message)?;
-        let answer = self.actor.send(VoteAsk(ask)).await.map_err(ended)?;
+        let answer = self.actor.send(VoteAsk(ask)).await.map_err(stopping)?;
         let reply = convert::confirm_out(answer);
         self.count("confirm-answer", &reply);
         Ok(Response::new(reply))
@@ -90,7 +94,7 @@
         let actor = self.actor.clone();
         let service = PermitService { context, actor, peer };
         let requests = request.into_inner();
-        tokio::spawn(answer_permits(service, requests, sender));
+        tokio::spawn(serve_permits(service, requests, sender));
         Ok(Response::new(Box::pin(ReceiverStream::new(receiver))))
     }
 
@@ -103,7 +107,7 @@
         let request = request.into_inner();
         peer.check(&request.domain, &request.vm)?;
         check_domain(&self.context, &request.domain)?;
-        let status = self.actor.send(StatusAsk).await.map_err(ended)?;
+        let status = self.actor.send(StatusAsk).await.map_err(stopping)?;
         let now = self.context.now();
         let view = steward_view(self.context.vm(), &status, now);
         let view = view.and_then(|view| serde_json::to_vec(&view).ok());
@@ -137,8 +141,8 @@
     }
 }
 
-/// Answers a keeper's reports until it is gone or sends nonsense.
-async fn answer_permits(
+/// Answers a keeper's reports until it disconnects or a report is invalid.
+async fn serve_permits(
     service: PermitService,
     mut requests: Streaming<PermitRequest>,
     sender: mpsc::Sender<Result<PermitReply, Status>>,
@@ -153,7 +157,7 @@
             return;
         };
         let answer = service.permit(&request).await;
-        let reply = answer.map(|whole| replies.reply(whole));
+        let reply = answer.map(|reply| replies.reply(reply));
         let failed = reply.is_err();
         if let Ok(reply) = &reply {
             let bytes = reply.encoded_len();
@@ -165,7 +169,7 @@
     }
 }
 
-/// Answers the reports of one keeper.
+/// Passes the reports of one keeper to the actor.
 struct PermitService {
     context: Arc<NodeContext>,
     actor: Address<ControlActor>,
@@ -182,11 +186,11 @@
         let report = convert::report_in(request).map_err(bad_message)?;
         let versions = convert::versions_in(request);
         let answer = self.actor.send(PermitAsk { report, versions }).await;
-        Ok(convert::permit_out(&answer.map_err(ended)?))
+        Ok(convert::permit_out(&answer.map_err(stopping)?))
     }
 }
 
-/// Sends every change until the subscriber is gone.
+/// Sends every change until the subscriber disconnects.
 async fn stream_tables(
     context: Arc<NodeContext>,
     mut tables: watch::Receiver<Arc<TableSet>>,
@@ -219,6 +223,6 @@
     Status::invalid_argument("malformed message")
 }
 
-fn ended(_error: xtra::Error) -> Status {
-    Status::unavailable("the daemon is ending")
+fn stopping(_error: xtra::Error) -> Status {
+    Status::unavailable("the daemon is stopping")
 }
--- a/goldcrestramp-node/src/control/status.rs
+++ b/goldcrestramp-node/src/control/status.rs
@@ -1,4 +1,4 @@
-//! What operators are shown of a VM's control state.
+//! The control state of a VM that operators are shown.
 
 use std::sync::Arc;
 
@@ -13,24 +13,25 @@
 /// A VM's control state at one moment.
 #[derive(Clone, Debug)]
 pub struct ControlStatus {
-    /// When it was taken, in the clock of the VM.
+    /// When the state was read, in the VM's clock.
     pub taken: LocalTime,
-    /// The steward's part.
+    /// The state of this VM's steward machine.
     pub steward: StewardStatus,
-    /// Who is steward as far as this VM knows: VM and control listener.
+    /// The steward and its control listener, as far as this VM knows.
     pub steward_seen: Option<(String, Arc<str>)>,
-    /// The configuration in force here.
+    /// The configuration in force on this VM.
     pub config: Option<Arc<DeploymentState>>,
-    /// The newest table of each failure domain.
+    /// The newest known table of each failure domain.
     pub tables: FastMap<DomainName, Arc<DomainTable>>,
-    /// The servers that this VM keeps, and until when.
+    /// The servers that this VM keeps, and when its permit for each expires.
     pub keeps: Vec<(ServerName, LocalTime)>,
-    /// What this VM has in force.
+    /// The versions that this VM has in force.
     pub versions: VmVersions,
-    /// The other VMs of the failure domain, by name; known to its steward.
+    /// The other VMs of the failure domain, sorted by name. Only the steward
+    /// knows them.
     pub seen: Vec<(VmName, SeenVm)>,
-    /// When the VM that each domain's table comes from was last heard.
+    /// When the VM that sends each domain's table was last heard.
     pub heard: FastMap<DomainName, LocalTime>,
-    /// How each service is divided among failure domains.
+    /// The records that assign each service's slices to failure domains.
     pub homes: Vec<Arc<ServiceRecord>>,
 }
--- a/goldcrestramp-node/src/control/tables.rs
+++ b/goldcrestramp-node/src/control/tables.rs
@@ -1,4 +1,5 @@
-//! What this VM knows of every failure domain, and who is told.
+//! The newest tables, configuration and service records that a VM knows,
+//! and the updates for its subscribers.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -13,62 +14,63 @@
 
 use crate::{context::NodeContext, convert, routing::RoutingTable};
 
-/// Changes of the configuration that are kept for those who are behind.
+/// The number of configuration changes kept for subscribers that lag.
 ///
-/// A subscriber takes them in milliseconds; one that is further behind
-/// gets the whole state.
-const CHANGES_KEPT: usize = 16;
+/// A subscriber applies them within milliseconds. One that lags further
+/// receives the full configuration.
+const MAX_CHANGES: usize = 16;
 
-/// Everything that streams from VM to VM.
+/// Everything that VMs stream to each other.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TableSet {
     pub(crate) domains: FastMap<DomainName, Arc<DomainTable>>,
-    /// How each table came from the one before it; made once, for all
-    /// subscribers that have that one.
+    /// The change from each table's previous version. It is computed once
+    /// for all subscribers that have that version.
     pub(crate) changes: FastMap<DomainName, Arc<TableChange>>,
     pub(crate) config: Option<Arc<DeploymentState>>,
-    /// The mark of `config`.
-    pub(crate) config_mark: StateRevision,
-    /// The last changes that made it, each of the one before.
+    /// The revision of `config`.
+    pub(crate) config_revision: StateRevision,
+    /// The last changes that led to `config`, oldest first.
     pub(crate) config_changes: Vec<Arc<StateChange>>,
     pub(crate) homes: FastMap<ServiceName, Arc<ServiceRecord>>,
 }
 
 impl TableSet {
-    /// The changes that make the configuration of the one with this mark;
-    /// `None`: it is not known, and the whole must be sent.
+    /// The changes from this revision of the configuration to the newest.
+    /// Returns `None` if they are not kept and the full configuration must
+    /// be sent.
     fn changes_since(
         &self,
-        mark: StateRevision,
+        revision: StateRevision,
     ) -> Option<&[Arc<StateChange>]> {
         let mut changes = self.config_changes.iter();
-        let first = changes.position(|change| change.base == mark)?;
+        let first = changes.position(|change| change.base == revision)?;
         self.config_changes.get(first..)
     }
 
-    /// Notes how the configuration came from the one before it.
-    fn note_config(&mut self, state: &Arc<DeploymentState>) {
+    /// Sets the configuration and records its change from the previous one.
+    fn record_config(&mut self, state: &Arc<DeploymentState>) {
         let known = self.config.as_deref();
         let change = known.and_then(|old| StateChange::between(old, state));
         self.config = Some(Arc::clone(state));
         let Some(change) = change else {
-            self.config_mark = StateRevision::of(state);
+            self.config_revision = StateRevision::of(state);
             self.config_changes.clear();
             return;
         };
-        self.config_mark = change.next;
+        self.config_revision = change.next;
         self.config_changes.push(Arc::new(change));
-        let excess = self.config_changes.len().saturating_sub(CHANGES_KEPT);
+        let excess = self.config_changes.len().saturating_sub(MAX_CHANGES);
         self.config_changes.drain(..excess);
     }
 }
 
-/// Holds the newest of everything and tells the streams.
+/// Holds the newest [`TableSet`] and notifies the streams of changes.
 #[derive(Debug)]
 pub(crate) struct TableHub {
     context: Arc<NodeContext>,
     set: watch::Sender<Arc<TableSet>>,
-    /// When the VM that a domain's table comes from was last heard.
+    /// When the VM that sends a domain's table was last heard.
     heard: Mutex<FastMap<DomainName, LocalTime>>,
 }
 
@@ -86,15 +88,15 @@
         self.set.subscribe()
     }
 
-    /// Notes that the stream of a domain's table stands.
-    pub(crate) fn note_heard(&self, domain: &DomainName) {
+    /// Records that the stream of a domain's table is connected.
+    pub(crate) fn record_heard(&self, domain: &DomainName) {
         let now = self.context.now();
         let heard = self.heard.lock();
         let mut heard = heard.unwrap_or_else(PoisonError::into_inner);
         heard.insert(domain.clone(), now);
     }
 
-    /// When the streams were last known to stand, by domain.
+    /// When the streams were last known to be connected, by domain.
     pub(crate) fn heard(&self) -> FastMap<DomainName, LocalTime> {
         let heard = self.heard.lock();
         heard.unwrap_or_else(PoisonError::into_inner).clone()
@@ -104,11 +106,11 @@
         Arc::clone(&self.set.borrow())
     }
 
-    /// Takes a domain's table if it is newer than the one known.
+    /// Applies a domain's table if it is newer than the known one.
     ///
-    /// Streams race: an older table may come later by another way. Taking
-    /// it would send requests back to a former owner.
-    pub(crate) fn take_table(&self, table: &Arc<DomainTable>) -> bool {
+    /// Streams race, so that an older table may arrive later on another
+    /// stream. Applying it would route requests to a previous owner.
+    pub(crate) fn apply_table(&self, table: &Arc<DomainTable>) -> bool {
         let mut set = TableSet::clone(&self.set());
         let known = set.domains.get(&table.domain);
         if known.is_some_and(|known| known.version >= table.version) {
@@ -128,21 +130,21 @@
         true
     }
 
-    /// Gives the gateways their routes anew.
+    /// Publishes new routes to the gateways.
     fn route(&self, set: &TableSet) {
         let merged = RoutingTable::merge(set.domains.values(), &set.homes);
         self.context.table.store(Arc::new(merged));
         self.context.table_changed.send_modify(|count| *count += 1);
     }
 
-    /// Takes the configuration if it is newer: versions only rise.
-    pub(crate) fn take_config(&self, state: &Arc<DeploymentState>) -> bool {
+    /// Applies the configuration if it is newer. Versions only increase.
+    pub(crate) fn apply_config(&self, state: &Arc<DeploymentState>) -> bool {
         let mut set = TableSet::clone(&self.set());
         let known = set.config.as_ref();
         if known.is_some_and(|known| known.version >= state.version) {
             return false;
         }
-        set.note_config(state);
+        set.record_config(state);
         self.context.metrics.set_config_version(state.version);
         let callers = state.callers.iter();
         let weights = callers.map(|rules| (rules.name.clone(), rules.weight));
@@ -153,8 +155,9 @@
         true
     }
 
-    /// Takes a service's division if it is newer.
-    pub(crate) fn take_homes(&self, homes: Arc<ServiceRecord>) -> bool {
+    /// Applies a service's record if its revision is higher than the known
+    /// one.
+    pub(crate) fn apply_homes(&self, homes: Arc<ServiceRecord>) -> bool {
         let mut set = TableSet::clone(&self.set());
         let known = set.homes.get(&homes.service);
         if known.is_some_and(|known| known.revision >= homes.revision) {
@@ -167,7 +170,7 @@
     }
 }
 
-/// What one subscriber has been sent already.
+/// The versions that one subscriber has been sent.
 #[derive(Debug, Default)]
 pub(crate) struct StreamCursor {
     tables: FastMap<DomainName, TableVersion>,
@@ -176,14 +179,14 @@
 }
 
 impl StreamCursor {
-    /// A subscriber that has this configuration, and no table.
+    /// The cursor of a subscriber that has this configuration and no table.
     pub(crate) fn new(config: StateRevision) -> Self {
         Self { config, ..Self::default() }
     }
 
-    /// The updates that bring a subscriber up to `set`.
+    /// Returns the updates that bring the subscriber up to `set`.
     ///
-    /// `only`: the one domain that it asked for; others are left out.
+    /// `only` is the domain that it requested; other domains are left out.
     pub(crate) fn updates(
         &mut self,
         set: &TableSet,
@@ -194,12 +197,12 @@
             if only.is_some_and(|only| only != domain) {
                 continue;
             }
-            let before = self.tables.get(domain);
-            if before.is_some_and(|before| *before >= table.version) {
+            let sent = self.tables.get(domain);
+            if sent.is_some_and(|sent| *sent >= table.version) {
                 continue;
             }
             let change = set.changes.get(domain);
-            let change = change.filter(|c| before == Some(&c.base));
+            let change = change.filter(|c| sent == Some(&c.base));
             updates.push(match change {
                 Some(change) => convert::change_out(change),
                 None => convert::table_out(table),
@@ -209,7 +212,8 @@
         updates
     }
 
-    /// Configuration and divisions; only within a failure domain.
+    /// The update of the configuration and the services' records, which are
+    /// sent only within a failure domain.
     fn record_updates(
         &mut self,
         set: &TableSet,
@@ -221,8 +225,8 @@
         let mut update = TableUpdate::default();
         self.config_update(set, &mut update);
         for homes in set.homes.values() {
-            let before = self.homes.get(&homes.service).copied();
-            if before.is_some_and(|before| before >= homes.revision) {
+            let sent = self.homes.get(&homes.service).copied();
+            if sent.is_some_and(|sent| sent >= homes.revision) {
                 continue;
             }
             self.homes.insert(homes.service.clone(), homes.revision);
@@ -238,7 +242,8 @@
         vec![update]
     }
 
-    /// The configuration: its changes where they fit, else the whole.
+    /// Adds the configuration's changes to the update, or the full
+    /// configuration if the changes are not kept.
     fn config_update(&mut self, set: &TableSet, update: &mut TableUpdate) {
         let Some(state) = &set.config else {
             return;
@@ -254,7 +259,7 @@
             None => update.config = json(state.as_ref()),
         }
         update.config_version = state.version;
-        self.config = set.config_mark;
+        self.config = set.config_revision;
     }
 }
 
--- a/goldcrestramp-node/src/control/thread.rs
+++ b/goldcrestramp-node/src/control/thread.rs
@@ -1,4 +1,4 @@
-//! The thread that runs all control state of a VM.
+//! Runs a VM's control actor, its listener and its tasks on one thread.
 
 use std::{net::SocketAddr, sync::Arc, thread, time::Duration};
 
@@ -16,7 +16,7 @@
     control::{
         actor::ControlActor,
         follow::{follow_domains, follow_steward},
-        links::MESSAGE_LIMIT,
+        links::MAX_MESSAGE_BYTES,
         messages::TickNotice,
         reader,
         service::ControlService,
@@ -27,12 +27,12 @@
     store::watch_divisions,
 };
 
-/// How often the machines are told that time has passed.
-const TICK_EVERY: Duration = Duration::from_millis(50);
-/// Messages that wait for the actor; a sender waits when it is full.
+/// How often the actor receives a tick.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// The capacity of the actor's mailbox. Senders wait while it is full.
 const MAILBOX_SIZE: usize = 1_024;
 
-/// A running control thread; dropping it ends the thread.
+/// A running control thread. Dropping it stops the thread.
 #[derive(Debug)]
 pub(crate) struct ControlThread {
     pub(crate) actor: Address<ControlActor>,
@@ -40,7 +40,8 @@
     _stop: oneshot::Sender<()>,
 }
 
-/// What a started thread reports.
+/// The actor and the listener's address of a started thread, or why it did
+/// not start.
 type StartReport = std::io::Result<(Address<ControlActor>, SocketAddr)>;
 
 impl ControlThread {
@@ -79,13 +80,13 @@
         match start(context, store).await {
             Ok(report) => {
                 drop(started.send(Ok(report)));
-                // Ends with the handle: its sender is dropped then.
+                // Completes when the handle, which owns the sender, drops.
                 drop(stopped.await);
             }
             Err(error) => drop(started.send(Err(error))),
         }
     });
-    // Dropping the runtime ends every task at once.
+    // Aborts every task without waiting for it.
     runtime.shutdown_background();
 }
 
@@ -111,7 +112,7 @@
         context.domain().clone(),
         actor.clone(),
     ));
-    tokio::spawn(reader::read_roster_again(
+    tokio::spawn(reader::poll_roster(
         store.clone(),
         context.domain().clone(),
         actor.clone(),
@@ -155,19 +156,19 @@
         actor: actor.clone(),
         tables: hub.subscribe(),
     };
-    let service =
-        ControlServer::new(service).max_decoding_message_size(MESSAGE_LIMIT);
+    let service = ControlServer::new(service)
+        .max_decoding_message_size(MAX_MESSAGE_BYTES);
     let server = bounded_server().add_service(service);
     let server = serve_router(context.tls.clone(), listener, server);
     tokio::spawn(async move {
         if let Err(error) = server.await {
-            log::error!("control: the listener ended: {error}.");
+            log::error!("control: the listener failed: {error}.");
         }
     });
 }
 
 async fn tick(actor: Address<ControlActor>) {
-    let mut interval = tokio::time::interval(TICK_EVERY);
+    let mut interval = tokio::time::interval(TICK_INTERVAL);
     interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         interval.tick().await;
--- a/goldcrestramp-node/src/control/unserved.rs
+++ b/goldcrestramp-node/src/control/unserved.rs
@@ -1,34 +1,36 @@
-//! For how long slices have no server that surely serves them.
+//! Measures how long slices have no server that certainly serves them.
 
 use goldcrestramp_types::{LocalTime, ServiceName, TimeSpan};
 
-/// How often a steward looks.
+/// The interval between samples.
 ///
-/// A loss lasts one to two seconds; a look goes over every slice set of the
-/// domain, some 50 microseconds at 128 servers of 65,536 slices.
-const LOOK_EVERY: TimeSpan = TimeSpan::from_millis(200);
+/// After the loss of a server, slices are unserved for one to two seconds. A
+/// sample reads every slice set of the domain, which takes about
+/// 50 microseconds at 128 servers of 65,536 slices.
+const SAMPLE_INTERVAL: TimeSpan = TimeSpan::from_millis(200);
 
-/// Adds up the unserved slices between looks.
+/// Computes for how long a sample of unserved slices counts.
 #[derive(Debug, Default)]
 pub(crate) struct UnservedMeter {
-    looked: Option<LocalTime>,
+    sampled_at: Option<LocalTime>,
 }
 
 impl UnservedMeter {
-    /// Whether it is time to look.
-    pub(crate) fn due(&self, now: LocalTime) -> bool {
-        self.looked.is_none_or(|at| now.since(at) >= LOOK_EVERY)
+    /// Whether the next sample is due.
+    pub(crate) fn is_due(&self, now: LocalTime) -> bool {
+        self.sampled_at.is_none_or(|at| now.since(at) >= SAMPLE_INTERVAL)
     }
 
-    /// Takes what is unserved now; gives for each service the slices, and
-    /// the span for which they count. The first look counts for nothing.
-    pub(crate) fn take(
+    /// Adds to each service's unserved slices the span for which they count,
+    /// which is the time since the previous sample. The first sample has a
+    /// span of 0.
+    pub(crate) fn sample(
         &mut self,
         now: LocalTime,
         counts: Vec<(ServiceName, usize)>,
     ) -> Vec<(ServiceName, usize, TimeSpan)> {
-        let before = self.looked.replace(now).unwrap_or(now);
-        let span = now.since(before);
+        let previous = self.sampled_at.replace(now).unwrap_or(now);
+        let span = now.since(previous);
         let counts = counts.into_iter();
         counts.map(|(service, slices)| (service, slices, span)).collect()
     }
--- a/goldcrestramp-node/src/metrics/domain.rs
+++ b/goldcrestramp-node/src/metrics/domain.rs
@@ -1,4 +1,4 @@
-//! What a steward measures of its failure domain.
+//! Metrics that a steward exports for its failure domain.
 
 use std::sync::atomic::AtomicU64;
 
@@ -8,20 +8,20 @@
     metrics::{counter::Counter, family::Family, gauge::Gauge},
 };
 
-use super::book::MetricBook;
+use super::registry::MetricRegistry;
 use crate::control::MoveTally;
 
-/// The label of all of it.
+/// The label of the metrics of a failure domain.
 #[derive(Clone, Debug, Eq, Hash, PartialEq, EncodeLabelSet)]
 pub(super) struct ServiceLabel {
-    /// The service.
+    /// The service's name.
     pub service: String,
 }
 
 type RatioGauge = Gauge<f64, AtomicU64>;
 type SecondsCounter = Counter<f64, AtomicU64>;
 
-/// Imbalance, churn and unavailable time.
+/// Load imbalance, moved slices and unserved time, by service.
 #[derive(Debug, Default)]
 pub(super) struct DomainMetrics {
     imbalance: Family<ServiceLabel, RatioGauge>,
@@ -32,7 +32,7 @@
 }
 
 impl DomainMetrics {
-    pub(super) fn register(&self, registry: &mut MetricBook) {
+    pub(super) fn register(&self, registry: &mut MetricRegistry) {
         registry.register(
             "imbalance",
             "Slot time of the busiest server over the mean, by service",
@@ -60,33 +60,35 @@
         );
     }
 
-    /// Shows how evenly a service's servers work in this failure domain.
+    /// Sets the load of a service's busiest server in this failure domain
+    /// over the mean.
     pub(super) fn set_imbalance(&self, service: &ServiceName, ratio: f64) {
-        self.imbalance.get_or_create(&of(service)).set(ratio);
+        self.imbalance.get_or_create(&service_label(service)).set(ratio);
     }
 
-    /// Shows nothing more of a failure domain whose steward is elsewhere;
-    /// the counters stay.
-    pub(super) fn forget_domain(&self) {
+    /// Removes the gauges, because another VM is the steward now. The
+    /// counters stay.
+    pub(super) fn clear_domain(&self) {
         self.imbalance.clear();
         self.unserved.clear();
     }
 
-    /// Counts slices that came to another server.
+    /// Adds slices that moved to another server.
     pub(super) fn count_moves(&self, service: &ServiceName, tally: MoveTally) {
-        let label = of(service);
+        let label = service_label(service);
         self.moved.get_or_create(&label).inc_by(tally.moved);
         self.needless.get_or_create(&label).inc_by(tally.needless);
     }
 
-    /// Counts slices that are not served, and for how long.
+    /// Sets the number of unserved slices, and adds it times `span` to
+    /// their total.
     pub(super) fn count_unserved(
         &self,
         service: &ServiceName,
         slices: usize,
         span: TimeSpan,
     ) {
-        let label = of(service);
+        let label = service_label(service);
         let count = i64::try_from(slices).unwrap_or(i64::MAX);
         self.unserved.get_or_create(&label).set(count);
         let slices = f64::from(u32::try_from(slices).unwrap_or(u32::MAX));
@@ -95,6 +97,6 @@
     }
 }
 
-fn of(service: &ServiceName) -> ServiceLabel {
+fn service_label(service: &ServiceName) -> ServiceLabel {
     ServiceLabel { service: service.to_string() }
 }
--- a/goldcrestramp-node/src/metrics/mod.rs
+++ b/goldcrestramp-node/src/metrics/mod.rs
@@ -1,7 +1,8 @@
-//! Counters, one for each refusal and retry reason.
+//! The daemon's metrics, with a counter for each reason of a refusal or
+//! retry.
 
-mod book;
 mod domain;
+mod registry;
 
 use std::sync::{Mutex, PoisonError, atomic::Ordering};
 
@@ -16,29 +17,29 @@
     metrics::{counter::Counter, family::Family, gauge::Gauge},
 };
 
-use self::{book::MetricBook, domain::DomainMetrics};
+use self::{domain::DomainMetrics, registry::MetricRegistry};
 use crate::control::MoveTally;
 
-/// The label of a counter that is kept by reason, kind or outcome.
+/// The label of a counter by reason, kind or outcome.
 #[derive(Clone, Debug, Eq, Hash, PartialEq, EncodeLabelSet)]
 pub struct ReasonLabel {
-    /// The stable code.
+    /// The stable code of the reason, kind or outcome.
     pub reason: &'static str,
 }
 
-/// The label of the bytes that crossed to another region.
+/// The label of the bytes sent to another region.
 #[derive(Clone, Debug, Eq, Hash, PartialEq, EncodeLabelSet)]
 pub struct LinkLabel {
-    /// The service that answered.
+    /// The service that sent the response.
     pub service: String,
-    /// The caller; empty for those beyond the bound of the table.
+    /// The caller; empty for callers beyond the bound of [`LinkVolume`].
     pub caller: String,
 }
 
-/// The counters of one daemon.
+/// The metrics of one daemon.
 #[derive(Debug)]
 pub struct NodeMetrics {
-    book: MetricBook,
+    registry: MetricRegistry,
     done: Counter,
     cut: Counter,
     not_run: Family<ReasonLabel, Counter>,
@@ -52,14 +53,14 @@
     config_version: Gauge,
     link_bytes: Family<LinkLabel, Counter>,
     domain: DomainMetrics,
-    /// Bounds the labels of `link_bytes`.
+    /// Bounds the number of labels of `link_bytes`.
     link_volume: Mutex<LinkVolume>,
 }
 
 impl Default for NodeMetrics {
     fn default() -> Self {
         let mut metrics = Self {
-            book: MetricBook::default(),
+            registry: MetricRegistry::default(),
             done: Counter::default(),
             cut: Counter::default(),
             not_run: Family::default(),
@@ -76,14 +77,14 @@
             link_volume: Mutex::default(),
         };
         metrics.register();
-        metrics.domain.register(&mut metrics.book);
+        metrics.domain.register(&mut metrics.registry);
         metrics
     }
 }
 
 impl NodeMetrics {
     fn register(&mut self) {
-        let registry = &mut self.book;
+        let registry = &mut self.registry;
         registry.register(
             "requests_done",
             "Requests that got their whole answer",
@@ -146,12 +147,12 @@
         );
     }
 
-    /// Counts a request that got its whole answer.
+    /// Counts a request that received its complete response.
     pub fn count_done(&self) {
         self.done.inc();
     }
 
-    /// Counts an answer that was broken off.
+    /// Counts a response that was truncated.
     pub fn count_cut(&self) {
         self.cut.inc();
     }
@@ -166,35 +167,37 @@
         self.unknown.get_or_create(&label(reason.code())).inc();
     }
 
-    /// Counts a retry.
+    /// Counts a retry by its reason.
     pub fn count_retry(&self, reason: RetryReason) {
         self.retries.get_or_create(&label(reason.code())).inc();
     }
 
-    /// Counts a request of an operator that was refused.
+    /// Counts a refused request of an operator, by its code.
     pub fn count_operator_refusal(&self, reason: &'static str) {
         self.operators_refused.get_or_create(&label(reason)).inc();
     }
 
-    /// How often requests were refused, for each reason that occurred.
+    /// The number of requests that did not run, for each reason that
+    /// occurred.
     pub fn not_run_counts(&self) -> impl Iterator<Item = (&'static str, u64)> {
         let codes = NotRunReason::ALL.iter().map(|reason| reason.code());
         counts(&self.not_run, codes)
     }
 
-    /// How many requests may have run, for each reason that occurred.
+    /// The number of requests that may have run, for each reason that
+    /// occurred.
     pub fn unknown_counts(&self) -> impl Iterator<Item = (&'static str, u64)> {
         let codes = UnknownReason::ALL.iter().map(|reason| reason.code());
         counts(&self.unknown, codes)
     }
 
-    /// How often requests were sent again, for each reason that occurred.
+    /// The number of retries, for each reason that occurred.
     pub fn retry_counts(&self) -> impl Iterator<Item = (&'static str, u64)> {
         let codes = RetryReason::ALL.iter().map(|reason| reason.code());
         counts(&self.retries, codes)
     }
 
-    /// Shows the calls to the platform that were counted so far.
+    /// Sets the counters of calls to the platform to these totals.
     pub fn show_store_calls(&self, counts: &CallCounts) {
         for kind in CallKind::ALL {
             let counter = self.store_calls.get_or_create(&label(kind.code()));
@@ -202,27 +205,26 @@
         }
     }
 
-    /// Counts a control message of this kind, sent or received, of so many
-    /// bytes.
+    /// Counts a control message of this kind and size, sent or received.
     pub fn count_control(&self, kind: &'static str, bytes: usize) {
         self.control_messages.get_or_create(&label(kind)).inc();
         let counter = self.control_bytes.get_or_create(&label(kind));
         counter.inc_by(bytes as u64);
     }
 
-    /// Bytes of control messages of this kind so far, sent and received.
+    /// The bytes of control messages of this kind, sent and received.
     #[must_use]
     pub fn control_bytes(&self, kind: &'static str) -> u64 {
         self.control_bytes.get_or_create(&label(kind)).get()
     }
 
-    /// Control messages of this kind so far, sent and received.
+    /// The number of control messages of this kind, sent and received.
     #[must_use]
     pub fn control_messages(&self, kind: &'static str) -> u64 {
         self.control_messages.get_or_create(&label(kind)).get()
     }
 
-    /// Counts bytes of an answer that crossed to another region.
+    /// Counts bytes of a response that were sent to another region.
     pub fn count_link(
         &self,
         service: &ServiceName,
@@ -230,32 +232,34 @@
         bytes: u64,
     ) {
         let volume = self.link_volume.lock();
-        let by_itself = volume
+        let has_own_label = volume
             .unwrap_or_else(PoisonError::into_inner)
             .add(service, caller, bytes);
-        let caller = if by_itself { caller.as_str() } else { "" };
+        let caller = if has_own_label { caller.as_str() } else { "" };
         let service = service.to_string();
         let label = LinkLabel { service, caller: caller.to_owned() };
         self.link_bytes.get_or_create(&label).inc_by(bytes);
     }
 
-    /// Shows how evenly a service's servers work in this failure domain.
+    /// Sets the load of a service's busiest server in this failure domain
+    /// over the mean.
     pub fn set_imbalance(&self, service: &ServiceName, ratio: f64) {
         self.domain.set_imbalance(service, ratio);
     }
 
-    /// Shows nothing more of a failure domain whose steward is elsewhere;
-    /// the counters stay.
-    pub fn forget_domain(&self) {
-        self.domain.forget_domain();
+    /// Removes the gauges of the failure domain, because another VM is the
+    /// steward now. The counters stay.
+    pub fn clear_domain(&self) {
+        self.domain.clear_domain();
     }
 
-    /// Counts slices that came to another server.
+    /// Adds slices that moved to another server.
     pub fn count_moves(&self, service: &ServiceName, tally: MoveTally) {
         self.domain.count_moves(service, tally);
     }
 
-    /// Counts slices that are not served, and for how long.
+    /// Sets the number of unserved slices, and adds it times `span` to
+    /// their total.
     pub fn count_unserved(
         &self,
         service: &ServiceName,
@@ -265,36 +269,36 @@
         self.domain.count_unserved(service, slices, span);
     }
 
-    /// Shows whether this VM is the steward.
+    /// Sets whether this VM is the steward.
     pub fn set_leading(&self, leading: bool) {
         self.leading.set(i64::from(leading));
     }
 
-    /// Shows the version of the configuration in force.
+    /// Sets the version of the configuration in force.
     pub fn set_config_version(&self, version: u64) {
         self.config_version.set(i64::try_from(version).unwrap_or(i64::MAX));
     }
 
-    /// The version of the configuration in force; 0: none yet.
+    /// The version of the configuration in force, or 0 if there is none yet.
     #[must_use]
     pub fn config_version(&self) -> u64 {
         u64::try_from(self.config_version.get()).unwrap_or(0)
     }
 
-    /// Every name, without the prefix and `_total`.
+    /// The names of all metrics, without the prefix and `_total`.
     #[must_use]
     pub fn names(&self) -> &[&'static str] {
-        &self.book.names
+        &self.registry.names
     }
 
-    /// All counters in the Prometheus text format.
+    /// Encodes all metrics in the Prometheus text format.
     ///
     /// # Errors
     ///
-    /// [`std::fmt::Error`] if they can't be written as text.
+    /// Returns [`std::fmt::Error`] if a metric cannot be written as text.
     pub fn encode(&self) -> Result<String, std::fmt::Error> {
         let mut text = String::new();
-        encode(&mut text, &self.book.registry)?;
+        encode(&mut text, &self.registry.registry)?;
         Ok(text)
     }
 }
--- a/goldcrestramp-node/src/metrics/book.rs
+++ b/goldcrestramp-node/src/metrics/registry.rs
@@ -1,23 +1,24 @@
-//! The registry with a list of what is in it.
+//! A Prometheus registry that lists the names of its metrics.
 
 use prometheus_client::registry::{Metric, Registry};
 
-/// The registry, and the names in it.
+/// A registry, and the names of its metrics without prefix and suffix.
 #[derive(Debug)]
-pub(super) struct MetricBook {
+pub(super) struct MetricRegistry {
     pub(super) registry: Registry,
     pub(super) names: Vec<&'static str>,
 }
 
-impl Default for MetricBook {
+impl Default for MetricRegistry {
     fn default() -> Self {
         let registry = Registry::with_prefix("goldcrestramp");
         Self { registry, names: Vec::new() }
     }
 }
 
-impl MetricBook {
-    /// Registers a metric; counters get `_total` after the name.
+impl MetricRegistry {
+    /// Registers a metric. The registry adds the suffix `_total` to the
+    /// names of counters.
     pub(super) fn register(
         &mut self,
         name: &'static str,
--- a/goldcrestramp-node/src/planner/feed.rs
+++ b/goldcrestramp-node/src/planner/feed.rs
@@ -1,4 +1,4 @@
-//! From keepers' reports to moves within a failure domain.
+//! Plans moves within a failure domain from the keepers' reports.
 
 use goldcrestramp_config::{DeploymentState, ServerRules, ServiceRules};
 use goldcrestramp_decisions::{
@@ -11,48 +11,52 @@
     SliceIndex, TimeSpan,
 };
 
-/// How often moves are weighed.
+/// The interval between rounds of planning.
 ///
-/// A report covers about 300 ms, too little to tell a hot slice from a
-/// burst.
-const WEIGH_EVERY: TimeSpan = TimeSpan::from_millis(5_000);
+/// A report covers about 300 ms, which is too short to distinguish a hot
+/// slice from a burst.
+const ROUND_INTERVAL: TimeSpan = TimeSpan::from_millis(5_000);
 
-/// Slot time since the last round, of one server.
+/// The slot time of one server since the last round.
 #[derive(Debug, Default)]
 struct LoadSum {
     busy_micros: u64,
     slice_micros: FastMap<SliceIndex, u64>,
 }
 
-/// What placement knows of one service.
+/// The load estimate and the planner of one service.
 #[derive(Debug)]
 struct ServicePlacement {
     estimate: LoadEstimate,
     planner: PlacementPlanner,
 }
 
-/// Gathers reports while this VM leads, and weighs moves.
+/// Collects reports and plans moves while this VM is the steward.
 #[derive(Debug, Default)]
 pub(crate) struct PlacementFeed {
-    began: LocalTime,
+    started_at: LocalTime,
     sums: FastMap<ServerName, LoadSum>,
     services: FastMap<ServiceName, ServicePlacement>,
     imbalances: FastMap<ServiceName, f64>,
 }
 
 impl PlacementFeed {
-    /// The slot time of the busiest server over the mean of the service's
-    /// servers in this domain, in the last round; 1 is even.
+    /// The imbalance of each service in the last round: the slot time of
+    /// its busiest server in this domain over the mean. 1 is balanced.
     pub(crate) fn imbalances(
         &self,
     ) -> impl Iterator<Item = (&ServiceName, &f64)> {
         self.imbalances.iter()
     }
 
-    /// Takes a keeper's report.
-    pub(crate) fn take(&mut self, now: LocalTime, report: &KeeperReport) {
+    /// Adds the load in a keeper's report to the current round.
+    pub(crate) fn record_report(
+        &mut self,
+        now: LocalTime,
+        report: &KeeperReport,
+    ) {
         if self.sums.is_empty() {
-            self.began = now;
+            self.started_at = now;
         }
         for server in &report.servers {
             let sum = self.sums.entry(server.server.clone()).or_default();
@@ -64,28 +68,28 @@
         }
     }
 
-    /// Whether reports of a whole round have come in.
-    pub(crate) fn due(&self, now: LocalTime) -> bool {
-        !self.sums.is_empty() && now.since(self.began) >= WEIGH_EVERY
+    /// Whether the reports cover a full round.
+    pub(crate) fn is_due(&self, now: LocalTime) -> bool {
+        !self.sums.is_empty() && now.since(self.started_at) >= ROUND_INTERVAL
     }
 
-    /// Forgets everything: this VM does not lead.
+    /// Removes everything, because this VM is not the steward.
     pub(crate) fn clear(&mut self) {
         *self = Self::default();
     }
 
-    /// The moves to ask of the steward.
+    /// Ends a round and returns the moves to request from the steward.
     ///
-    /// Nothing is asked while earlier moves are under way: their load would
-    /// be counted where it still is.
-    pub(crate) fn weigh(
+    /// Returns none while earlier moves are in flight, since their load
+    /// would be counted at the server that they leave.
+    pub(crate) fn plan_moves(
         &mut self,
         now: LocalTime,
         config: &DeploymentState,
         domain: &DomainName,
         status: &StewardStatus,
     ) -> Vec<SliceMove> {
-        let span = now.since(self.began);
+        let span = now.since(self.started_at);
         let sums = std::mem::take(&mut self.sums);
         self.imbalances = imbalances(config, domain, &sums);
         if !status.may_move || status.moving > 0 {
@@ -94,19 +98,19 @@
         let mut moves = Vec::new();
         for service in &config.services {
             let servers = servers_of(config, domain, &service.name);
-            let places: Vec<TargetView> = servers
+            let targets: Vec<TargetView> = servers
                 .iter()
-                .map(|rules| place_view(config, service, rules, status))
+                .map(|rules| target_view(config, service, rules, status))
                 .collect();
             let reports: Vec<TargetReport> = servers
                 .iter()
-                .zip(&places)
-                .map(|(rules, place)| (sums.get(&rules.name), place))
-                .map(|(sum, place)| place_report(sum, place, span))
+                .zip(&targets)
+                .map(|(rules, target)| (sums.get(&rules.name), target))
+                .map(|(sum, target)| target_report(sum, target, span))
                 .collect();
             let planned = self
                 .placement(service)
-                .weigh(now, &places, &reports)
+                .plan(now, &targets, &reports)
                 .into_iter();
             moves.extend(planned.map(|planned| SliceMove {
                 service: service.name.clone(),
@@ -135,15 +139,15 @@
             sums.get(&rules.name).map_or(0.0, |sum| sum.busy_micros as f64)
         });
         let busy: Vec<f64> = busy.collect();
-        let most = busy.iter().copied().fold(0.0, f64::max);
+        let max = busy.iter().copied().fold(0.0, f64::max);
         let mean = busy.iter().sum::<f64>() / busy.len().max(1) as f64;
-        let ratio = if mean > 0.0 { most / mean } else { 1.0 };
+        let ratio = if mean > 0.0 { max / mean } else { 1.0 };
         (service.name.clone(), ratio)
     });
     services.collect()
 }
 
-/// The domain's servers of a service, in the configuration's order.
+/// The domain's servers of a service, in the order of the configuration.
 fn servers_of<'a>(
     config: &'a DeploymentState,
     domain: &DomainName,
@@ -155,8 +159,9 @@
         .collect()
 }
 
-/// A server as placement sees it; one without a keeper gets nothing.
-fn place_view(
+/// A server as a target of placement. A server without a keeper accepts
+/// no slices.
+fn target_view(
     config: &DeploymentState,
     service: &ServiceRules,
     rules: &ServerRules,
@@ -180,28 +185,29 @@
         }
     }
 
-    fn weigh(
+    fn plan(
         &mut self,
         now: LocalTime,
-        places: &[TargetView],
+        targets: &[TargetView],
         reports: &[TargetReport],
     ) -> Vec<PlannedMove> {
-        self.estimate.observe(now, places.iter().zip(reports));
-        self.planner.decide(now, places, &self.estimate)
+        self.estimate.observe(now, targets.iter().zip(reports));
+        self.planner.decide(now, targets, &self.estimate)
     }
 }
 
-/// Slot time over a span as slots in use; of slices that it still holds.
-fn place_report(
+/// Converts slot time over a span to slots in use, and leaves out slices
+/// that the server no longer holds.
+fn target_report(
     sum: Option<&LoadSum>,
-    place: &TargetView,
+    target: &TargetView,
     span: TimeSpan,
 ) -> TargetReport {
     let Some(sum) = sum else {
         return TargetReport::default();
     };
     let held =
-        sum.slice_micros.iter().filter(|(s, _)| place.held.contains(**s));
+        sum.slice_micros.iter().filter(|(s, _)| target.held.contains(**s));
     let mut heavy: Vec<(SliceIndex, f64)> = held
         .map(|(slice, busy)| (*slice, slots_in_use(*busy, span)))
         .collect();
--- a/goldcrestramp-node/src/planner/heads.rs
+++ b/goldcrestramp-node/src/planner/heads.rs
@@ -1,10 +1,10 @@
-//! The heads of all domains' records, watched while this VM plans.
+//! Watches the heads of all domains' records while this VM is the planner.
 //!
-//! A domain whose last server of a service is lost says so in its head, and
-//! so it does when it has released slices. Its keys wait until the planner
-//! has seen it: looked for every 2 s, that alone took longer than the 2 s
-//! within which a key is to be served again. One watch a domain, each a
-//! call in ten seconds, costs the store less than looking.
+//! A domain's head changes when the domain loses its last server of a
+//! service, and when it has released slices. The keys are not served until
+//! the planner has read the head. Polling every 2 s alone took longer than
+//! the 2 s within which a key is to be served again. A watch for each
+//! domain, with one call in 10 s, also costs the store less than polling.
 
 use std::sync::Arc;
 
@@ -17,21 +17,22 @@
 };
 use tokio::{sync::watch, task::JoinHandle};
 
-use crate::store::StorePause;
+use crate::store::StoreBackoff;
 
-/// How long one watch waits; each is one call for the service to count.
-const WATCH_SPAN: TimeSpan = TimeSpan::from_millis(10_000);
+/// How long one watch waits. Each watch is one call, and the key-value
+/// service limits the calls.
+const WATCH_TIMEOUT: TimeSpan = TimeSpan::from_millis(10_000);
 
-/// What the heads said last.
+/// The last known content of the heads.
 #[derive(Clone, Debug, Default)]
-pub(super) struct HeadBook {
-    /// Rises with each change of a head.
+pub(super) struct KnownHeads {
+    /// The number of changes of heads.
     pub(super) changes: u64,
-    /// The services that each domain has no server for.
+    /// The services for which each domain has no server.
     stranded: FastMap<DomainName, FastSet<ServiceName>>,
 }
 
-impl HeadBook {
+impl KnownHeads {
     /// The domains that have no server for `service`.
     pub(super) fn stranded(
         &self,
@@ -42,19 +43,19 @@
         found.map(|(domain, _)| domain.clone()).collect()
     }
 
-    fn take(&mut self, domain: &DomainName, head: &DomainHead) {
+    fn record(&mut self, domain: &DomainName, head: &DomainHead) {
         let names = head.stranded.keys().cloned().collect();
         self.stranded.insert(domain.clone(), names);
         self.changes += 1;
     }
 
-    /// Whether a domain gives other slices up than it did in `before`.
-    fn differs(&self, before: &Self) -> bool {
+    /// Whether a domain has no server for other services than in `before`.
+    fn differs_from(&self, before: &Self) -> bool {
         self.stranded != before.stranded
     }
 }
 
-/// A watch that ends when it is dropped.
+/// The task of a watch. Dropping it aborts the task.
 #[derive(Debug)]
 struct WatchTask(JoinHandle<()>);
 
@@ -64,16 +65,16 @@
     }
 }
 
-/// The watches of the heads.
+/// The watches of the heads, one for each domain.
 #[derive(Debug, Default)]
 pub(super) struct HeadWatch {
     tasks: FastMap<DomainName, WatchTask>,
-    book: Arc<watch::Sender<HeadBook>>,
-    acted: HeadBook,
+    known: Arc<watch::Sender<KnownHeads>>,
+    planned_with: KnownHeads,
 }
 
 impl HeadWatch {
-    /// Watches these domains' heads and no others.
+    /// Watches the heads of exactly these domains.
     pub(super) fn follow(
         &mut self,
         store: &PlatformClient,
@@ -82,67 +83,68 @@
         self.tasks.retain(|domain, _| domains.contains(domain));
         for domain in domains {
             self.tasks.entry(domain.clone()).or_insert_with(|| {
-                let book = Arc::clone(&self.book);
-                let watch = watch_one(store.clone(), domain.clone(), book);
+                let known = Arc::clone(&self.known);
+                let watch = watch_head(store.clone(), domain.clone(), known);
                 WatchTask(tokio::spawn(watch))
             });
         }
     }
 
-    /// What is known now; what comes later counts as a change.
-    pub(super) fn look(&mut self) -> HeadBook {
-        self.acted = self.book.borrow().clone();
-        self.acted.clone()
+    /// Returns what is known now. [`Self::changed`] compares with it.
+    pub(super) fn snapshot(&mut self) -> KnownHeads {
+        self.planned_with = self.known.borrow().clone();
+        self.planned_with.clone()
     }
 
-    /// Completes when a head has changed since the last look.
+    /// Completes when a head has changed since the last snapshot.
     ///
-    /// While nothing is on the move only the services that a domain has no
-    /// server for count, not what its servers hold.
+    /// Unless `busy`, only a change of the services for which a domain has
+    /// no server counts, not a change of what its servers hold.
     pub(super) async fn changed(&self, busy: bool) {
-        let mut book = self.book.subscribe();
-        let due = |book: &HeadBook| {
-            let any = book.changes != self.acted.changes;
-            if busy { any } else { book.differs(&self.acted) }
+        let mut known = self.known.subscribe();
+        let due = |known: &KnownHeads| {
+            let any = known.changes != self.planned_with.changes;
+            if busy { any } else { known.differs_from(&self.planned_with) }
         };
-        // The sender lives in this watch, so the wait cannot fail.
-        drop(book.wait_for(due).await);
+        // `self` owns the sender, so the wait cannot fail.
+        drop(known.wait_for(due).await);
     }
 }
 
-async fn watch_one(
+async fn watch_head(
     store: PlatformClient,
     domain: DomainName,
-    book: Arc<watch::Sender<HeadBook>>,
+    known: Arc<watch::Sender<KnownHeads>>,
 ) {
     let key = keys::domain_head(&domain);
-    let mut pause = StorePause::new();
+    let mut backoff = StoreBackoff::new();
     let mut seen = 0;
     loop {
-        // A value that is there already is given at once; one that is not
-        // yet, as soon as its domain writes it.
-        match store.watch(&key, seen, WATCH_SPAN).await {
+        // With version 0, the watch returns an existing value at once, and
+        // a missing one as soon as its domain writes it.
+        match store.watch(&key, seen, WATCH_TIMEOUT).await {
             Ok(Some(stored)) => {
-                pause.reset();
+                backoff.reset();
                 seen = stored.version;
                 if let Some(head) = decode(&key, &stored) {
-                    book.send_modify(|book| book.take(&domain, &head));
+                    known.send_modify(|known| known.record(&domain, &head));
                 }
             }
-            // Unchanged, or gone: what is there is looked at anew.
+            // Unchanged or deleted: read whatever is there.
             Ok(None) => {
-                pause.reset();
+                backoff.reset();
                 seen = 0;
             }
             Err(error) => {
-                log::warn!("planner: {key} is not read: {error}.");
-                pause.wait().await;
+                log::warn!("planner: cannot watch {key}: {error}.");
+                backoff.wait().await;
             }
         }
     }
 }
 
-/// A head that nobody can read says nothing: what was known stays.
+/// Decodes a head. A malformed head is ignored, and the last known one
+/// stays.
 fn decode(key: &str, stored: &StoredValue) -> Option<DomainHead> {
     let head = DomainHead::decode(&stored.value);
     head.inspect_err(|error| log::error!("planner: {key}: {error}.")).ok()
--- a/goldcrestramp-node/src/planner/lease.rs
+++ b/goldcrestramp-node/src/planner/lease.rs
@@ -1,4 +1,4 @@
-//! The planner's lease.
+//! Acquires and renews the planner's lease in the key-value service.
 
 use goldcrestramp_platform::{
     PlatformClient, PutCondition, StoreAccess, StoreError, WriteOutcome,
@@ -7,13 +7,15 @@
 };
 use goldcrestramp_types::{ClockSource, LocalTime, MonotonicClock, TimeSpan};
 
-/// How long the lease lasts: a planner that is lost is replaced within
-/// this, and one that renews twice in it survives a lost call.
-const LEASE_SPAN: TimeSpan = TimeSpan::from_millis(6_000);
+/// How long the lease lasts.
+///
+/// A lost planner is replaced within this time. A planner that renews twice
+/// in it survives a lost call.
+const LEASE_DURATION: TimeSpan = TimeSpan::from_millis(6_000);
 
-/// What this VM knows of the lease.
+/// The planner's lease as this VM knows it.
 #[derive(Debug)]
-pub(super) struct LeaseHold {
+pub(super) struct PlannerLease {
     record: PlannerRecord,
     held: Option<HeldLease>,
 }
@@ -22,26 +24,26 @@
 struct HeldLease {
     id: u64,
     renew_at: LocalTime,
-    ends_at: LocalTime,
+    expires_at: LocalTime,
 }
 
-impl LeaseHold {
-    /// A VM that does not hold it.
+impl PlannerLease {
+    /// A lease that this VM does not hold. `record` is written with it.
     pub(super) const fn new(record: PlannerRecord) -> Self {
         Self { record, held: None }
     }
 
-    /// Takes or renews the lease; `true`: this VM is the planner.
+    /// Acquires or renews the lease. Returns whether this VM is the planner.
     ///
     /// # Errors
     ///
-    /// The store's error; the lease may have ended meanwhile.
-    pub(super) async fn keep(
+    /// Returns the store's error. The lease may have expired meanwhile.
+    pub(super) async fn acquire_or_renew(
         &mut self,
         store: &PlatformClient,
     ) -> Result<bool, StoreError> {
         let now = MonotonicClock.now();
-        match self.held.filter(|held| now < held.ends_at) {
+        match self.held.filter(|held| now < held.expires_at) {
             Some(held) if now < held.renew_at => Ok(true),
             Some(held) => {
                 if store.renew(held.id).await? {
@@ -51,12 +53,12 @@
                 self.held = None;
                 Ok(false)
             }
-            None => self.take(store, now).await,
+            None => self.acquire(store, now).await,
         }
     }
 
-    /// Takes the lease if nobody has it.
-    async fn take(
+    /// Acquires the lease if no VM holds it.
+    async fn acquire(
         &mut self,
         store: &PlatformClient,
         now: LocalTime,
@@ -68,23 +70,24 @@
         let Ok(value) = self.record.encode() else {
             return Ok(false);
         };
-        let id = store.lease(LEASE_SPAN).await?;
+        let id = store.lease(LEASE_DURATION).await?;
         let condition = PutCondition::Absent;
         let put =
             resolve_write(store, keys::PLANNER, condition, value, Some(id));
-        let taken = matches!(put.await?, WriteOutcome::Written(_));
-        if taken {
-            log::info!("planner: this VM plans from now on.");
+        let acquired = matches!(put.await?, WriteOutcome::Written(_));
+        if acquired {
+            log::info!("planner: this VM is the planner now.");
             self.held = Some(HeldLease::of(id, now));
         }
-        Ok(taken)
+        Ok(acquired)
     }
 }
 
 impl HeldLease {
-    /// Counted from before the call was sent: the service counts later.
+    /// Counts from before the call is sent, since the service starts to
+    /// count later.
     fn of(id: u64, sent: LocalTime) -> Self {
-        let renew_at = sent + LEASE_SPAN.percent(33);
-        Self { id, renew_at, ends_at: sent + LEASE_SPAN }
+        let renew_at = sent + LEASE_DURATION.percent(33);
+        Self { id, renew_at, expires_at: sent + LEASE_DURATION }
     }
 }
--- a/goldcrestramp-node/src/planner/lost.rs
+++ b/goldcrestramp-node/src/planner/lost.rs
@@ -1,27 +1,28 @@
-//! Domains that were declared lost, and when their slices may be taken.
+//! Domains that were declared lost, and when their slices may be reassigned.
 
 use goldcrestramp_types::{DomainName, FastMap, FastSet, LocalTime, TimeSpan};
 
 use crate::control::TableSet;
 
-/// How long a domain that was declared lost is left to stop by itself.
+/// How long the planner waits for a domain that was declared lost to stop.
 ///
 /// A ticket is in force everywhere within 8 s, and a grant that is not
-/// extended ends a lease of 1 s later; the rest is for clocks. A domain that
-/// is truly lost waits that long after its ticket, once or twice a year.
-const STOP_WAIT: TimeSpan = TimeSpan::from_millis(10_000);
+/// extended expires one lease of 1 s later. The rest covers clock drift. The
+/// slices of a domain that is really lost wait for this time after its
+/// ticket, once or twice a year.
+const STOP_DELAY: TimeSpan = TimeSpan::from_millis(10_000);
 
-/// When the slices of each lost domain may be taken without a release.
+/// When the slices of each lost domain may be reassigned without a release.
 #[derive(Debug, Default)]
-pub(super) struct LostBook {
-    take_at: FastMap<DomainName, LocalTime>,
+pub(super) struct LostDomains {
+    reclaim_at: FastMap<DomainName, LocalTime>,
 }
 
-impl LostBook {
-    /// The lost domains that may not have heard of it yet.
+impl LostDomains {
+    /// The lost domains that may not have applied the ticket yet.
     ///
-    /// Counted from when this planner first saw the ticket, so another
-    /// planner in its place waits anew.
+    /// The wait starts when this planner first sees the ticket, so a planner
+    /// that replaces it waits again.
     pub(super) fn stopping(
         &mut self,
         now: LocalTime,
@@ -32,11 +33,11 @@
             .filter(|rules| rules.lost)
             .map(|rules| rules.name.clone())
             .collect();
-        self.take_at.retain(|name, _| lost.contains(name));
+        self.reclaim_at.retain(|name, _| lost.contains(name));
         for name in lost {
-            self.take_at.entry(name).or_insert(now + STOP_WAIT);
+            self.reclaim_at.entry(name).or_insert(now + STOP_DELAY);
         }
-        let waiting = self.take_at.iter().filter(|(_, at)| now < **at);
+        let waiting = self.reclaim_at.iter().filter(|(_, at)| now < **at);
         waiting.map(|(name, _)| name.clone()).collect()
     }
 }
--- a/goldcrestramp-node/src/planner/mod.rs
+++ b/goldcrestramp-node/src/planner/mod.rs
@@ -1,8 +1,10 @@
-//! The planner: one in all, on one of the stewards' VMs.
+//! The planner, which assigns slices to failure domains.
 //!
-//! It holds a lease in the key-value service, so that stewards do not all
-//! plan. Whoever acts without it, paused or wrongly believing, does no
-//! harm: a service's record is written only over the version read.
+//! There is one planner in a deployment, on the VM of one of the stewards.
+//! It holds a lease in the key-value service, so that only one steward
+//! plans. A VM that plans without the lease, after a pause or by mistake,
+//! does no harm: a service's record is written only over the version that
+//! was read.
 
 mod feed;
 mod heads;
@@ -18,34 +20,38 @@
 
 pub(crate) use self::feed::PlacementFeed;
 use self::{
-    heads::HeadWatch, lease::LeaseHold, lost::LostBook, round::plan_all,
+    heads::HeadWatch, lease::PlannerLease, lost::LostDomains, round::plan_all,
 };
-use crate::{context::NodeContext, control::TableSet, store::StorePause};
+use crate::{context::NodeContext, control::TableSet, store::StoreBackoff};
 
-/// How often the planner looks while slices are on the move, should it not
-/// be told that a domain has released some.
-const BUSY_EVERY: Duration = Duration::from_millis(500);
-/// How often it looks when nothing moves, and a steward tries to become it.
-const IDLE_EVERY: Duration = Duration::from_secs(2);
-/// How long it gathers news before it looks: domains' heads change within
-/// milliseconds of each other, and each look reads every service's record.
-const GATHER: Duration = Duration::from_millis(20);
+/// The interval between rounds while slices are moving, in case the update
+/// that a domain has released some is lost.
+const BUSY_INTERVAL: Duration = Duration::from_millis(500);
+/// The interval between rounds while nothing moves, and between attempts of
+/// a steward to become the planner.
+const IDLE_INTERVAL: Duration = Duration::from_secs(2);
+/// The delay between a change and the next round.
+///
+/// The heads of domains change within milliseconds of each other, and each
+/// round reads every service's record.
+const GATHER_DELAY: Duration = Duration::from_millis(20);
 
-/// Plans while this VM leads its domain and holds the planner's lease.
+/// Plans while this VM is its domain's steward and holds the planner's
+/// lease.
 pub(crate) async fn run_planner(
     context: Arc<NodeContext>,
     store: PlatformClient,
     mut known: watch::Receiver<Arc<TableSet>>,
     mut leading: watch::Receiver<bool>,
 ) {
-    let mut hold = LeaseHold::new(PlannerRecord {
+    let mut lease = PlannerLease::new(PlannerRecord {
         vm: context.vm().clone(),
         start: context.start,
         address: context.control_address(),
     });
-    let mut pause = StorePause::new();
+    let mut backoff = StoreBackoff::new();
     let mut heads = HeadWatch::default();
-    let mut lost = LostBook::default();
+    let mut lost = LostDomains::default();
     loop {
         if !*leading.borrow() {
             heads = HeadWatch::default();
@@ -53,16 +59,16 @@
         if leading.wait_for(|leading| *leading).await.is_err() {
             return;
         }
-        // A paused VM renews nothing: its lease has to end for another.
+        // A paused VM must not renew: its lease has to expire for another.
         context.faults.wait().await;
         let set = Arc::clone(&known.borrow_and_update());
-        let planned = match hold.keep(&store).await {
+        let planned = match lease.acquire_or_renew(&store).await {
             Ok(true) => {
                 heads.follow(&store, &domains(&set));
-                let book = heads.look();
+                let known_heads = heads.snapshot();
                 let stopping = lost.stopping(context.now(), &set);
                 let faults = &context.faults;
-                plan_all(&store, &set, &book, &stopping, faults).await
+                plan_all(&store, &set, &known_heads, &stopping, faults).await
             }
             Ok(false) => {
                 heads = HeadWatch::default();
@@ -72,51 +78,55 @@
         };
         match planned {
             Ok(busy) => {
-                pause.reset();
-                rest(busy, &set, &heads, &mut known).await;
+                backoff.reset();
+                wait_for_change(busy, &set, &heads, &mut known).await;
             }
             Err(error) => {
-                log::warn!("planner: the store gave no answer: {error}.");
-                pause.wait().await;
+                log::warn!("planner: a call to the store failed: {error}.");
+                backoff.wait().await;
             }
         }
     }
 }
 
-/// Waits until it is time to look again, or something has changed.
-async fn rest(
+/// Waits until the next round is due or something has changed.
+async fn wait_for_change(
     busy: bool,
     seen: &TableSet,
     heads: &HeadWatch,
     known: &mut watch::Receiver<Arc<TableSet>>,
 ) {
-    let before = mark(seen);
-    let limit = if busy { BUSY_EVERY } else { IDLE_EVERY };
+    let previous = revisions(seen);
+    let interval = if busy { BUSY_INTERVAL } else { IDLE_INTERVAL };
     tokio::select! {
-        () = tokio::time::sleep(limit) => return,
+        () = tokio::time::sleep(interval) => return,
         () = heads.changed(busy) => {}
-        // Who serves what within a domain is no news here.
-        () = news(known, before) => {}
+        // Which server of a domain owns a slice does not matter here.
+        () = wait_for_revisions(known, previous) => {}
     }
-    tokio::time::sleep(GATHER).await;
+    tokio::time::sleep(GATHER_DELAY).await;
 }
 
-/// Completes when a ticket or a division other than that of `before` is
-/// known.
-async fn news(known: &mut watch::Receiver<Arc<TableSet>>, before: (u64, u64)) {
-    if known.wait_for(|set| mark(set) != before).await.is_err() {
-        // The daemon ends, and this task with it.
+/// Completes when a ticket or a service's record other than that of
+/// `previous` is known.
+async fn wait_for_revisions(
+    known: &mut watch::Receiver<Arc<TableSet>>,
+    previous: (u64, u64),
+) {
+    if known.wait_for(|set| revisions(set) != previous).await.is_err() {
+        // The daemon is stopping, and this task with it.
         std::future::pending::<()>().await;
     }
 }
 
-/// Rises with each ticket and each change of a service's record.
-fn mark(set: &TableSet) -> (u64, u64) {
+/// A pair that changes with each ticket and each new revision of a
+/// service's record.
+fn revisions(set: &TableSet) -> (u64, u64) {
     let version = set.config.as_ref().map_or(0, |config| config.version);
     (version, set.homes.values().map(|record| record.revision).sum())
 }
 
-/// The failure domains of the configuration.
+/// The names of the failure domains of the configuration.
 fn domains(set: &TableSet) -> Vec<DomainName> {
     let domains = set.config.iter().flat_map(|config| &config.domains);
     domains.map(|rules| rules.name.clone()).collect()
--- a/goldcrestramp-node/src/store/division.rs
+++ b/goldcrestramp-node/src/store/division.rs
@@ -1,4 +1,5 @@
-//! Which failure domain holds each slice, as the store tells it.
+//! Reads and watches the records that assign each service's slices to
+//! failure domains.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,15 +15,16 @@
 
 use crate::{
     control::{ControlActor, HomesNotice, TableSet},
-    store::pause::StorePause,
+    store::backoff::StoreBackoff,
 };
 
-/// How long one watch waits; each is one call for the service to count.
-const WATCH_SPAN: TimeSpan = TimeSpan::from_millis(10_000);
+/// How long one watch waits. Each watch is one call, and the key-value
+/// service limits the calls.
+const WATCH_TIMEOUT: TimeSpan = TimeSpan::from_millis(10_000);
 /// How often the list of services is compared with the watches.
-const COMPARE_EVERY: Duration = Duration::from_millis(500);
+const COMPARE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Reads a service's record with the store's version.
+/// Reads a service's record together with its version in the store.
 pub(crate) async fn read_division(
     store: &PlatformClient,
     service: &ServiceName,
@@ -36,7 +38,7 @@
     Ok(Some((stored.version, record)))
 }
 
-/// While this VM leads, watches every service's record for its domain.
+/// Watches the record of every service while this VM is the steward.
 pub(crate) async fn watch_divisions(
     store: PlatformClient,
     known: watch::Receiver<Arc<TableSet>>,
@@ -57,11 +59,11 @@
                 )))
             });
         }
-        tokio::time::sleep(COMPARE_EVERY).await;
+        tokio::time::sleep(COMPARE_INTERVAL).await;
     }
 }
 
-/// A watch that ends when it is dropped.
+/// The task of a watch. Dropping it aborts the task.
 #[derive(Debug)]
 struct WatchTask(JoinHandle<()>);
 
@@ -93,41 +95,43 @@
     if let Some(known) = known {
         gate.observe(known.as_ref());
     }
-    let mut pause = StorePause::new();
+    let mut backoff = StoreBackoff::new();
     let mut seen = 0;
     loop {
-        // The first look is a read: a watch would wait for a change.
+        // The first call is a read, since a watch waits for a change.
         let found = if seen == 0 {
             store.get(&key).await
         } else {
-            store.watch(&key, seen, WATCH_SPAN).await
+            store.watch(&key, seen, WATCH_TIMEOUT).await
         };
         match found {
             Ok(Some(stored)) => {
-                pause.reset();
+                backoff.reset();
                 seen = stored.version;
-                take(&store, &key, &mut gate, Some(&stored), &actor).await;
+                apply_stored(&store, &key, &mut gate, Some(&stored), &actor)
+                    .await;
             }
             Ok(None) if seen == 0 => {
-                take(&store, &key, &mut gate, None, &actor).await;
-                pause.wait().await;
+                apply_stored(&store, &key, &mut gate, None, &actor).await;
+                backoff.wait().await;
             }
-            // A watch that ends unchanged; a value that went is read again
-            // now and then.
+            // The watch timed out, or the value was deleted. The next call
+            // is a read, which finds out whether there is a value.
             Ok(None) => {
-                pause.reset();
+                backoff.reset();
                 seen = 0;
             }
             Err(error) => {
-                log::warn!("store: {key} is not read: {error}.");
-                pause.wait().await;
+                log::warn!("store: cannot watch {key}: {error}.");
+                backoff.wait().await;
             }
         }
     }
 }
 
-/// Passes a newer record on; writes the newer known one over an older.
-async fn take(
+/// Sends a newer record to the actor, or writes the known record back if
+/// the store returned an older one.
+async fn apply_stored(
     store: &PlatformClient,
     key: &str,
     gate: &mut VersionGate<ServiceRecord>,
@@ -139,23 +143,28 @@
             drop(actor.send(HomesNotice(Arc::new(record))).await);
         }
         GateVerdict::Older(rewrite) => {
-            log::warn!("store: {key} came back older; written again.");
-            write_again(store, key, rewrite).await;
+            log::warn!("store: {key} has an older revision; writing it back.");
+            write_back(store, key, rewrite).await;
         }
         GateVerdict::Forked => {
-            log::error!("store: {key} has two values of one revision.");
+            log::error!(
+                "store: {key} has two different values of one revision."
+            );
         }
         GateVerdict::Malformed(error) => {
-            log::error!("store: {key}: {error}.");
+            log::error!("store: cannot decode {key}: {error}.");
         }
         GateVerdict::Same | GateVerdict::Absent => {}
     }
 }
 
-/// Whoever is first is enough; the next look tells what became of it.
-async fn write_again(store: &PlatformClient, key: &str, write: StoreRewrite) {
-    let put = store.put(key, write.condition, write.value, None).await;
+/// Writes the known record back over an older one.
+///
+/// Several stewards may try and one success is enough, so the outcome is
+/// not resolved; the next read shows it.
+async fn write_back(store: &PlatformClient, key: &str, rewrite: StoreRewrite) {
+    let put = store.put(key, rewrite.condition, rewrite.value, None).await;
     if let Err(error) = put {
-        log::warn!("store: {key} is not written again: {error}.");
+        log::warn!("store: cannot write {key} back: {error}.");
     }
 }
--- a/goldcrestramp-node/src/store/mod.rs
+++ b/goldcrestramp-node/src/store/mod.rs
@@ -1,13 +1,14 @@
-//! The steward's and the planner's records in the key-value service.
+//! Reads and writes the steward's and the planner's records in the
+//! key-value service.
 
+mod backoff;
 mod division;
-mod pause;
 mod record;
 mod roster;
 
 pub(crate) use self::{
+    backoff::StoreBackoff,
     division::{read_division, watch_divisions},
-    pause::StorePause,
     record::{RecordStore, read_view},
     roster::{read_roster, save_roster},
 };
--- a/goldcrestramp-node/src/store/record.rs
+++ b/goldcrestramp-node/src/store/record.rs
@@ -1,4 +1,4 @@
-//! A failure domain's record: a head and its shards.
+//! Reads and writes a failure domain's record: a head and its shards.
 
 use std::{fmt, sync::Arc};
 
@@ -15,14 +15,14 @@
 use goldcrestramp_types::{DomainName, FastMap, ServiceName};
 use tokio::sync::Mutex;
 
-/// A shard as it was last seen in the store, with the store's version.
+/// A shard as last read or written, with its version in the store.
 #[derive(Clone, Debug)]
 struct KnownShard {
     version: u64,
     shard: DomainShard,
 }
 
-/// What the store was last seen to hold.
+/// The record as last read from or written to the store.
 #[derive(Clone, Debug, Default)]
 struct KnownRecord {
     head: Option<(u64, DomainHead)>,
@@ -30,13 +30,13 @@
     directory: ServerDirectory,
 }
 
-/// Why a record was not read or written.
+/// Why reading or writing a record failed.
 #[derive(Debug)]
 enum RecordFailure {
     Store(StoreError),
     Record(RecordError),
-    /// Another steward has written.
-    Overtaken,
+    /// Another steward has written the record.
+    Superseded,
 }
 
 impl fmt::Display for RecordFailure {
@@ -44,7 +44,7 @@
         match self {
             Self::Store(error) => error.fmt(f),
             Self::Record(error) => error.fmt(f),
-            Self::Overtaken => f.write_str("another steward has written"),
+            Self::Superseded => f.write_str("another steward wrote it"),
         }
     }
 }
@@ -63,8 +63,9 @@
 
 /// Reads and writes one domain's record, one call at a time.
 ///
-/// Only what changed is written. What was last seen is kept, so that a
-/// save takes no reads; a write over anything else fails and forgets it.
+/// A save writes only the shards that changed. The last known record is
+/// cached, so that a save needs no reads. A write fails if the store holds
+/// anything else; the cache is then cleared.
 #[derive(Clone, Debug)]
 pub(crate) struct RecordStore {
     store: PlatformClient,
@@ -73,15 +74,17 @@
 }
 
 impl RecordStore {
-    /// A record that has not been read yet.
+    /// A store whose cache is empty: the first save reads the record.
     pub(crate) fn open(store: PlatformClient, domain: DomainName) -> Self {
         Self { store, domain, known: Arc::default() }
     }
 
-    /// Reads the record for the steward; `None`: the store did not answer.
+    /// Reads the record for the steward. Returns `None` if the store did
+    /// not respond.
     ///
-    /// A malformed or torn record counts as none: servers know best what
-    /// they hold, and are asked before anything is decided.
+    /// A malformed or torn record is treated as missing. This is safe,
+    /// because the steward queries the servers for what they hold before it
+    /// decides anything.
     pub(crate) async fn read(self) -> Option<StewardEvent> {
         let mut known = self.known.lock().await;
         *known = None;
@@ -91,11 +94,11 @@
                 Some(StewardEvent::RecordRead(record))
             }
             Err(RecordFailure::Store(error)) => {
-                log::warn!("store: the domain's record: {error}.");
+                log::warn!("store: cannot read the domain's record: {error}.");
                 None
             }
             Err(error) => {
-                log::error!("store: the domain's record: {error}.");
+                log::error!("store: malformed record of the domain: {error}.");
                 Some(StewardEvent::RecordRead(None))
             }
         }
@@ -113,12 +116,12 @@
         match saved {
             Ok(()) => Some(StewardEvent::RecordSaved(record.token)),
             Err(error) => {
-                log::warn!("store: the record is not saved: {error}.");
-                // What the store holds now is not known any more.
+                log::warn!("store: cannot save the domain's record: {error}.");
+                // The content of the store is no longer known.
                 *known = None;
                 drop(known);
-                let overtaken = matches!(error, RecordFailure::Overtaken);
-                if overtaken { self.read().await } else { None }
+                let superseded = matches!(error, RecordFailure::Superseded);
+                if superseded { self.read().await } else { None }
             }
         }
     }
@@ -138,7 +141,7 @@
         }
         let stored = known.head.as_ref().map(|(_, head)| head.token);
         if stored.is_some_and(|stored| stored > record.token) {
-            return Err(RecordFailure::Overtaken);
+            return Err(RecordFailure::Superseded);
         }
         if stored == Some(record.token) {
             return Ok(());
@@ -149,22 +152,23 @@
         for shard in shards {
             kept.push(self.save_shard(known, shard).await?);
         }
-        // The head goes last: a save that breaks off before it leaves the
-        // older token, by which what servers report counts as newer.
+        // The head is written last: a save that fails before it leaves the
+        // older token, so that reports of servers count as newer.
         let stranded = record.stranded.clone();
         let domain = self.domain.clone();
         let head = DomainHead::of(domain, record.token, &kept, stranded);
-        let before = known.head.as_ref().map(|(version, _)| *version);
+        let previous = known.head.as_ref().map(|(version, _)| *version);
         let key = keys::domain_head(&self.domain);
-        let version = self.put(&key, before, &head).await?;
+        let version = self.put(&key, previous, &head).await?;
         known.head = Some((version, head));
         Ok(())
     }
 
-    /// Writes a shard unless the store has it; gives what is stored then.
+    /// Writes a shard unless the store has its content already. Returns the
+    /// stored shard.
     ///
-    /// The first save of a term writes all of them: a late write of a
-    /// former steward then fails on the version.
+    /// The first save of a term writes every shard, so that a late write of
+    /// a previous steward fails on the version.
     async fn save_shard(
         &self,
         known: &mut KnownRecord,
@@ -172,15 +176,15 @@
     ) -> Result<DomainShard, RecordFailure> {
         let key =
             keys::domain_shard(&shard.domain, &shard.service, shard.shard);
-        let before = known.shards.get(&key);
-        if let Some(before) = before
-            && before.shard.token.term == shard.token.term
-            && before.shard.same_content(&shard)
+        let previous = known.shards.get(&key);
+        if let Some(previous) = previous
+            && previous.shard.token.term == shard.token.term
+            && previous.shard.same_content(&shard)
         {
-            return Ok(before.shard.clone());
+            return Ok(previous.shard.clone());
         }
-        let before = before.map(|known| known.version);
-        let version = self.put(&key, before, &shard).await?;
+        let previous = previous.map(|known| known.version);
+        let version = self.put(&key, previous, &shard).await?;
         let stored = KnownShard { version, shard: shard.clone() };
         known.shards.insert(key, stored);
         Ok(shard)
@@ -189,25 +193,25 @@
     async fn put<R: StoreRecord>(
         &self,
         key: &str,
-        before: Option<u64>,
+        previous: Option<u64>,
         record: &R,
     ) -> Result<u64, RecordFailure> {
         let value = record.encode()?;
         let condition =
-            before.map_or(PutCondition::Absent, PutCondition::Version);
-        let fate = resolve_write(&self.store, key, condition, value, None);
-        match fate.await? {
+            previous.map_or(PutCondition::Absent, PutCondition::Version);
+        let outcome = resolve_write(&self.store, key, condition, value, None);
+        match outcome.await? {
             WriteOutcome::Written(version) => Ok(version),
-            WriteOutcome::Superseded(_) => Err(RecordFailure::Overtaken),
+            WriteOutcome::Superseded(_) => Err(RecordFailure::Superseded),
             WriteOutcome::Lost => {
-                let why = "the write was lost".to_owned();
-                Err(RecordFailure::Store(StoreError::Unavailable(why)))
+                let reason = "the write was lost".to_owned();
+                Err(RecordFailure::Store(StoreError::Unavailable(reason)))
             }
         }
     }
 }
 
-/// Reads the head, then every shard that it names.
+/// Reads the head, then every shard that it references.
 async fn load(
     store: &PlatformClient,
     domain: &DomainName,
@@ -218,8 +222,9 @@
     };
     let head = DomainHead::decode(&stored.value)?;
     let mut shards = Vec::with_capacity(head.shards.len());
-    for mark in &head.shards {
-        let key = keys::domain_shard(domain, &mark.service, mark.shard);
+    for reference in &head.shards {
+        let key =
+            keys::domain_shard(domain, &reference.service, reference.shard);
         let Some(stored) = store.get(&key).await? else {
             continue;
         };
@@ -235,9 +240,9 @@
     Ok((known, Some(record)))
 }
 
-/// What a domain's record says of one service.
+/// Reads the part of a domain's record that concerns one service.
 ///
-/// `None`: it could not be read, so nothing may be concluded from it.
+/// Returns `None` if it could not be read; nothing may be concluded then.
 pub(crate) async fn read_view(
     store: &PlatformClient,
     domain: &DomainName,
@@ -250,11 +255,11 @@
     };
     let head = DomainHead::decode(&stored.value).ok()?;
     view.stranded = head.stranded.get(service).copied();
-    for mark in head.shards.iter().filter(|m| m.service == *service) {
-        let key = keys::domain_shard(domain, service, mark.shard);
+    for reference in head.shards.iter().filter(|m| m.service == *service) {
+        let key = keys::domain_shard(domain, service, reference.shard);
         let stored = store.get(&key).await.ok()??;
         let shard = DomainShard::decode(&stored.value).ok()?;
-        if shard.token < mark.token {
+        if shard.token < reference.token {
             return None;
         }
         for slices in shard.holders.values() {
--- a/goldcrestramp-node/src/store/roster.rs
+++ b/goldcrestramp-node/src/store/roster.rs
@@ -1,4 +1,4 @@
-//! A failure domain's voters.
+//! Reads and writes the voter roster of a failure domain.
 
 use goldcrestramp_ownership::{StewardEvent, VoterRoster};
 use goldcrestramp_platform::{
@@ -10,9 +10,9 @@
 
 /// Reads the roster for the steward.
 ///
-/// `None`: the store did not answer, or holds a value that nobody can
-/// read. Taken for "no roster", either would let a VM make a new one of
-/// itself beside a majority that acts.
+/// Returns `None` if the store did not respond or its value is malformed.
+/// Treating either as "no roster" would let a VM create a roster of its own
+/// beside a majority that is still active.
 pub(crate) async fn read_roster(
     store: PlatformClient,
     domain: DomainName,
@@ -24,7 +24,9 @@
     match VoterRoster::decode(&stored.value) {
         Ok(roster) => Some(StewardEvent::RosterRead(Some(roster))),
         Err(error) => {
-            log::error!("store: the roster of {domain}: {error}.");
+            log::error!(
+                "store: cannot decode the roster of {domain}: {error}."
+            );
             None
         }
     }
@@ -32,13 +34,13 @@
 
 /// Writes a roster over an older one.
 ///
-/// The one before it, as a rule; after the store came back with older
-/// data, whichever older one is there.
+/// The older one is normally the direct predecessor. After a restore of the
+/// store from older data it can be any older version.
 pub(crate) async fn save_roster(
     store: PlatformClient,
     roster: VoterRoster,
 ) -> Option<StewardEvent> {
-    let refused = Some(StewardEvent::RosterSaved(Err(())));
+    let rejected = Some(StewardEvent::RosterSaved(Err(())));
     let key = keys::roster(&roster.domain);
     let stored = store.get(&key).await.ok()?;
     let condition = match &stored {
@@ -46,24 +48,24 @@
         Some(stored) => PutCondition::Version(stored.version),
     };
     if let Some(stored) = stored {
-        let before = VoterRoster::decode(&stored.value).ok()?;
-        if before.version >= roster.version {
-            return refused;
+        let previous = VoterRoster::decode(&stored.value).ok()?;
+        if previous.version >= roster.version {
+            return rejected;
         }
     }
     let value = match roster.encode() {
         Ok(value) => value,
         Err(error) => {
-            log::error!("store: a roster is not kept: {error}.");
-            return refused;
+            log::error!("store: cannot encode a roster: {error}.");
+            return rejected;
         }
     };
     match resolve_write(&store, &key, condition, value, None).await {
         Ok(WriteOutcome::Written(_)) => {
             Some(StewardEvent::RosterSaved(Ok(roster)))
         }
-        Ok(WriteOutcome::Superseded(_)) => refused,
-        // Not written, or not known: the steward reads it again.
+        Ok(WriteOutcome::Superseded(_)) => rejected,
+        // Not written, or the outcome is unknown: the steward reads it.
         Ok(WriteOutcome::Lost) | Err(_) => None,
     }
 }
