--- a/goldcrestramp-node/src/control/reader.rs
+++ b/goldcrestramp-node/src/control/reader.rs
@@ -29,8 +29,8 @@
     store::{StoreBackoff, read_division, read_roster},
 };
 
-/// How long one watch waits. Each watch is one call, and the key-value
-/// service limits the calls.
+/// How long one watch waits. Each watch counts as one call to the key-value
+/// service.
 const WATCH_TIMEOUT: TimeSpan = TimeSpan::from_millis(10_000);
 /// How long a VM searches for a steward before it reads the roster again.
 ///
--- a/goldcrestramp-node/src/control/tables.rs
+++ b/goldcrestramp-node/src/control/tables.rs
@@ -197,12 +197,12 @@
             if only.is_some_and(|only| only != domain) {
                 continue;
             }
-            let sent = self.tables.get(domain);
-            if sent.is_some_and(|sent| *sent >= table.version) {
+            let last_sent = self.tables.get(domain);
+            if last_sent.is_some_and(|last_sent| *last_sent >= table.version) {
                 continue;
             }
             let change = set.changes.get(domain);
-            let change = change.filter(|c| sent == Some(&c.base));
+            let change = change.filter(|c| last_sent == Some(&c.base));
             updates.push(match change {
                 Some(change) => convert::change_out(change),
                 None => convert::table_out(table),
@@ -225,8 +225,8 @@
         let mut update = TableUpdate::default();
         self.config_update(set, &mut update);
         for homes in set.homes.values() {
-            let sent = self.homes.get(&homes.service).copied();
-            if sent.is_some_and(|sent| sent >= homes.revision) {
+            let last_sent = self.homes.get(&homes.service).copied();
+            if last_sent.is_some_and(|last_sent| last_sent >= homes.revision) {
                 continue;
             }
             self.homes.insert(homes.service.clone(), homes.revision);
--- a/goldcrestramp-node/src/planner/heads.rs
+++ b/goldcrestramp-node/src/planner/heads.rs
@@ -19,8 +19,8 @@
 
 use crate::store::StoreBackoff;
 
-/// How long one watch waits. Each watch is one call, and the key-value
-/// service limits the calls.
+/// How long one watch waits. Each watch counts as one call to the key-value
+/// service.
 const WATCH_TIMEOUT: TimeSpan = TimeSpan::from_millis(10_000);
 
 /// The last known content of the heads.
--- a/goldcrestramp-node/src/store/division.rs
+++ b/goldcrestramp-node/src/store/division.rs
@@ -18,8 +18,8 @@
     store::backoff::StoreBackoff,
 };
 
-/// How long one watch waits. Each watch is one call, and the key-value
-/// service limits the calls.
+/// How long one watch waits. Each watch counts as one call to the key-value
+/// service.
 const WATCH_TIMEOUT: TimeSpan = TimeSpan::from_millis(10_000);
 /// How often the list of services is compared with the watches.
 const COMPARE_INTERVAL: Duration = Duration::from_millis(500);
@@ -98,7 +98,8 @@
     let mut backoff = StoreBackoff::new();
     let mut seen = 0;
     loop {
-        // The first call is a read, since a watch waits for a change.
+        // The first call is a read: a watch of a missing value waits until
+        // it is written.
         let found = if seen == 0 {
             store.get(&key).await
         } else {
