--- a/goldcrestramp-node/src/gateway/places.rs
+++ b/goldcrestramp-node/src/gateway/admission.rs
@@ -1,30 +1,30 @@
-//! The places of a gateway, shared by caller.
+//! Bounds the requests in flight at a gateway, shared among its callers.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use goldcrestramp_decisions::GatewayLimit;
 use goldcrestramp_types::{CallerName, NotRunReason};
 
-/// What this gateway has under way.
+/// The requests that this gateway has in flight.
 #[derive(Clone, Debug)]
-pub(crate) struct GatewayPlaces {
+pub(crate) struct GatewayAdmission {
     limit: Arc<Mutex<GatewayLimit>>,
 }
 
-impl GatewayPlaces {
-    /// A gateway that may have `limit` requests under way.
+impl GatewayAdmission {
+    /// Admits at most `limit` requests at a time.
     pub(crate) fn new(limit: usize) -> Self {
         let limit = GatewayLimit::new(limit);
         Self { limit: Arc::new(Mutex::new(limit)) }
     }
 
-    /// Takes a place until the guard is dropped.
+    /// Admits a request until the guard is dropped.
     pub(crate) fn enter(
         &self,
         caller: &CallerName,
-    ) -> Result<PlaceGuard, NotRunReason> {
+    ) -> Result<AdmissionGuard, NotRunReason> {
         self.lock().enter(caller)?;
-        Ok(PlaceGuard { places: self.clone(), caller: caller.clone() })
+        Ok(AdmissionGuard { admission: self.clone(), caller: caller.clone() })
     }
 
     fn lock(&self) -> MutexGuard<'_, GatewayLimit> {
@@ -32,15 +32,15 @@
     }
 }
 
-/// A caller's place; held until its answer has been passed on.
+/// An admitted request; held until its response has been forwarded.
 #[derive(Debug)]
-pub(crate) struct PlaceGuard {
-    places: GatewayPlaces,
+pub(crate) struct AdmissionGuard {
+    admission: GatewayAdmission,
     caller: CallerName,
 }
 
-impl Drop for PlaceGuard {
+impl Drop for AdmissionGuard {
     fn drop(&mut self) {
-        self.places.lock().leave(&self.caller);
+        self.admission.lock().leave(&self.caller);
     }
 }
--- a/goldcrestramp-node/src/gateway/attempt.rs
+++ b/goldcrestramp-node/src/gateway/attempt.rs
@@ -1,4 +1,4 @@
-//! One try: a request to one keeper, and what its first frame tells.
+//! One attempt: sends a request to one keeper and reads the first frame.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,33 +15,36 @@
 use crate::gateway::{
     request::CallerRequest,
     route::{
-        KeeperPlace, RequestRouter, RouteAnswer, RouteDone, RouteStream,
-        refused,
+        KeeperTarget, RequestRouter, ResponseStream, RouteOutcome,
+        RouteResponse, refused,
     },
 };
 
-/// How long a keeper that lost a server may take to redirect its requests
-/// itself, and to let what runs end, before it is taken as silent.
+/// How long a keeper that lost a server may take to redirect its requests and
+/// to complete those that run, before it counts as unresponsive.
 const MOVE_GRACE: Duration = Duration::from_millis(300);
-/// How long a keeper's answer may be on its way back.
-const ANSWER_MARGIN: TimeSpan = TimeSpan::from_millis(700);
+/// How long a keeper's response may be in transit.
+const RESPONSE_MARGIN: TimeSpan = TimeSpan::from_millis(700);
 
-/// What one try came to.
-pub(super) enum TryOutcome {
-    /// This is the caller's answer.
-    Answer(RouteAnswer),
-    /// It did not run; try again, at this address if one is named.
-    Again(RetryReason, Option<KeeperPlace>),
-    /// It may have run, and is idempotent.
+/// The result of one attempt.
+pub(super) enum AttemptResult {
+    /// The caller gets this outcome.
+    Final(RouteOutcome),
+    /// The request did not run. It is retried, at this target if there is
+    /// one.
+    Retry(RetryReason, Option<KeeperTarget>),
+    /// The request may have run, and is idempotent.
     BrokenOff(UnknownReason),
-    /// The keeper or its server refused it, and says when to come back.
+    /// The keeper or its server refused the request; the span is the time
+    /// until a retry.
     Refused(NotRunReason, TimeSpan),
 }
 
-/// Sends a request; its first frame, how long the keeper took for it, and
-/// the frames that follow.
+/// Sends a request and returns its first frame, the time that the keeper took
+/// for it, and the frames that follow.
 ///
-/// `None`: the keeper went silent or broke off before the first.
+/// Returns `None` if the keeper did not respond or the connection broke
+/// before the first frame.
 pub(super) async fn first_frame(
     channel: Channel,
     message: RouteRequest,
@@ -54,72 +57,73 @@
 }
 
 impl RequestRouter {
-    /// Sends the request to this keeper; what it came to.
+    /// Sends the request to this keeper and returns the result.
     pub(super) async fn attempt(
         &self,
         request: &CallerRequest,
-        place: &KeeperPlace,
-    ) -> TryOutcome {
-        let address = &place.address;
+        target: &KeeperTarget,
+    ) -> AttemptResult {
+        let address = &target.address;
         let Ok(channel) = self.channels.open(address).await else {
-            return TryOutcome::Again(RetryReason::KeeperUnreachable, None);
+            return AttemptResult::Retry(RetryReason::KeeperUnreachable, None);
         };
         let now = self.context.now();
-        let left = request.deadline.since(now);
-        let way = self.channels.one_way(address);
-        // Sent without the time of the way, a request could start after its
-        // caller has given it up, and hold a slot for nobody.
-        let Some(rest) = timeout_to_forward(now, request.deadline, way) else {
-            let reason = if left == TimeSpan::ZERO {
+        let remaining = request.deadline.since(now);
+        let one_way = self.channels.one_way(address);
+        // Without subtracting the transit time, a request could start after
+        // its caller stopped waiting, and occupy a slot for nothing.
+        let Some(timeout) = timeout_to_forward(now, request.deadline, one_way)
+        else {
+            let reason = if remaining == TimeSpan::ZERO {
                 NotRunReason::DeadlinePassed
             } else {
                 NotRunReason::DeadlineTooShort
             };
-            return TryOutcome::Answer(refused(reason));
+            return AttemptResult::Final(refused(reason));
         };
-        let message = self.message(request, &place.server, rest);
+        let message = self.message(request, &target.server, timeout);
         let call = first_frame(channel, message);
-        // The keeper answers by the deadline; the margin is for its way
-        // back, so that its own, truer answer is not missed.
-        let wait = left.plus(ANSWER_MARGIN);
+        // The keeper responds by the deadline. The margin covers the transit
+        // of its response, which is more exact than a timeout here.
+        let wait = remaining.plus(RESPONSE_MARGIN);
         let call = tokio::time::timeout(wait.to_std(), call);
         let mut call = std::pin::pin!(call);
-        let answered = tokio::select! {
-            answered = &mut call => answered,
-            () = self.moved(request, address) => {
-                match self.lost(request, place, left).await {
-                    // Nobody else knows: the first keeper may yet answer.
-                    TryOutcome::Answer(RouteAnswer::Unknown { .. }) => {
+        let response = tokio::select! {
+            response = &mut call => response,
+            () = self.owner_moved(request, address) => {
+                match self.keeper_lost(request, target, remaining).await {
+                    // No other keeper knows; the first may still respond.
+                    AttemptResult::Final(RouteOutcome::Unknown { .. }) => {
                         call.await
                     }
                     found => return found,
                 }
             }
         };
-        match answered {
+        match response {
             Ok(Some((first, spent, frames))) => {
                 let waited = self.context.now().since(now);
                 self.channels.record_trip(address, waited.minus(spent));
-                self.first(request, first, frames)
+                self.read_first(request, first, frames)
             }
             Ok(None) => {
                 self.channels.forget(address);
-                self.lost(request, place, left).await
+                self.keeper_lost(request, target, remaining).await
             }
             Err(_elapsed) => {
                 let reason = UnknownReason::DeadlinePassed;
-                TryOutcome::Answer(RouteAnswer::unknown(reason))
+                AttemptResult::Final(RouteOutcome::unknown(reason))
             }
         }
     }
 
-    /// Completes when the key's requests have gone to another keeper for a
-    /// while.
+    /// Completes when the routing table has sent the key's requests to
+    /// another keeper for [`MOVE_GRACE`].
     ///
-    /// A keeper that was cut off or paused answers nobody, and its
-    /// connection stays open for seconds: its callers would wait though
+    /// A keeper that was cut off or paused does not respond, and its
+    /// connection stays open for seconds. Its callers would wait although
     /// another VM keeps the server by then.
-    async fn moved(&self, request: &CallerRequest, address: &Arc<str>) {
+    async fn owner_moved(&self, request: &CallerRequest, address: &Arc<str>) {
         let mut changes = self.context.table_changed.subscribe();
         loop {
             if self.is_elsewhere(request, address) {
@@ -129,7 +133,7 @@
                 }
             }
             if changes.changed().await.is_err() {
-                // The daemon ends, and its requests with it.
+                // The daemon stops, and its requests with it.
                 std::future::pending::<()>().await;
             }
         }
@@ -145,32 +149,32 @@
         target.is_some_and(|target| *target.address != *address)
     }
 
-    /// The keeper went silent: an idempotent request is sent again, of any
-    /// other it is found out what became of it.
-    async fn lost(
+    /// Handles a keeper that does not respond: an idempotent request is
+    /// retried, the outcome of any other is queried.
+    async fn keeper_lost(
         &self,
         request: &CallerRequest,
-        place: &KeeperPlace,
-        left: TimeSpan,
-    ) -> TryOutcome {
+        target: &KeeperTarget,
+        remaining: TimeSpan,
+    ) -> AttemptResult {
         match self.effect(request) {
             RequestEffect::Idempotent => {
-                TryOutcome::BrokenOff(UnknownReason::KeeperLost)
+                AttemptResult::BrokenOff(UnknownReason::KeeperLost)
             }
             RequestEffect::NonIdempotent => {
-                let age = left.minus(self.left(request));
-                let server = &place.server;
-                TryOutcome::Answer(self.recover(request, server, age).await)
+                let age = remaining.minus(self.remaining(request));
+                let server = &target.server;
+                AttemptResult::Final(self.recover(request, server, age).await)
             }
         }
     }
 
-    /// The request as it is sent to a keeper.
+    /// Encodes the request for a keeper.
     pub(super) fn message(
         &self,
         request: &CallerRequest,
         server: &ServerName,
-        left: TimeSpan,
+        remaining: TimeSpan,
     ) -> RouteRequest {
         RouteRequest {
             server: server.to_string(),
@@ -179,7 +183,7 @@
             caller: request.caller.to_string(),
             request: request.name.to_string(),
             class: request.class.code().to_owned(),
-            left_micros: left.as_micros(),
+            left_micros: remaining.as_micros(),
             resend: request.resend,
             body: request.body.clone(),
             region: self.context.settings.region.to_string(),
@@ -187,75 +191,84 @@
         }
     }
 
-    fn left(&self, request: &CallerRequest) -> TimeSpan {
+    fn remaining(&self, request: &CallerRequest) -> TimeSpan {
         request.deadline.since(self.context.now())
     }
 
-    /// Reads the first frame, which tells the outcome.
-    pub(super) fn first(
+    /// Reads the first frame, which holds the outcome.
+    pub(super) fn read_first(
         &self,
         request: &CallerRequest,
         first: Frame,
         frames: Streaming<RouteFrame>,
-    ) -> TryOutcome {
+    ) -> AttemptResult {
         match first {
             Frame::Head(head) => {
                 let context = Arc::clone(&self.context);
-                let frames = RouteStream { frames, context };
-                let done = Box::new(RouteDone { head, frames });
-                TryOutcome::Answer(RouteAnswer::Done(done))
+                let frames = ResponseStream { frames, context };
+                let done = Box::new(RouteResponse { head, frames });
+                AttemptResult::Final(RouteOutcome::Done(done))
             }
             Frame::Redirect(redirect) => {
                 let server = ServerName::new(&redirect.server).ok();
                 let address = Arc::from(redirect.address);
-                let place =
-                    server.map(|server| KeeperPlace { address, server });
-                TryOutcome::Again(RetryReason::Redirected, place)
+                let target =
+                    server.map(|server| KeeperTarget { address, server });
+                AttemptResult::Retry(RetryReason::Redirected, target)
             }
             Frame::NotRun(not_run) => {
                 let reason = NotRunReason::from_code(&not_run.reason)
                     .unwrap_or(NotRunReason::ServerRefused);
                 let wait = TimeSpan::from_micros(not_run.retry_after_micros);
-                declined(reason, wait)
+                not_run_result(reason, wait)
             }
             Frame::Unknown(unknown) => {
                 let reason = UnknownReason::from_code(&unknown.reason)
                     .unwrap_or(UnknownReason::ServerLost);
-                undecided(self.effect(request), reason)
+                unknown_result(self.effect(request), reason)
             }
             Frame::Data(_) | Frame::End(_) => {
                 let reason = UnknownReason::CrossedAnswer;
-                TryOutcome::Answer(RouteAnswer::unknown(reason))
+                AttemptResult::Final(RouteOutcome::unknown(reason))
             }
         }
     }
 }
 
-/// An idempotent request whose server fell silent is sent again.
-fn undecided(effect: RequestEffect, reason: UnknownReason) -> TryOutcome {
-    let again = matches!(
+/// The result for a keeper's *unknown*: an idempotent request whose server was
+/// lost is retried.
+fn unknown_result(
+    effect: RequestEffect,
+    reason: UnknownReason,
+) -> AttemptResult {
+    let is_lost = matches!(
         reason,
         UnknownReason::ServerLost | UnknownReason::CrossedAnswer
     );
-    if again && effect == RequestEffect::Idempotent {
-        return TryOutcome::BrokenOff(reason);
+    if is_lost && effect == RequestEffect::Idempotent {
+        return AttemptResult::BrokenOff(reason);
     }
-    TryOutcome::Answer(RouteAnswer::unknown(reason))
+    AttemptResult::Final(RouteOutcome::unknown(reason))
 }
 
-/// A keeper's *not run*: the owner may only have moved.
-fn declined(reason: NotRunReason, wait: TimeSpan) -> TryOutcome {
+/// The result for a keeper's *not run*: it is retried if the owner may only
+/// have moved.
+fn not_run_result(reason: NotRunReason, wait: TimeSpan) -> AttemptResult {
     match reason {
         NotRunReason::NoOwner | NotRunReason::OwnerMoved => {
-            TryOutcome::Again(RetryReason::NoOwner, None)
+            AttemptResult::Retry(RetryReason::NoOwner, None)
         }
         NotRunReason::ServerUnreachable | NotRunReason::ServerRefused => {
-            TryOutcome::Refused(reason, wait)
+            AttemptResult::Refused(reason, wait)
         }
         _ => {
             let retry_after = Some(wait);
             let by = RefusedBy::Keeper;
-            TryOutcome::Answer(RouteAnswer::NotRun { reason, retry_after, by })
+            AttemptResult::Final(RouteOutcome::NotRun {
+                reason,
+                retry_after,
+                by,
+            })
         }
     }
 }
--- a/goldcrestramp-node/src/gateway/listener.rs
+++ b/goldcrestramp-node/src/gateway/listener.rs
@@ -1,4 +1,4 @@
-//! The callers' listener: bounded connections, bounded heads.
+//! The listener for callers, with bounded connections and request heads.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -17,32 +17,32 @@
 };
 use warp::{Filter, Rejection, Reply};
 
-/// Connections beyond this wait in the system's own queue.
-const CONNECTIONS_MOST: usize = 8_192;
-/// A caller that has not sent its head by then is cut off: half-open
-/// connections would otherwise use up all of [`CONNECTIONS_MOST`].
+/// Connections beyond this number wait in the accept queue of the system.
+const MAX_CONNECTIONS: usize = 8_192;
+/// A connection whose request head takes longer is closed. Half-open
+/// connections would otherwise use up [`MAX_CONNECTIONS`].
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
-/// The largest head of a request, in bytes.
-const HEAD_LIMIT: usize = 16 * 1_024;
-/// The most header lines of a request.
-const HEADERS_MOST: usize = 64;
-/// A pause after the system refused to accept, such as when it is out of
-/// file descriptors: it ends by itself, and spinning would not help.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// The maximum size of a request head, in bytes.
+const MAX_HEAD_BYTES: usize = 16 * 1_024;
+/// The maximum number of header lines of a request.
+const MAX_HEADERS: usize = 64;
+/// The delay after a failed accept, for example for lack of file descriptors.
+/// The condition is temporary, and a busy loop would not help.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// How long a listener that is to stop goes on taking new connections.
+/// How long a draining listener still accepts new connections.
 ///
-/// The platform's balancer and callers' pools learn of a leaving VM by its
-/// health page and by answers that end their connection; whoever connects
-/// before that would be reset in the middle of a request.
-const LEAVING_LINGER: Duration = Duration::from_secs(1);
-/// How long connections that are open then may still bring a request.
+/// The platform's load balancer and callers' pools detect a draining VM by its
+/// health page and by responses that close their connection. A caller that
+/// connects before that would be reset in the middle of a request.
+const DRAIN_ACCEPT_TIME: Duration = Duration::from_secs(1);
+/// How long open connections may still send a request after that.
 ///
-/// A caller may send on an idle connection in the moment in which it is
-/// closed, and then cannot tell whether its order ran. One that is in use
-/// brings its next request within this time and is told to end; what stays
-/// idle for so long is at the bottom of its caller's pool.
-const IDLE_LINGER: Duration = Duration::from_secs(1);
+/// A caller may send on an idle connection at the moment it is closed, and
+/// then cannot know whether its order ran. A connection in use sends its next
+/// request within this time, and the response closes it. One that stays idle
+/// longer is at the bottom of its caller's pool.
+const DRAIN_IDLE_TIME: Duration = Duration::from_secs(1);
 
 /// A running listener for callers.
 #[derive(Debug)]
@@ -74,11 +74,11 @@
         self.address
     }
 
-    /// Serves on for a moment, then takes no new connection or request, and
-    /// waits for those under way.
+    /// Continues to serve for a moment, then accepts no new connection or
+    /// request, and waits for those in flight.
     pub(crate) async fn drain(&mut self) {
         drop(self.stop.take());
-        // A listener that has failed has nothing under way.
+        // A failed listener has no request in flight.
         drop((&mut self.task).await);
     }
 }
@@ -98,11 +98,11 @@
     F::Future: Send,
     F::Extract: Reply + Send,
 {
-    let room = Arc::new(Semaphore::new(CONNECTIONS_MOST));
+    let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     let graceful = GracefulShutdown::new();
-    let take = async |listener: &TcpListener| {
-        // Never closed, so there is always a permit in the end.
-        let permit = Arc::clone(&room).acquire_owned().await;
+    let accept_one = async |listener: &TcpListener| {
+        // The semaphore is never closed, so this always returns a permit.
+        let permit = Arc::clone(&permits).acquire_owned().await;
         match listener.accept().await {
             Ok((stream, _)) => {
                 let serve = connection(stream, routes.clone(), &graceful);
@@ -111,22 +111,22 @@
                     drop(permit);
                 });
             }
-            Err(_error) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            Err(_error) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     };
     loop {
         tokio::select! {
-            () = take(&listener) => {}
+            () = accept_one(&listener) => {}
             _ = &mut stopped => break,
         }
     }
-    let linger_end = Instant::now() + LEAVING_LINGER;
-    while timeout_at(linger_end, take(&listener)).await.is_ok() {}
-    // Those that the system has connected and that wait to be accepted
-    // would be reset with the listener.
-    while take(&listener).now_or_never().is_some() {}
+    let accept_until = Instant::now() + DRAIN_ACCEPT_TIME;
+    while timeout_at(accept_until, accept_one(&listener)).await.is_ok() {}
+    // Connections in the accept queue would be reset when the listener is
+    // dropped.
+    while accept_one(&listener).now_or_never().is_some() {}
     drop(listener);
-    tokio::time::sleep(IDLE_LINGER).await;
+    tokio::time::sleep(DRAIN_IDLE_TIME).await;
     graceful.shutdown().await;
 }
 
@@ -140,18 +140,18 @@
     F::Future: Send,
     F::Extract: Reply + Send,
 {
-    // Small answers would otherwise wait for the peer's acknowledgement.
+    // Small responses would otherwise wait for the peer's acknowledgement.
     drop(stream.set_nodelay(true));
     let service = TowerToHyperService::new(warp::service(routes));
     let served = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(HEAD_TIMEOUT)
-        .max_buf_size(HEAD_LIMIT)
-        .max_headers(HEADERS_MOST)
+        .max_buf_size(MAX_HEAD_BYTES)
+        .max_headers(MAX_HEADERS)
         .serve_connection(TokioIo::new(stream), service);
     let watched = graceful.watch(served);
     async move {
-        // A connection that fails concerns its caller alone.
+        // A failed connection affects its caller only.
         drop(watched.await);
     }
 }
--- a/goldcrestramp-node/src/gateway/mod.rs
+++ b/goldcrestramp-node/src/gateway/mod.rs
@@ -1,11 +1,11 @@
-//! The gateway: takes callers' requests over HTTP.
+//! The gateway: accepts callers' requests over HTTP and routes them.
 
-mod answer;
+mod admission;
 mod attempt;
 mod listener;
-mod places;
 mod recover;
 mod request;
+mod response;
 mod retry;
 mod route;
 mod routes;
--- a/goldcrestramp-node/src/gateway/recover.rs
+++ b/goldcrestramp-node/src/gateway/recover.rs
@@ -1,7 +1,7 @@
-//! What became of an order whose keeper went silent.
+//! Finds out the outcome of an order whose keeper stopped responding.
 //!
-//! The order is never sent again. The next keeper of its server is asked to
-//! find out; it answers *not run*, the kept answer, or *unknown*.
+//! The order is never retried. The next keeper of its server is queried; it
+//! returns *not run*, the stored response, or *unknown*.
 
 use std::sync::Arc;
 
@@ -9,40 +9,42 @@
 use goldcrestramp_wire::peer::RouteRequest;
 
 use crate::gateway::{
-    attempt::{TryOutcome, first_frame},
+    attempt::{AttemptResult, first_frame},
     request::CallerRequest,
-    route::{RequestRouter, RouteAnswer},
+    route::{RequestRouter, RouteOutcome},
 };
 
-/// The most keepers that are asked.
-const ASKS_MOST: u32 = 16;
+/// The maximum number of queries to keepers.
+const MAX_QUERIES: u32 = 16;
 
 impl RequestRouter {
-    /// Asks the keepers of the order's server until one knows, or until the
-    /// deadline; the order was first sent `age` ago.
+    /// Queries the keepers of the order's server until one knows the outcome
+    /// or the deadline passes. The order was first sent `age` ago.
     pub(super) async fn recover(
         &self,
         request: &CallerRequest,
         server: &ServerName,
         age: TimeSpan,
-    ) -> RouteAnswer {
+    ) -> RouteOutcome {
         let started = self.context.now();
-        for _ in 0..ASKS_MOST {
+        for _ in 0..MAX_QUERIES {
             let now = self.context.now();
             let age = age.plus(now.since(started));
-            let left = request.deadline.since(now);
-            if let Some(answer) = self.ask(request, server, age, left).await {
-                return answer;
+            let remaining = request.deadline.since(now);
+            if let Some(outcome) =
+                self.query(request, server, age, remaining).await
+            {
+                return outcome;
             }
             if !self.pause(request.deadline).await {
                 break;
             }
         }
-        RouteAnswer::unknown(UnknownReason::KeeperLost)
+        RouteOutcome::unknown(UnknownReason::KeeperLost)
     }
 
-    /// Who keeps the server that was sent the order, also when its slice
-    /// has gone to another server since.
+    /// The keeper of the server that received the order, also if its slice
+    /// has moved to another server since.
     fn keeper_of(
         &self,
         request: &CallerRequest,
@@ -53,31 +55,31 @@
         routes.keeper_of(server).map(Arc::clone)
     }
 
-    async fn ask(
+    async fn query(
         &self,
         request: &CallerRequest,
         server: &ServerName,
         age: TimeSpan,
-        left: TimeSpan,
-    ) -> Option<RouteAnswer> {
+        remaining: TimeSpan,
+    ) -> Option<RouteOutcome> {
         let address = self.keeper_of(request, server)?;
         let channel = self.channels.open(&address).await.ok()?;
         let message = RouteRequest {
             recover: true,
             age_micros: age.as_micros(),
-            ..self.message(request, server, left)
+            ..self.message(request, server, remaining)
         };
         let call = first_frame(channel, message);
-        let asked = tokio::time::timeout(left.to_std(), call).await;
-        let Some((first, _spent, frames)) = asked.ok().flatten() else {
+        let response = tokio::time::timeout(remaining.to_std(), call).await;
+        let Some((first, _spent, frames)) = response.ok().flatten() else {
             self.channels.forget(&address);
             return None;
         };
-        match self.first(request, first, frames) {
-            TryOutcome::Answer(answer) => Some(answer),
-            TryOutcome::Again(..)
-            | TryOutcome::Refused(..)
-            | TryOutcome::BrokenOff(_) => None,
+        match self.read_first(request, first, frames) {
+            AttemptResult::Final(outcome) => Some(outcome),
+            AttemptResult::Retry(..)
+            | AttemptResult::Refused(..)
+            | AttemptResult::BrokenOff(_) => None,
         }
     }
 }
--- a/goldcrestramp-node/src/gateway/request.rs
+++ b/goldcrestramp-node/src/gateway/request.rs
@@ -1,4 +1,4 @@
-//! A caller's request, checked.
+//! Validates callers' requests.
 
 use bytes::{Buf, Bytes, BytesMut};
 use futures_util::{Stream, StreamExt};
@@ -8,11 +8,11 @@
 use percent_encoding::percent_decode_str;
 use warp::http::{HeaderMap, Method};
 
-use crate::keeper::ORDER_LONGEST;
+use crate::keeper::MAX_ORDER_DEADLINE;
 
-/// Header: who calls.
+/// Header: the name of the caller.
 pub(crate) const HEADER_CALLER: &str = "goldcrestramp-caller";
-/// Header: the caller's own id of the request, in and out.
+/// Header: the caller's id of the request, in requests and responses.
 pub(crate) const HEADER_REQUEST: &str = "goldcrestramp-request";
 /// Header: `lookup`, `order` or `long`.
 pub(crate) const HEADER_CLASS: &str = "goldcrestramp-class";
@@ -21,14 +21,14 @@
 /// Header: `true` when this request has been sent before.
 pub(crate) const HEADER_RESEND: &str = "goldcrestramp-resend";
 
-/// The longest key, in bytes.
-const KEY_LIMIT: usize = 1_024;
-/// The longest deadline: a long export of an hour fits.
-const DEADLINE_LIMIT: TimeSpan = TimeSpan::from_millis(3_600_000);
-/// The caller that is taken when a request names none.
+/// The maximum length of a key, in bytes.
+const MAX_KEY_BYTES: usize = 1_024;
+/// The maximum time until a deadline. A long export of an hour fits.
+const MAX_DEADLINE: TimeSpan = TimeSpan::from_millis(3_600_000);
+/// The caller of a request that names none.
 const DEFAULT_CALLER: &str = "anonymous";
 
-/// A request that may be routed.
+/// A validated request.
 #[derive(Clone, Debug)]
 pub(crate) struct CallerRequest {
     pub(crate) service: ServiceName,
@@ -41,12 +41,12 @@
     pub(crate) body: Bytes,
 }
 
-/// What is wrong with a request, in words for the caller.
+/// Why a request is invalid, as text for the caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) struct RequestFault(pub(crate) &'static str);
 
 impl CallerRequest {
-    /// Reads everything but the body.
+    /// Reads the request except for its body.
     pub(crate) fn read(
         now: LocalTime,
         method: &Method,
@@ -56,12 +56,12 @@
         default_deadline: TimeSpan,
     ) -> Result<Self, RequestFault> {
         let service = ServiceName::new(service)
-            .map_err(|_error| RequestFault("the service's name is bad"))?;
+            .map_err(|_error| RequestFault("the service name is invalid"))?;
         let class = read_class(method, headers)?;
         let name = read_name(headers, class)?;
-        let left = read_deadline(headers, default_deadline)?;
-        if class == RequestClass::Order && left > ORDER_LONGEST {
-            let fault = "an order's deadline is at most a minute away";
+        let remaining = read_deadline(headers, default_deadline)?;
+        if class == RequestClass::Order && remaining > MAX_ORDER_DEADLINE {
+            let fault = "the deadline of an order must be within 60 s";
             return Err(RequestFault(fault));
         }
         Ok(Self {
@@ -70,7 +70,7 @@
             caller: read_caller(headers)?,
             name,
             class,
-            deadline: now + left,
+            deadline: now + remaining,
             resend: is_resend(headers),
             body: Bytes::new(),
         })
@@ -79,10 +79,10 @@
 
 /// Whether the caller says that it may have sent the request before.
 pub(crate) fn is_resend(headers: &HeaderMap) -> bool {
-    text(headers, HEADER_RESEND) == Some("true")
+    header_text(headers, HEADER_RESEND) == Some("true")
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
@@ -91,7 +91,7 @@
     if key.is_empty() {
         return Err(RequestFault("the request has no key"));
     }
-    if key.len() > KEY_LIMIT {
+    if key.len() > MAX_KEY_BYTES {
         return Err(RequestFault("the key is longer than 1024 bytes"));
     }
     Ok(Bytes::from(key))
@@ -100,48 +100,48 @@
 fn read_caller(headers: &HeaderMap) -> Result<CallerName, RequestFault> {
     let name = match headers.get(HEADER_CALLER) {
         None => DEFAULT_CALLER,
-        Some(_) => text(headers, HEADER_CALLER).unwrap_or_default(),
+        Some(_) => header_text(headers, HEADER_CALLER).unwrap_or_default(),
     };
     CallerName::new(name)
-        .map_err(|_error| RequestFault("the caller's name is bad"))
+        .map_err(|_error| RequestFault("the caller name is invalid"))
 }
 
-/// Without a class a GET is a lookup and anything else an order, which is
-/// the class that is never executed twice.
+/// Without a class header a GET is a lookup and any other method an order,
+/// which is the class that is never executed twice.
 fn read_class(
     method: &Method,
     headers: &HeaderMap,
 ) -> Result<RequestClass, RequestFault> {
-    let safe = method == Method::GET;
+    let is_get = method == Method::GET;
     let class = match headers.get(HEADER_CLASS) {
-        None if safe => RequestClass::Lookup,
+        None if is_get => RequestClass::Lookup,
         None => RequestClass::Order,
-        Some(_) => text(headers, HEADER_CLASS)
+        Some(_) => header_text(headers, HEADER_CLASS)
             .and_then(RequestClass::from_code)
-            .ok_or(RequestFault("class is lookup, order or long"))?,
+            .ok_or(RequestFault("the class must be lookup, order or long"))?,
     };
-    if safe && class == RequestClass::Order {
+    if is_get && class == RequestClass::Order {
         return Err(RequestFault("an order cannot be a GET"));
     }
     Ok(class)
 }
 
-/// An order needs the caller's id: without one a resend could not be told
-/// from a second order.
+/// An order needs an id from the caller. Without one a resend could not be
+/// distinguished from a second order.
 fn read_name(
     headers: &HeaderMap,
     class: RequestClass,
 ) -> Result<RequestName, RequestFault> {
-    let Some(name) = text(headers, HEADER_REQUEST) else {
+    let Some(name) = header_text(headers, HEADER_REQUEST) else {
         if class == RequestClass::Order {
             return Err(RequestFault("an order needs a request id"));
         }
-        let drawn = format!("g-{:032x}", rand::random::<u128>());
-        return RequestName::new(&drawn)
-            .map_err(|_error| RequestFault("no request id"));
+        let generated = format!("g-{:032x}", rand::random::<u128>());
+        return RequestName::new(&generated)
+            .map_err(|_error| RequestFault("generated id is invalid"));
     };
     RequestName::new(name)
-        .map_err(|_error| RequestFault("the request id is bad"))
+        .map_err(|_error| RequestFault("the request id is invalid"))
 }
 
 fn read_deadline(
@@ -151,21 +151,21 @@
     if !headers.contains_key(HEADER_DEADLINE) {
         return Ok(default);
     }
-    let fault = RequestFault("the deadline is not in milliseconds");
-    let millis = text(headers, HEADER_DEADLINE).ok_or(fault)?;
-    let left = TimeSpan::from_millis(millis.parse().map_err(|_e| fault)?);
-    if left > DEADLINE_LIMIT {
+    let fault = RequestFault("the deadline is not a number of milliseconds");
+    let millis = header_text(headers, HEADER_DEADLINE).ok_or(fault)?;
+    let remaining = TimeSpan::from_millis(millis.parse().map_err(|_e| fault)?);
+    if remaining > MAX_DEADLINE {
         return Err(RequestFault("the deadline is more than an hour away"));
     }
-    Ok(left)
+    Ok(remaining)
 }
 
 /// Why a body could not be read.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum BodyFault {
-    /// It is larger than it may be.
+    /// It is larger than the limit.
     TooLarge,
-    /// It ended early.
+    /// It is truncated.
     BrokenOff,
 }
 
--- a/goldcrestramp-node/src/gateway/answer.rs
+++ b/goldcrestramp-node/src/gateway/response.rs
@@ -1,4 +1,4 @@
-//! What callers are answered, as HTTP.
+//! HTTP responses to callers.
 
 use bytes::Bytes;
 use futures_util::{Stream, StreamExt};
@@ -14,21 +14,21 @@
 use crate::{
     context::RequestGuard,
     gateway::{
-        places::PlaceGuard,
+        admission::AdmissionGuard,
         request::HEADER_REQUEST,
-        route::{RouteAnswer, RouteStream},
+        route::{ResponseStream, RouteOutcome},
     },
     metrics::NodeMetrics,
 };
 
 /// Header: `done`, `not-run` or `unknown`.
 const HEADER_OUTCOME: &str = "goldcrestramp-outcome";
-/// Header: when to come back, finer than `Retry-After`.
+/// Header: when to retry, in milliseconds; finer than `Retry-After`.
 const HEADER_RETRY_AFTER_MS: &str = "goldcrestramp-retry-after-ms";
 /// The media type of a problem body.
 const PROBLEM_TYPE: &str = "application/problem+json";
 
-/// The body of every answer that is not the server's own.
+/// The body of every response that is not the server's own.
 #[derive(Debug, Serialize)]
 struct ProblemBody<'a> {
     r#type: String,
@@ -39,25 +39,25 @@
     request: &'a str,
 }
 
-/// What is held until an answer has been passed on.
-pub(crate) type AnswerGuards = (RequestGuard, PlaceGuard);
+/// Guards that are held until a response has been forwarded.
+pub(crate) type ResponseGuards = (RequestGuard, AdmissionGuard);
 
-/// Makes the HTTP answer, and counts it.
+/// Builds the HTTP response and counts its outcome.
 pub(crate) fn respond(
-    answer: RouteAnswer,
+    outcome: RouteOutcome,
     request: &str,
     metrics: &NodeMetrics,
-    guard: AnswerGuards,
+    guard: ResponseGuards,
 ) -> WarpResponse {
-    match answer {
-        RouteAnswer::Done(answer) => {
-            done(&answer.head, answer.frames, request, guard)
+    match outcome {
+        RouteOutcome::Done(response) => {
+            done(&response.head, response.frames, request, guard)
         }
-        RouteAnswer::NotRun { reason, retry_after, .. } => {
+        RouteOutcome::NotRun { reason, retry_after, .. } => {
             metrics.count_not_run(reason);
             not_run(reason, reason.code(), request, retry_after)
         }
-        RouteAnswer::Unknown { reason, retry_after } => {
+        RouteOutcome::Unknown { reason, retry_after } => {
             metrics.count_unknown(reason);
             unknown(reason, request, retry_after)
         }
@@ -66,9 +66,9 @@
 
 fn done(
     head: &RouteHead,
-    frames: RouteStream,
+    frames: ResponseStream,
     request: &str,
-    guard: AnswerGuards,
+    guard: ResponseGuards,
 ) -> WarpResponse {
     let status = u16::try_from(head.status).ok();
     let status = status.and_then(|code| StatusCode::from_u16(code).ok());
@@ -79,7 +79,7 @@
     if !head.content_type.is_empty() {
         builder = builder.header(header::CONTENT_TYPE, &head.content_type);
     }
-    let length = head.length.filter(|_length| !frames.passes_cut());
+    let length = head.length.filter(|_length| !frames.passes_truncated());
     if let Some(length) = length {
         builder = builder.header(header::CONTENT_LENGTH, length);
     }
@@ -93,40 +93,41 @@
     response
 }
 
-/// The answer's bytes; an error in place of the end when it is not whole.
+/// The bytes of the response, with an error in place of the end if it is
+/// truncated.
 ///
-/// HTTP then breaks the connection off, so that no client can take a part
-/// for the whole.
+/// On an error HTTP closes the connection, so that no client takes a truncated
+/// response for a complete one.
 fn body_stream(
-    frames: RouteStream,
-    guard: AnswerGuards,
+    frames: ResponseStream,
+    guard: ResponseGuards,
 ) -> impl Stream<Item = Result<Bytes, std::io::Error>> + Send + Sync {
     let state = Some((frames, guard, 0_u64));
     let stream = futures_util::stream::unfold(state, |state| async {
-        let (mut frames, guard, passed) = state?;
+        let (mut frames, guard, forwarded) = state?;
         let frame = frames.next().await.and_then(|frame| frame.frame);
         match frame {
             Some(Frame::Data(data)) => {
-                let passed = passed + data.len() as u64;
-                Some((Ok(data), Some((frames, guard, passed))))
+                let forwarded = forwarded + data.len() as u64;
+                Some((Ok(data), Some((frames, guard, forwarded))))
             }
-            Some(Frame::End(end)) if end.length == passed => {
+            Some(Frame::End(end)) if end.length == forwarded => {
                 frames.metrics().count_done();
                 None
             }
-            _ if frames.passes_cut() => None,
+            _ if frames.passes_truncated() => None,
             _ => {
                 frames.metrics().count_cut();
-                Some((Err(broken_off()), None))
+                Some((Err(truncation_error()), None))
             }
         }
     });
-    sync_wrapper(stream)
+    sync_stream(stream)
 }
 
-/// Hands the stream's items over a channel, which may be shared between
-/// threads as the HTTP library asks; one item waits at most.
-fn sync_wrapper(
+/// Sends the stream's items over a channel, which is `Sync` as the HTTP
+/// library requires. At most one item is buffered.
+fn sync_stream(
     stream: impl Stream<Item = Result<Bytes, std::io::Error>> + Send + 'static,
 ) -> impl Stream<Item = Result<Bytes, std::io::Error>> + Send + Sync {
     let (sender, receiver) = tokio::sync::mpsc::channel(1);
@@ -141,11 +142,11 @@
     tokio_stream::wrappers::ReceiverStream::new(receiver)
 }
 
-fn broken_off() -> std::io::Error {
-    std::io::Error::other("the answer broke off")
+fn truncation_error() -> std::io::Error {
+    std::io::Error::other("response truncated")
 }
 
-/// A refusal: the request did not run.
+/// The response for a request that did not run.
 pub(crate) fn not_run(
     reason: NotRunReason,
     title: &str,
@@ -154,13 +155,13 @@
 ) -> WarpResponse {
     let status = refusal_status(reason);
     let response = problem(status, title, "not-run", reason.code(), request);
-    told_to_return(response, retry_after)
+    with_retry_after(response, retry_after)
 }
 
-/// The refusal of a resend: the first try may have run.
+/// The response for a refused resend: the first attempt may have run.
 ///
-/// The status is that of the refusal, which tells a client library whether
-/// it helps to send the request again.
+/// The status is that of the refusal, from which a client library decides
+/// whether a retry is useful.
 pub(crate) fn resend_refused(
     refusal: NotRunReason,
     title: &str,
@@ -170,7 +171,7 @@
     let status = refusal_status(refusal);
     let reason = UnknownReason::ResendRefused.code();
     let response = problem(status, title, "unknown", reason, request);
-    told_to_return(response, retry_after)
+    with_retry_after(response, retry_after)
 }
 
 fn unknown(
@@ -185,14 +186,14 @@
         _ => StatusCode::BAD_GATEWAY,
     };
     let code = reason.code();
-    told_to_return(
+    with_retry_after(
         problem(status, code, "unknown", code, request),
         retry_after,
     )
 }
 
-/// The response with the time after which to come back.
-fn told_to_return(
+/// Adds the headers with the time until a retry.
+fn with_retry_after(
     mut response: WarpResponse,
     retry_after: Option<TimeSpan>,
 ) -> WarpResponse {
@@ -219,7 +220,7 @@
     }
 }
 
-/// An answer with a problem body.
+/// A response with a problem body.
 pub(crate) fn problem(
     status: StatusCode,
     title: &str,
--- a/goldcrestramp-node/src/gateway/retry.rs
+++ b/goldcrestramp-node/src/gateway/retry.rs
@@ -1,8 +1,8 @@
-//! Which of a request's attempts are made again.
+//! Decides which attempts of a request are retried.
 //!
-//! An attempt that reached no keeper, or one that is no longer the right
-//! one, costs no server anything and waits for the table to change. One that
-//! a server refused or broke off is made again within the budgets alone.
+//! An attempt that reached no keeper, or one that no longer keeps the server,
+//! adds no load to a server and is retried when the table changes. One that a
+//! server refused or that broke off is retried only within the budgets.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -15,31 +15,31 @@
 
 use crate::gateway::request::CallerRequest;
 
-/// The time that an attempt is taken to need at least: a round trip between
+/// The minimum time that an attempt is assumed to need: a round trip between
 /// regions.
-const USUAL_ATTEMPT: TimeSpan = TimeSpan::from_millis(30);
+const TYPICAL_ATTEMPT_TIME: TimeSpan = TimeSpan::from_millis(30);
 
 /// The retry policy of this gateway, shared by its requests.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct RetryBook {
+pub(crate) struct GatewayRetries {
     policy: Arc<Mutex<RetryPolicy>>,
 }
 
-impl RetryBook {
-    /// Counts a request's first attempt.
-    pub(crate) fn attempted(&self, request: &CallerRequest) {
+impl GatewayRetries {
+    /// Records a request's first attempt.
+    pub(crate) fn record_attempt(&self, request: &CallerRequest) {
         self.lock().record_attempt(&request.caller, &request.service);
     }
 
-    /// Decides what follows an attempt that a server refused or broke off.
+    /// Decides what follows an attempt that was refused or broke off.
     pub(crate) fn decide(
         &self,
         now: LocalTime,
         request: &CallerRequest,
         effect: RequestEffect,
-        failed: &FailedTry,
+        failed: &AttemptFailure,
     ) -> RetryDecision {
-        // One who cannot come back in time has its answer now.
+        // A caller that cannot retry in time gets the refusal now.
         if now + failed.wait >= request.deadline
             && failed.start == AttemptStart::NotStarted
         {
@@ -55,7 +55,7 @@
             redirects: 0,
             retries: failed.retries,
             deadline: request.deadline,
-            typical: USUAL_ATTEMPT,
+            typical: TYPICAL_ATTEMPT_TIME,
         };
         self.lock().decide(now, &attempt, rand::random())
     }
@@ -65,28 +65,28 @@
     }
 }
 
-/// A time to come back with up to half as long again at random.
+/// Adds jitter of up to half of the retry time.
 ///
-/// All who were refused for one cause would otherwise return as one burst.
+/// Requests refused for one cause would otherwise be retried in one burst.
 pub(crate) fn jittered(wait: TimeSpan) -> TimeSpan {
     let spread = wait.as_micros() / 2 + 1;
     wait.plus(TimeSpan::from_micros(rand::random::<u64>() % spread))
 }
 
-/// A try that a server refused or broke off.
+/// An attempt that was refused or broke off.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct FailedTry {
+pub(crate) struct AttemptFailure {
     start: AttemptStart,
-    /// Why it would be made again.
+    /// Why the attempt would be retried.
     pub(crate) reason: RetryReason,
     refusal: NotRunReason,
     retries: u32,
-    /// When the keeper said to come back.
+    /// How long the keeper asked to wait before a retry.
     pub(crate) wait: TimeSpan,
 }
 
-impl FailedTry {
-    /// It was refused before it started.
+impl AttemptFailure {
+    /// An attempt that was refused before it started.
     pub(crate) const fn refused(
         refusal: NotRunReason,
         wait: TimeSpan,
@@ -97,7 +97,7 @@
         Self { start, reason, refusal, retries, wait }
     }
 
-    /// It broke off before its first byte, and may have run.
+    /// An attempt that broke off before its first byte, and may have run.
     pub(crate) const fn broken_off(retries: u32) -> Self {
         Self {
             start: AttemptStart::MayHaveRun,
--- a/goldcrestramp-node/src/gateway/route.rs
+++ b/goldcrestramp-node/src/gateway/route.rs
@@ -1,4 +1,4 @@
-//! From a checked request to the keeper of its key's owner, and back.
+//! Routes a validated request to the keeper of its key's owner.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,75 +14,77 @@
     context::NodeContext,
     faults::PlantedFault,
     gateway::{
-        attempt::TryOutcome,
+        attempt::AttemptResult,
         request::CallerRequest,
-        retry::{FailedTry, RetryBook, jittered},
+        retry::{AttemptFailure, GatewayRetries, jittered},
     },
     metrics::NodeMetrics,
     peers::PeerChannels,
 };
 
-/// The most times that one request is redirected or sent again.
+/// The maximum number of redirects and retries of one request.
 ///
-/// Two moves of a slice at once cost four; more would be a loop.
-const SENDS_MOST: u32 = 8;
-/// A pause before a keeper that was out of reach is tried again, unless
-/// the table changes first.
-const PAUSE: Duration = Duration::from_millis(50);
-/// How long a request waits for its key to have an owner within reach.
+/// Two moves of a slice at once need four; more would be a loop.
+const MAX_EXTRA_ATTEMPTS: u32 = 8;
+/// The delay before a retry at a keeper that was unreachable, unless the table
+/// changes first.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
+/// How long a request waits until its key has a reachable owner.
 ///
-/// A lost owner is replaced within 2 s. What takes longer is a failure
-/// domain that is cut off, for hours perhaps: then the caller is told at
-/// once instead of being kept until its deadline.
-const OWNER_PATIENCE: TimeSpan = TimeSpan::from_millis(3_000);
-/// What a caller is told to wait when nobody owns its key: the lease time,
-/// after which a lost owner is replaced.
-const OWNER_WAIT: TimeSpan = TimeSpan::from_millis(1_500);
+/// A lost owner is replaced within 2 s. If it takes longer, a failure domain
+/// is cut off, possibly for hours. Then the request fails early instead of
+/// waiting until its deadline.
+const OWNER_TIMEOUT: TimeSpan = TimeSpan::from_millis(3_000);
+/// The retry time for a key without an owner: the lease time, after which a
+/// lost owner is replaced.
+const OWNER_RETRY_AFTER: TimeSpan = TimeSpan::from_millis(1_500);
 
-/// What became of a request.
+/// The outcome of a request.
 #[derive(Debug)]
-pub(crate) enum RouteAnswer {
-    /// The server answers; the frames end with an end mark if it is whole.
-    Done(Box<RouteDone>),
-    /// The last try did not run, says this one.
+pub(crate) enum RouteOutcome {
+    /// The server responds. The frames end with an end frame if the
+    /// response is complete.
+    Done(Box<RouteResponse>),
+    /// The last attempt did not run, according to `by`.
     NotRun {
         reason: NotRunReason,
         retry_after: Option<TimeSpan>,
         by: RefusedBy,
     },
-    /// It may have run.
+    /// The request may have run.
     Unknown { reason: UnknownReason, retry_after: Option<TimeSpan> },
 }
 
-impl RouteAnswer {
-    /// It may have run, and nothing is known of when to come back.
+impl RouteOutcome {
+    /// The request may have run, and there is no time for a retry.
     pub(super) const fn unknown(reason: UnknownReason) -> Self {
         Self::Unknown { reason, retry_after: None }
     }
 }
 
-/// An answer that has begun.
+/// A response that has started.
 #[derive(Debug)]
-pub(crate) struct RouteDone {
+pub(crate) struct RouteResponse {
     pub(crate) head: RouteHead,
-    pub(crate) frames: RouteStream,
+    pub(crate) frames: ResponseStream,
 }
 
-/// The frames of an answer that has begun.
+/// The frames of a response that has started.
 #[derive(Debug)]
-pub(crate) struct RouteStream {
+pub(crate) struct ResponseStream {
     pub(super) frames: Streaming<RouteFrame>,
     pub(super) context: Arc<NodeContext>,
 }
 
-impl RouteStream {
-    /// The next frame; `None`: broken off.
+impl ResponseStream {
+    /// The next frame, or `None` if the stream broke.
     pub(crate) async fn next(&mut self) -> Option<RouteFrame> {
         self.frames.message().await.ok().flatten()
     }
 
-    /// Whether an answer that broke off is to end as if it were whole.
-    pub(crate) fn passes_cut(&self) -> bool {
+    /// Whether a planted fault makes a truncated response end as if it were
+    /// complete.
+    pub(crate) fn passes_truncated(&self) -> bool {
         self.context.faults.has(PlantedFault::CutPassed)
     }
 
@@ -91,9 +93,9 @@
     }
 }
 
-/// Where a request is sent, and the server that it is meant for.
+/// The keeper that a request is sent to, and the server it is meant for.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(super) struct KeeperPlace {
+pub(super) struct KeeperTarget {
     pub(super) address: Arc<str>,
     pub(super) server: ServerName,
 }
@@ -103,36 +105,37 @@
 pub(crate) struct RequestRouter {
     pub(super) context: Arc<NodeContext>,
     pub(super) channels: Arc<PeerChannels>,
-    retries: RetryBook,
+    retries: GatewayRetries,
 }
 
 impl RequestRouter {
     pub(crate) fn new(context: Arc<NodeContext>) -> Self {
         let channels = Arc::new(PeerChannels::new(Arc::clone(&context)));
-        Self { context, channels, retries: RetryBook::default() }
+        Self { context, channels, retries: GatewayRetries::default() }
     }
 
     /// Routes a request until it has an outcome or its deadline passes.
-    pub(crate) async fn route(&self, request: &CallerRequest) -> RouteAnswer {
+    pub(crate) async fn route(&self, request: &CallerRequest) -> RouteOutcome {
         let effect = self.effect(request);
         let mut proof = RefusalProof::new(effect, request.resend);
-        let answer = self.route_tries(request, &mut proof).await;
-        let open = matches!(answer, RouteAnswer::Unknown { .. });
-        if open && self.context.faults.has(PlantedFault::UnknownDenied) {
+        let outcome = self.route_attempts(request, &mut proof).await;
+        let is_unknown = matches!(outcome, RouteOutcome::Unknown { .. });
+        if is_unknown && self.context.faults.has(PlantedFault::UnknownDenied) {
             return refused(NotRunReason::Cancelled);
         }
-        let RouteAnswer::NotRun { reason, retry_after, by } = answer else {
-            return answer;
+        let RouteOutcome::NotRun { reason, retry_after, by } = outcome else {
+            return outcome;
         };
-        // The last try's refusal says nothing of those before it: a lookup
-        // that had run was denied when its retry found no budget.
+        // The refusal of the last attempt says nothing about earlier ones. A
+        // lookup that had run was reported as not run when the budget
+        // refused its retry.
         match proof.judge(reason, by) {
-            Ok(reason) => RouteAnswer::NotRun { reason, retry_after, by },
-            Err(reason) => RouteAnswer::Unknown { reason, retry_after },
+            Ok(reason) => RouteOutcome::NotRun { reason, retry_after, by },
+            Err(reason) => RouteOutcome::Unknown { reason, retry_after },
         }
     }
 
-    /// What a second run of the request would do.
+    /// The effect of executing the request twice.
     pub(super) fn effect(&self, request: &CallerRequest) -> RequestEffect {
         if self.context.faults.has(PlantedFault::StartedRetried) {
             return RequestEffect::Idempotent;
@@ -140,100 +143,103 @@
         request.class.effect()
     }
 
-    /// Tries until a try ends the request; notes in `proof` which of them
-    /// may have run.
-    async fn route_tries(
+    /// Makes attempts until one ends the request, and records in `proof`
+    /// which of them may have run.
+    async fn route_attempts(
         &self,
         request: &CallerRequest,
         proof: &mut RefusalProof,
-    ) -> RouteAnswer {
-        let mut named = None;
-        let mut last = RetryReason::NoOwner;
+    ) -> RouteOutcome {
+        let mut next_target = None;
+        let mut last_reason = RetryReason::NoOwner;
         let mut retries = 0;
-        let mut sends = 0;
-        let patience = self.patience(request);
-        self.retries.attempted(request);
-        while sends < SENDS_MOST {
-            let place = match named.take() {
-                Some(place) => place,
-                None => match self.owner(request, patience).await {
-                    Ok(place) => place,
+        let mut extra_attempts = 0;
+        let owner_deadline = self.owner_deadline(request);
+        self.retries.record_attempt(request);
+        while extra_attempts < MAX_EXTRA_ATTEMPTS {
+            let target = match next_target.take() {
+                Some(target) => target,
+                None => match self.owner(request, owner_deadline).await {
+                    Ok(target) => target,
                     Err(reason) => return refused(reason),
                 },
             };
-            let failed = match self.attempt(request, &place).await {
-                TryOutcome::Answer(answer) => return answer,
-                TryOutcome::Again(reason, elsewhere) => {
+            let failed = match self.attempt(request, &target).await {
+                AttemptResult::Final(outcome) => return outcome,
+                AttemptResult::Retry(reason, redirect) => {
                     self.context.metrics.count_retry(reason);
-                    last = reason;
-                    sends += u32::from(elsewhere.is_some());
-                    named = elsewhere;
-                    if named.is_none() && !self.pause(patience).await {
+                    last_reason = reason;
+                    extra_attempts += u32::from(redirect.is_some());
+                    next_target = redirect;
+                    if next_target.is_none()
+                        && !self.pause(owner_deadline).await
+                    {
                         break;
                     }
                     continue;
                 }
-                TryOutcome::Refused(refusal, wait) => {
-                    FailedTry::refused(refusal, wait, retries)
+                AttemptResult::Refused(refusal, wait) => {
+                    AttemptFailure::refused(refusal, wait, retries)
                 }
-                TryOutcome::BrokenOff(reason) => {
+                AttemptResult::BrokenOff(reason) => {
                     proof.may_have_run(reason);
-                    FailedTry::broken_off(retries)
+                    AttemptFailure::broken_off(retries)
                 }
             };
-            if let Some(answer) = self.again(request, failed).await {
-                return answer;
+            if let Some(outcome) = self.wait_for_retry(request, failed).await {
+                return outcome;
             }
             retries += 1;
-            sends += 1;
-            last = failed.reason;
+            extra_attempts += 1;
+            last_reason = failed.reason;
         }
-        refused(exhausted(last))
+        refused(exhausted(last_reason))
     }
 
-    /// Waits until a budgeted retry may be made; an answer if it may not.
-    async fn again(
+    /// Waits until a retry is due; returns an outcome if the budgets allow
+    /// none.
+    async fn wait_for_retry(
         &self,
         request: &CallerRequest,
-        failed: FailedTry,
-    ) -> Option<RouteAnswer> {
+        failed: AttemptFailure,
+    ) -> Option<RouteOutcome> {
         let now = self.context.now();
         let effect = self.effect(request);
         let decision = self.retries.decide(now, request, effect, &failed);
-        let time = match decision {
-            RetryDecision::Retry(time, reason) => {
+        let retry_at = match decision {
+            RetryDecision::Retry(retry_at, reason) => {
                 self.context.metrics.count_retry(reason);
-                time.max(now + failed.wait)
+                retry_at.max(now + failed.wait)
             }
             RetryDecision::NotRun(reason) => {
                 let retry_after = Some(failed.wait);
                 let by = RefusedBy::Keeper;
-                return Some(RouteAnswer::NotRun { reason, retry_after, by });
+                return Some(RouteOutcome::NotRun { reason, retry_after, by });
             }
             RetryDecision::Unknown => {
                 let reason = UnknownReason::KeeperLost;
-                return Some(RouteAnswer::unknown(reason));
+                return Some(RouteOutcome::unknown(reason));
             }
         };
         let mut changes = self.context.table_changed.subscribe();
-        let wait = time.since(now).to_std();
-        // A new table may name another owner before the time is over.
+        let wait = retry_at.since(now).to_std();
+        // A new table may name another owner before the time has passed.
         drop(tokio::time::timeout(wait, changes.changed()).await);
         None
     }
 
-    /// Until when a request waits for an owner within reach.
-    pub(super) fn patience(&self, request: &CallerRequest) -> LocalTime {
-        let end = self.context.now() + OWNER_PATIENCE;
+    /// Until when a request waits for a reachable owner.
+    pub(super) fn owner_deadline(&self, request: &CallerRequest) -> LocalTime {
+        let end = self.context.now() + OWNER_TIMEOUT;
         end.min(request.deadline)
     }
 
-    /// The keeper's address; waits for an owner until `patience` ends.
+    /// The keeper of the key's owner; waits for one until `owner_deadline`.
     pub(super) async fn owner(
         &self,
         request: &CallerRequest,
-        patience: LocalTime,
-    ) -> Result<KeeperPlace, NotRunReason> {
+        owner_deadline: LocalTime,
+    ) -> Result<KeeperTarget, NotRunReason> {
         let mut changes = self.context.table_changed.subscribe();
         loop {
             changes.borrow_and_update();
@@ -246,36 +252,38 @@
                 routes.target(slice_of(&request.key, routes.count))
             });
             if let Some(target) = target {
-                return Ok(KeeperPlace {
+                return Ok(KeeperTarget {
                     address: Arc::clone(&target.address),
                     server: target.server.clone(),
                 });
             }
-            let left = patience.since(self.context.now());
-            let wait = tokio::time::timeout(left.to_std(), changes.changed());
+            let remaining = owner_deadline.since(self.context.now());
+            let wait =
+                tokio::time::timeout(remaining.to_std(), changes.changed());
             if wait.await.is_err() {
                 return Err(NotRunReason::NoOwner);
             }
         }
     }
 
-    /// Waits for a new table or a moment; `false`: the deadline is over.
+    /// Waits for a new table or for [`RETRY_DELAY`]; returns `false` if the
+    /// deadline has passed.
     pub(super) async fn pause(&self, deadline: LocalTime) -> bool {
-        let left = deadline.since(self.context.now());
-        if left == TimeSpan::ZERO {
+        let remaining = deadline.since(self.context.now());
+        if remaining == TimeSpan::ZERO {
             return false;
         }
         let mut changes = self.context.table_changed.subscribe();
-        let wait = PAUSE.min(left.to_std());
-        // Either end of the wait is good for another try.
+        let wait = RETRY_DELAY.min(remaining.to_std());
+        // Another attempt follows whether the table changed or not.
         drop(tokio::time::timeout(wait, changes.changed()).await);
         true
     }
 }
 
-/// The refusal after the last try.
-const fn exhausted(last: RetryReason) -> NotRunReason {
-    match last {
+/// The refusal after the last attempt.
+const fn exhausted(last_reason: RetryReason) -> NotRunReason {
+    match last_reason {
         RetryReason::Redirected => NotRunReason::OwnerMoved,
         RetryReason::KeeperUnreachable => NotRunReason::KeeperUnreachable,
         RetryReason::ServerRefused => NotRunReason::ServerRefused,
@@ -283,10 +291,10 @@
     }
 }
 
-pub(super) fn refused(reason: NotRunReason) -> RouteAnswer {
+pub(super) fn refused(reason: NotRunReason) -> RouteOutcome {
     let retry_after = match reason {
         NotRunReason::BadRequest | NotRunReason::UnknownService => None,
-        _ => Some(jittered(OWNER_WAIT)),
+        _ => Some(jittered(OWNER_RETRY_AFTER)),
     };
-    RouteAnswer::NotRun { reason, retry_after, by: RefusedBy::Gateway }
+    RouteOutcome::NotRun { reason, retry_after, by: RefusedBy::Gateway }
 }
--- a/goldcrestramp-node/src/gateway/routes.rs
+++ b/goldcrestramp-node/src/gateway/routes.rs
@@ -14,34 +14,36 @@
 use crate::{
     context::NodeContext,
     gateway::{
-        answer,
-        places::GatewayPlaces,
+        admission::GatewayAdmission,
         request::{self, BodyFault, CallerRequest, RequestFault},
+        response,
         retry::jittered,
         route::RequestRouter,
     },
 };
 
-/// When a caller may come back to a full gateway: some of what is under
-/// way, lookups of milliseconds and orders, has ended by then.
-const REFUSAL_WAIT: TimeSpan = TimeSpan::from_millis(500);
+/// When a caller may retry at a full gateway. Some of the requests in flight,
+/// lookups of milliseconds and orders, have completed by then.
+const REFUSAL_RETRY_AFTER: TimeSpan = TimeSpan::from_millis(500);
 
-/// What the requests of this gateway share.
+/// State that the requests of this gateway share.
 #[derive(Debug)]
 struct GatewayShared {
-    places: GatewayPlaces,
+    admission: GatewayAdmission,
     router: RequestRouter,
 }
 
-/// `GET` and `POST /v1/SERVICE/KEY`.
+/// Serves `GET` and `POST /v1/SERVICE/KEY`.
 pub(crate) fn gateway_routes(
     context: Arc<NodeContext>,
 ) -> impl Filter<Extract = (WarpResponse,), Error = Rejection> + Clone {
     let router = RequestRouter::new(Arc::clone(&context));
     let limit = context.settings.gateway_requests as usize;
-    let shared =
-        Arc::new(GatewayShared { places: GatewayPlaces::new(limit), router });
-    let leaving = Arc::clone(&context);
+    let shared = Arc::new(GatewayShared {
+        admission: GatewayAdmission::new(limit),
+        router,
+    });
+    let draining = Arc::clone(&context);
     let shared =
         warp::any().map(move || (Arc::clone(&context), Arc::clone(&shared)));
     let keyed = warp::path!("v1" / String / ..)
@@ -50,21 +52,21 @@
         .and(warp::header::headers_cloned())
         .and(warp::body::stream())
         .and(shared)
-        .then(take_request)
-        .map(move |response| end_connection(&leaving, response));
+        .then(handle_request)
+        .map(move |response| end_connection(&draining, response));
     let other = warp::any().map(no_route);
     keyed.or(other).unify().and_then(accept)
 }
 
-/// Gives the chain the error type that a listener expects.
+/// Gives the filter chain the error type that a listener expects.
 async fn accept(response: WarpResponse) -> Result<WarpResponse, Rejection> {
     Ok(response)
 }
 
-/// Ends the connection with its answer when the VM is being stopped.
+/// Closes the connection with its response when the VM is draining.
 ///
-/// Closed later, while it is idle, it might take a caller's next request
-/// with it; the caller could not tell whether its order ran.
+/// If it were closed later while idle, a request that the caller just sent
+/// could be lost, and the caller could not know whether its order ran.
 fn end_connection(
     context: &NodeContext,
     mut response: WarpResponse,
@@ -77,11 +79,11 @@
 }
 
 fn no_route() -> WarpResponse {
-    let title = "requests go to /v1/SERVICE/KEY";
-    answer::not_run(NotRunReason::UnknownService, title, "", None)
+    let title = "the path must be /v1/SERVICE/KEY";
+    response::not_run(NotRunReason::UnknownService, title, "", None)
 }
 
-async fn take_request<B: Buf>(
+async fn handle_request<B: Buf>(
     service: String,
     key: warp::path::Tail,
     method: Method,
@@ -98,7 +100,7 @@
     let refuse = |reason, title: &str, name: &str| {
         refuse(&context, reason, title, name, resend)
     };
-    let read = CallerRequest::read(
+    let parsed = CallerRequest::read(
         now,
         &method,
         &service,
@@ -106,45 +108,50 @@
         &headers,
         default,
     );
-    let mut request = match read {
+    let mut request = match parsed {
         Ok(request) => request,
         Err(RequestFault(title)) => {
             return refuse(NotRunReason::BadRequest, title, "");
         }
     };
     let name = request.name.to_string();
-    let place = match shared.places.enter(&request.caller) {
-        Ok(place) => place,
+    let admitted = match shared.admission.enter(&request.caller) {
+        Ok(admitted) => admitted,
         Err(reason) => return refuse(reason, "", &name),
     };
     let limit = settings.body_bytes as usize;
-    let left = request.deadline.since(now).to_std();
+    let remaining = request.deadline.since(now).to_std();
     let body = request::read_body(body, limit);
-    request.body = match tokio::time::timeout(left, body).await {
+    request.body = match tokio::time::timeout(remaining, body).await {
         Ok(Ok(body)) => body,
         Ok(Err(fault)) => {
             return refuse(NotRunReason::BadRequest, body_title(fault), &name);
         }
         Err(_elapsed) => {
             let reason = NotRunReason::DeadlinePassed;
-            return refuse(reason, "the body came late", &name);
+            return refuse(
+                reason,
+                "the body did not arrive before the deadline",
+                &name,
+            );
         }
     };
-    let reply = shared.router.route(&request).await;
-    answer::respond(reply, &name, &context.metrics, (guard, place))
+    let outcome = shared.router.route(&request).await;
+    response::respond(outcome, &name, &context.metrics, (guard, admitted))
 }
 
 const fn body_title(fault: BodyFault) -> &'static str {
     match fault {
         BodyFault::TooLarge => "the body is too large",
-        BodyFault::BrokenOff => "the body broke off",
+        BodyFault::BrokenOff => "the body is truncated",
     }
 }
 
-/// Refuses a request that no server was asked for.
+/// Refuses a request that was sent to no server.
 ///
-/// Of a resend that says nothing: the first try may have run. Told "not
-/// run", its caller would order anew under another id and get two parcels.
+/// A refused resend stays *unknown*, as the first attempt may have run. After
+/// "not run" its caller would order again under another id, and the order
+/// would run twice.
 fn refuse(
     context: &NodeContext,
     reason: NotRunReason,
@@ -155,12 +162,12 @@
     let title = if title.is_empty() { reason.code() } else { title };
     let wait = match reason {
         NotRunReason::BadRequest => None,
-        _ => Some(jittered(REFUSAL_WAIT)),
+        _ => Some(jittered(REFUSAL_RETRY_AFTER)),
     };
     if resend {
         context.metrics.count_unknown(UnknownReason::ResendRefused);
-        return answer::resend_refused(reason, title, name, wait);
+        return response::resend_refused(reason, title, name, wait);
     }
     context.metrics.count_not_run(reason);
-    answer::not_run(reason, title, name, wait)
+    response::not_run(reason, title, name, wait)
 }
--- a/goldcrestramp-node/src/keeper/attempts.rs
+++ b/goldcrestramp-node/src/keeper/attempts.rs
@@ -17,7 +17,7 @@
 };
 
 /// The longest deadline of an order; the gateway refuses longer ones.
-pub(crate) const ORDER_LONGEST: TimeSpan = TimeSpan::from_millis(60_000);
+pub(crate) const MAX_ORDER_DEADLINE: TimeSpan = TimeSpan::from_millis(60_000);
 
 /// The ids that are remembered for one server: 200 orders a second for a
 /// minute, some 300 bytes each, are 4 MB.
@@ -247,7 +247,7 @@
         let settings = MemorySettings {
             id_limit: ID_LIMIT,
             max_stored_bytes: ANSWER_BYTES,
-            max_timeout: ORDER_LONGEST,
+            max_timeout: MAX_ORDER_DEADLINE,
         };
         let service = kept.order.service.clone();
         AttemptBook { service, token, memory: AttemptMemory::open(settings) }
--- a/goldcrestramp-node/src/keeper/known.rs
+++ b/goldcrestramp-node/src/keeper/known.rs
@@ -10,7 +10,7 @@
 use goldcrestramp_wire::peer::RouteRequest;
 
 use crate::keeper::{
-    attempts::{AttemptStep, ORDER_LONGEST},
+    attempts::{AttemptStep, MAX_ORDER_DEADLINE},
     frames,
     pass_on::{self, FrameSender},
     recover::{self, LostRequest},
@@ -64,7 +64,7 @@
         frames: &FrameSender,
     ) {
         let until = until.min(request.deadline);
-        let lost = self.lost(&kept.order, request, ORDER_LONGEST);
+        let lost = self.lost(&kept.order, request, MAX_ORDER_DEADLINE);
         let lost = LostRequest { same_server: false, ..lost };
         while !recover::is_seen(&self.http, lost).await {
             let now = self.context.now();
--- a/goldcrestramp-node/src/keeper/mod.rs
+++ b/goldcrestramp-node/src/keeper/mod.rs
@@ -18,6 +18,6 @@
 mod view;
 
 pub(crate) use crate::keeper::{
-    attempts::ORDER_LONGEST, handover::MemoryHandover, service::KeeperService,
-    view::KeeperView,
+    attempts::MAX_ORDER_DEADLINE, handover::MemoryHandover,
+    service::KeeperService, view::KeeperView,
 };
