--- a/goldcrestramp-node/src/gateway/attempt.rs
+++ b/goldcrestramp-node/src/gateway/attempt.rs
@@ -34,7 +34,7 @@
     /// one.
     Retry(RetryReason, Option<KeeperTarget>),
     /// The request may have run, and is idempotent.
-    BrokenOff(UnknownReason),
+    Interrupted(UnknownReason),
     /// The keeper or its server refused the request; the span is the time
     /// until a retry.
     Refused(NotRunReason, TimeSpan),
@@ -159,7 +159,7 @@
     ) -> AttemptResult {
         match self.effect(request) {
             RequestEffect::Idempotent => {
-                AttemptResult::BrokenOff(UnknownReason::KeeperLost)
+                AttemptResult::Interrupted(UnknownReason::KeeperLost)
             }
             RequestEffect::NonIdempotent => {
                 let age = remaining.minus(self.remaining(request));
@@ -246,7 +246,7 @@
         UnknownReason::ServerLost | UnknownReason::CrossedAnswer
     );
     if is_lost && effect == RequestEffect::Idempotent {
-        return AttemptResult::BrokenOff(reason);
+        return AttemptResult::Interrupted(reason);
     }
     AttemptResult::Final(RouteOutcome::unknown(reason))
 }
--- a/goldcrestramp-node/src/gateway/recover.rs
+++ b/goldcrestramp-node/src/gateway/recover.rs
@@ -79,7 +79,7 @@
             AttemptResult::Final(outcome) => Some(outcome),
             AttemptResult::Retry(..)
             | AttemptResult::Refused(..)
-            | AttemptResult::BrokenOff(_) => None,
+            | AttemptResult::Interrupted(_) => None,
         }
     }
 }
--- a/goldcrestramp-node/src/gateway/request.rs
+++ b/goldcrestramp-node/src/gateway/request.rs
@@ -166,7 +166,7 @@
     /// It is larger than the limit.
     TooLarge,
     /// It is truncated.
-    BrokenOff,
+    Truncated,
 }
 
 /// Reads a body of at most `limit` bytes.
@@ -177,7 +177,7 @@
     let mut body = std::pin::pin!(body);
     let mut read = BytesMut::new();
     while let Some(chunk) = body.next().await {
-        let mut chunk = chunk.map_err(|_error| BodyFault::BrokenOff)?;
+        let mut chunk = chunk.map_err(|_error| BodyFault::Truncated)?;
         if read.len() + chunk.remaining() > limit {
             return Err(BodyFault::TooLarge);
         }
--- a/goldcrestramp-node/src/gateway/retry.rs
+++ b/goldcrestramp-node/src/gateway/retry.rs
@@ -2,7 +2,7 @@
 //!
 //! An attempt that reached no keeper, or one that no longer keeps the server,
 //! adds no load to a server and is retried when the table changes. One that a
-//! server refused or that broke off is retried only within the budgets.
+//! server refused or that was interrupted is retried only within the budgets.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -31,7 +31,7 @@
         self.lock().record_attempt(&request.caller, &request.service);
     }
 
-    /// Decides what follows an attempt that was refused or broke off.
+    /// Decides what follows an attempt that was refused or interrupted.
     pub(crate) fn decide(
         &self,
         now: LocalTime,
@@ -73,7 +73,7 @@
     wait.plus(TimeSpan::from_micros(rand::random::<u64>() % spread))
 }
 
-/// An attempt that was refused or broke off.
+/// An attempt that was refused or interrupted.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptFailure {
     start: AttemptStart,
@@ -97,8 +97,9 @@
         Self { start, reason, refusal, retries, wait }
     }
 
-    /// An attempt that broke off before its first byte, and may have run.
-    pub(crate) const fn broken_off(retries: u32) -> Self {
+    /// An attempt that was interrupted before its first byte, and may have
+    /// run.
+    pub(crate) const fn interrupted(retries: u32) -> Self {
         Self {
             start: AttemptStart::MayHaveRun,
             reason: RetryReason::BrokenOff,
--- a/goldcrestramp-node/src/gateway/route.rs
+++ b/goldcrestramp-node/src/gateway/route.rs
@@ -181,9 +181,9 @@
                 AttemptResult::Refused(refusal, wait) => {
                     AttemptFailure::refused(refusal, wait, retries)
                 }
-                AttemptResult::BrokenOff(reason) => {
+                AttemptResult::Interrupted(reason) => {
                     proof.may_have_run(reason);
-                    AttemptFailure::broken_off(retries)
+                    AttemptFailure::interrupted(retries)
                 }
             };
             if let Some(outcome) = self.wait_for_retry(request, failed).await {
--- a/goldcrestramp-node/src/gateway/routes.rs
+++ b/goldcrestramp-node/src/gateway/routes.rs
@@ -143,7 +143,7 @@
 const fn body_title(fault: BodyFault) -> &'static str {
     match fault {
         BodyFault::TooLarge => "the body is too large",
-        BodyFault::BrokenOff => "the body is truncated",
+        BodyFault::Truncated => "the body is truncated",
     }
 }
 
