--- a/goldcrestramp-node/src/keeper/known.rs
+++ b/goldcrestramp-node/src/keeper/known.rs
@@ -111,8 +111,9 @@
 
 /// Refuses a request before its records were checked.
 ///
-/// If it was `resent`, an earlier attempt may have run, and "not run" would be
-/// wrong. Only *no owner* stays, which makes the gateway try another keeper.
+/// If it was `resent` or is a recovery, an earlier attempt may have run, and
+/// "not run" would be wrong. Only *no owner* stays, which makes the gateway
+/// query another keeper.
 pub(super) async fn decline(
     frames: &FrameSender,
     resent: bool,
