--- a/goldcrestramp-node/src/keeper/mod.rs
+++ b/goldcrestramp-node/src/keeper/mod.rs
@@ -1,13 +1,13 @@
-//! The keeper: the one sender of requests to a backend server.
+//! The keeper: the only sender of requests to a backend server.
 
 mod admission;
 mod attempts;
 mod cancel;
+mod forward;
 mod frames;
 mod handover;
 mod known;
 mod link;
-mod pass_on;
 mod prove;
 mod recover;
 mod request;
@@ -18,6 +18,6 @@
 mod view;
 
 pub(crate) use crate::keeper::{
-    attempts::ORDER_LONGEST, handover::MemoryHandover, service::KeeperService,
-    view::KeeperView,
+    attempts::MAX_ORDER_DEADLINE, handover::MemoryHandover,
+    service::KeeperService, view::KeeperView,
 };
