--- a/goldcrestramp-node/tests/far_link/mod.rs
+++ b/goldcrestramp-node/tests/delayed_link/mod.rs
@@ -1,4 +1,4 @@
-//! A link on which every byte is late.
+//! A relay that delays every byte.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -9,44 +9,44 @@
     time::Instant,
 };
 
-/// Takes connections, and passes what comes on to `target`, each part so
-/// much later, both ways.
+/// Accepts connections and forwards them to `target`; each part is delayed by
+/// `delay`, in both directions.
 pub(crate) async fn serve(
     listener: TcpListener,
     target: SocketAddr,
     delay: Duration,
 ) {
-    while let Ok((near, _)) = listener.accept().await {
+    while let Ok((caller, _)) = listener.accept().await {
         tokio::spawn(async move {
-            if let Ok(far) = TcpStream::connect(target).await {
-                let (near_in, near_out) = near.into_split();
-                let (far_in, far_out) = far.into_split();
+            if let Ok(server) = TcpStream::connect(target).await {
+                let (caller_in, caller_out) = caller.into_split();
+                let (server_in, server_out) = server.into_split();
                 tokio::join!(
-                    pass(near_in, far_out, delay),
-                    pass(far_in, near_out, delay)
+                    forward(caller_in, server_out, delay),
+                    forward(server_in, caller_out, delay)
                 );
             }
         });
     }
 }
 
-async fn pass(
+async fn forward(
     mut from: impl AsyncReadExt + Unpin,
     mut to: impl AsyncWriteExt + Unpin,
     delay: Duration,
 ) {
-    let (parts, mut passed) = mpsc::unbounded_channel();
+    let (parts, mut delayed) = mpsc::unbounded_channel();
     let reading = async move {
-        let mut room = vec![0; 16_384];
-        while let Ok(length @ 1..) = from.read(&mut room).await {
+        let mut buffer = vec![0; 16_384];
+        while let Ok(length @ 1..) = from.read(&mut buffer).await {
             let due = Instant::now() + delay;
-            if parts.send((due, room[..length].to_vec())).is_err() {
+            if parts.send((due, buffer[..length].to_vec())).is_err() {
                 return;
             }
         }
     };
     let writing = async move {
-        while let Some((due, part)) = passed.recv().await {
+        while let Some((due, part)) = delayed.recv().await {
             tokio::time::sleep_until(due).await;
             if to.write_all(&part).await.is_err() {
                 return;
--- a/goldcrestramp-node/tests/idle.rs
+++ b/goldcrestramp-node/tests/idle.rs
@@ -1,6 +1,6 @@
-//! What a daemon does while nobody asks for anything.
+//! CPU use of a daemon without requests.
 //!
-//! In a file of its own: the CPU time is that of the whole process.
+//! In a file of its own, as the CPU time of the whole process is measured.
 
 mod one_node;
 
@@ -12,39 +12,42 @@
 
 use crate::one_node::OneNode;
 
-/// Longer than the longest hold, 2 s and a quarter.
-const HOLD_OVER: Duration = Duration::from_millis(2_600);
-/// How long the daemon is looked at.
-const LOOK: Duration = Duration::from_secs(1);
+/// Longer than the longest grant, 2.25 s (2 s and a quarter).
+const GRANT_EXPIRED_AFTER: Duration = Duration::from_millis(2_600);
+/// How long CPU time is measured.
+const MEASURED_TIME: Duration = Duration::from_secs(1);
 
 /// CPU time of this process so far.
 fn cpu_time() -> Duration {
     let time = clock_gettime(ClockId::ProcessCPUTime);
-    Duration::try_from(time).expect("a time since the start")
+    Duration::try_from(time).expect("time is positive")
 }
 
-/// A server is lost, and the requests that were sent to it fail. Nothing
-/// waits for it any more when its hold ends. Its keeper's timer then woke
-/// itself without a pause: it took a thread, in some runs the one on which
-/// all others waited for their sockets, and the VM answered nobody.
+/// Guards against a busy loop in the keeper's timer: a server is lost, its
+/// requests have failed, and nothing waits for it when its grant expires.
+/// The timer then woke itself without a pause and used up a thread, in some
+/// runs the one that polls the sockets, so that the VM answered nobody.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn the_keeper_of_a_lost_server_rests() {
+async fn the_keeper_of_a_lost_server_does_not_spin() {
     let one = OneNode::spawn(2, 1).await;
     one.server.lose();
-    let asks = (0..8).map(|number| {
+    let requests = (0..8).map(|number| {
         let caller = format!("c{number}");
         one.request(Method::GET, "rice", &caller, 1_000).send()
     });
-    for answer in join_all(asks).await {
-        assert!(!answer.expect("an answer").status().is_success());
+    for response in join_all(requests).await {
+        assert!(!response.expect("an response").status().is_success());
     }
-    tokio::time::sleep(HOLD_OVER).await;
+    tokio::time::sleep(GRANT_EXPIRED_AFTER).await;
 
     let before = cpu_time();
-    tokio::time::sleep(LOOK).await;
+    tokio::time::sleep(MEASURED_TIME).await;
     let used = cpu_time().saturating_sub(before);
 
-    // A thread that never rests uses all of it, unless the machine is so
-    // busy that the process gets next to nothing.
-    assert!(used < LOOK / 2, "{used:?} of CPU time in {LOOK:?}");
+    // A busy loop uses all of it, unless the machine is so busy that the
+    // process gets almost no CPU time.
+    assert!(
+        used < MEASURED_TIME / 2,
+        "{used:?} of CPU time in {MEASURED_TIME:?}"
+    );
 }
--- a/goldcrestramp-node/tests/moves.rs
+++ b/goldcrestramp-node/tests/moves.rs
@@ -1,6 +1,7 @@
-//! What callers receive of moves, losses and ways between daemons.
+//! What callers receive when slices move, responses are lost or daemons are
+//! peers apart.
 
-mod far_link;
+mod delayed_link;
 mod one_domain;
 
 use std::time::Duration;
@@ -14,40 +15,41 @@
 use tokio::net::TcpListener;
 
 const KEY: &str = "rice";
-/// Longer than a move takes by far; only a failed test sees it.
-const LIMIT: Duration = Duration::from_mins(1);
+/// Much longer than a move takes; only a failed test reaches it.
+const TIMEOUT: Duration = Duration::from_mins(1);
 
-/// Sends the same order through one of the daemons; outcome and body.
+/// Sends the same order through one of the daemons; returns the outcome and
+/// the body of the response.
 async fn order(
     domain: &OneDomain,
     node: usize,
     is_resend: bool,
 ) -> (String, String) {
-    let answer = domain
+    let response = domain
         .request(node, Method::POST, KEY)
         .header("goldcrestramp-request", "order-1")
         .header("goldcrestramp-resend", is_resend.to_string())
         .body("5 sacks")
         .send()
         .await
-        .expect("an answer");
-    let outcome = outcome(&answer);
-    (outcome, answer.text().await.expect("a whole body"))
+        .expect("an response");
+    let outcome = outcome(&response);
+    (outcome, response.text().await.expect("body is complete"))
 }
 
-fn outcome(answer: &Response) -> String {
-    let outcome = &answer.headers()["goldcrestramp-outcome"];
-    outcome.to_str().expect("a code").to_owned()
+fn outcome(response: &Response) -> String {
+    let outcome = &response.headers()["goldcrestramp-outcome"];
+    outcome.to_str().expect("header is text").to_owned()
 }
 
-/// Sends an order, and moves its slice to the other server on a plan; the
-/// first answer, and the VMs that keep the server before and after.
+/// Sends an order, and moves its slice to the other server by a drain.
+/// Returns the first response, and the keepers of both servers.
 async fn order_and_move(
     domain: &mut OneDomain,
 ) -> ((String, String), [usize; 2]) {
     let first = order(domain, 0, false).await;
     let owner = domain.runs("order-1").iter().position(|runs| *runs > 0);
-    let owner = owner.expect("it ran");
+    let owner = owner.expect("request ran");
     let next = 1 - owner;
     let keepers =
         [domain.keeper_of(owner).await, domain.keeper_of(next).await];
@@ -56,17 +58,17 @@
     (first, keepers)
 }
 
-/// A phone sends an order and loses the answer. Its server is taken out of
-/// service on a plan, and its slices move to another one, kept by another
-/// VM, which has never seen the order. The phone sends it again, through a
-/// third VM, and gets the first answer; the order ran once.
+/// Guards against a second run of an order whose slice has moved: its server
+/// is drained, and the keeper of the next owner never saw the order. A
+/// resend through a third VM gets the first response.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_resend_after_a_planned_move_gets_the_first_answer() {
     let mut domain = OneDomain::spawn(11, 3).await;
     let (first, keepers) = order_and_move(&mut domain).await;
     let third = (0..3).find(|node| !keepers.contains(node));
 
-    let again = order(&domain, third.expect("a third VM"), true).await;
+    let again =
+        order(&domain, third.expect("there is a third VM"), true).await;
 
     assert_ne!(keepers[0], keepers[1], "two VMs keep a server each");
     assert_eq!(first.0, "done");
@@ -74,8 +76,9 @@
     assert_eq!(domain.runs("order-1").iter().sum::<usize>(), 1);
 }
 
-/// After such a move the new keeper's VM is stopped on a plan too. It knew
-/// of the order by hearsay alone, and tells the third one before it ends.
+/// The same, when the new keeper's VM is drained too. It knows the order
+/// only from the records of the previous keeper, and must hand these on to
+/// the third VM before it ends.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_resend_after_a_planned_stop_gets_the_first_answer() {
     let mut domain = OneDomain::spawn(13, 3).await;
@@ -92,13 +95,14 @@
     assert_eq!(domain.runs("order-1").iter().sum::<usize>(), 1);
 }
 
-/// The first frame of a keeper's answer to an order that arrives past its
-/// deadline, as it does after a slow way.
+/// The first frame of a keeper's response to an order that arrives past its
+/// deadline, as after a slow connection.
 async fn late_order(domain: &OneDomain, is_resend: bool) -> RouteFrame {
     let keeper = domain.keeper_of(0).await;
     let peers = domain.nodes[keeper].addresses().peers;
     let url = format!("http://{peers}");
-    let mut peer = PeerClient::connect(url).await.expect("connected");
+    let mut peer =
+        PeerClient::connect(url).await.expect("connection succeeds");
     let key = domain.key_of(0).await;
     let request = RouteRequest {
         service: "stock".to_owned(),
@@ -111,14 +115,15 @@
         resend: is_resend,
         ..RouteRequest::default()
     };
-    let frames = peer.route(request).await.expect("taken");
-    let first = frames.into_inner().message().await.expect("a frame");
-    first.expect("a first frame")
+    let frames = peer.route(request).await.expect("request is accepted");
+    let first = frames.into_inner().message().await.expect("frame arrives");
+    first.expect("stream has a first frame")
 }
 
-/// An order was sent before a keeper's time; its resend arrives late. "Its
-/// deadline passed, so it did not run" is true of the resend alone: the
-/// caller would send the order again under a new id, and two would run.
+/// An order may have been sent before its keeper took over, and its resend
+/// arrives past its deadline. "Not run" is true of the resend only: a
+/// caller that believed it would send the order under a new id, and it
+/// would run twice.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_late_resend_is_not_called_not_run() {
     let domain = OneDomain::spawn(12, 1).await;
@@ -130,7 +135,7 @@
     assert!(matches!(again, Some(Frame::Unknown(_))), "{again:?}");
 }
 
-/// Asks for each key once; those that the first server ran.
+/// Looks up each key once; returns the keys that the first server ran.
 async fn run_by_first(
     domain: &OneDomain,
     round: u32,
@@ -139,9 +144,9 @@
     let mut run = Vec::new();
     for key in keys {
         let id = format!("{round}-{key}");
-        let ask = domain.request(0, Method::GET, key);
-        let ask = ask.header("goldcrestramp-request", &id);
-        ask.send().await.expect("an answer");
+        let request = domain.request(0, Method::GET, key);
+        let request = request.header("goldcrestramp-request", &id);
+        request.send().await.expect("an response");
         if domain.runs(&id)[0] > 0 {
             run.push(key.clone());
         }
@@ -149,10 +154,10 @@
     run
 }
 
-/// A server becomes twenty times slower. It is asked so little that its slots
-/// never fill, so by its load alone it would keep its keys, and their
-/// callers would wait for each answer twenty times as long. Its keeper reports
-/// it as full, and most of its keys move to the other server.
+/// A server becomes twenty times slower. It gets so few requests that its
+/// slots never fill, so by load alone it would keep its keys, and callers
+/// would wait twenty times as long for each response. Its keeper reports it
+/// as full, and most of its keys move to the other server.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_slow_servers_keys_move_away() {
     let domain = OneDomain::spawn(21, 2).await;
@@ -163,49 +168,50 @@
         ..ServerFaults::default()
     });
 
-    let asking = async {
+    let lookups = async {
         for round in 1.. {
-            let left = run_by_first(&domain, round, &keys).await;
-            if left.len() * 2 < keys.len() {
+            let remaining = run_by_first(&domain, round, &keys).await;
+            if remaining.len() * 2 < keys.len() {
                 return;
             }
         }
     };
 
-    let moved = tokio::time::timeout(LIMIT, asking).await;
-    assert!(moved.is_ok(), "most of {} keys are left", keys.len());
+    let moved = tokio::time::timeout(TIMEOUT, lookups).await;
+    assert!(moved.is_ok(), "most of {} keys have not moved", keys.len());
 }
 
-/// A keeper is far: each way takes 150 ms. A caller waits 100 ms for a
-/// lookup. The request would reach the keeper after that, with the time
-/// that was left at its gateway, and hold a slot for nobody; the gateway
-/// knows the way by then, and says at once that it cannot be in time.
+/// A keeper is remote: each direction takes 150 ms, and a caller waits 100 ms
+/// for a lookup. The request would reach the keeper after that, with the
+/// time that remained at its gateway, and occupy a slot for nobody. The
+/// gateway has measured the delay by then and refuses the request at once.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn what_cannot_arrive_in_time_is_not_sent() {
-    let way = Duration::from_millis(150);
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
-    let far = listener.local_addr().expect("an address");
+    let delay = Duration::from_millis(150);
+    let listener =
+        TcpListener::bind("127.0.0.1:0").await.expect("address binds");
+    let peers = listener.local_addr().expect("address is valid");
     let mut listener = Some(listener);
     let domain = OneDomain::spawn_with(14, 1, |settings| {
-        settings.peers_address = Some(far);
+        settings.peers_address = Some(peers);
         if let Some(listener) = listener.take() {
-            let near = settings.peers_listen;
-            tokio::spawn(far_link::serve(listener, near, way));
+            let listen = settings.peers_listen;
+            tokio::spawn(delayed_link::serve(listener, listen, delay));
         }
     })
     .await;
-    let ask = |deadline_ms: u32, id: &'static str| {
+    let request = |deadline_ms: u32, id: &'static str| {
         domain
             .request_within(deadline_ms, 0, Method::GET, KEY)
             .header("goldcrestramp-request", id)
             .send()
     };
     for _ in 0..3 {
-        ask(20_000, "patient").await.expect("an answer");
+        request(20_000, "patient").await.expect("an response");
     }
 
-    let late = ask(100, "late").await.expect("an answer");
-    let patient = ask(20_000, "patient").await.expect("an answer");
+    let late = request(100, "late").await.expect("an response");
+    let patient = request(20_000, "patient").await.expect("an response");
 
     assert_eq!(outcome(&late), "not-run");
     assert_eq!(domain.runs("late").iter().sum::<usize>(), 0);
--- a/goldcrestramp-node/tests/one_domain/mod.rs
+++ b/goldcrestramp-node/tests/one_domain/mod.rs
@@ -1,4 +1,4 @@
-//! A failure domain of several daemons and servers, in this process.
+//! One failure domain of several daemons and two servers, in this process.
 
 use std::{
     net::{Ipv4Addr, SocketAddr, TcpListener},
@@ -21,14 +21,14 @@
 use serde_json::{Value, json};
 
 const DOMAIN: &str = "sierra-a";
-/// Longer than anything here takes; only a failed test sees it.
-const LIMIT: Duration = Duration::from_secs(30);
-/// What each request takes at a server: more than the way there, so that a
-/// slow server is told from a busy machine.
+/// Longer than any wait in these tests; only a failed test reaches it.
+const TIMEOUT: Duration = Duration::from_secs(30);
+/// Execution time of each request at a server, in milliseconds: more than the
+/// round trip, so that a slow server differs from a busy machine.
 const WORK_MS: u64 = 10;
-const PAUSE: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What a test talks to.
+/// The running daemons, servers and platform.
 pub(crate) struct OneDomain {
     pub(crate) servers: Vec<ServerStandin>,
     pub(crate) nodes: Vec<NodeHandle>,
@@ -41,36 +41,37 @@
 impl OneDomain {
     /// Starts `vms` daemons and two servers, and waits until they serve.
     ///
-    /// `host`: another number for each test of the process.
-    pub(crate) async fn spawn(host: u8, vms: usize) -> Self {
-        Self::spawn_with(host, vms, |_| {}).await
+    /// `test_id`: unique among the tests of the process.
+    pub(crate) async fn spawn(test_id: u8, vms: usize) -> Self {
+        Self::spawn_with(test_id, vms, |_| {}).await
     }
 
-    /// The same, with the daemons' settings changed by `prepare`.
+    /// Like `spawn`, with the daemons' settings changed by `prepare`.
     pub(crate) async fn spawn_with(
-        host: u8,
+        test_id: u8,
         vms: usize,
         prepare: impl FnMut(&mut NodeSettings),
     ) -> Self {
-        let platform = PlatformStandin::bind(loopback()).await.expect("bound");
+        let platform =
+            PlatformStandin::bind(loopback()).await.expect("address binds");
         let mut servers = Vec::new();
         for _ in 0..2 {
             let work = WorkTimes::fixed(WORK_MS);
             let behaviour = ServerBehaviour { work, ..Default::default() };
             let server = ServerStandin::bind(loopback(), behaviour).await;
-            servers.push(server.expect("bound"));
+            servers.push(server.expect("address binds"));
         }
         let url = format!("http://{}", platform.address());
         let mut domain = Self {
             nodes: Vec::new(),
-            store: PlatformClient::open(&url).expect("a client"),
-            state: first_state(&servers),
+            store: PlatformClient::open(&url).expect("URL is valid"),
+            state: initial_state(&servers),
             http: reqwest::Client::new(),
             servers,
             platform,
         };
         domain.put_config(1).await;
-        let listen = draw_addresses(host, 4 * vms);
+        let listen = free_addresses(test_id, 4 * vms);
         let mut settings: Vec<_> = (0..)
             .zip(listen.chunks(4))
             .map(|(n, listen): (u32, _)| settings(n, &url, listen))
@@ -79,7 +80,8 @@
         let entries = settings.iter().map(live_entry);
         domain.platform.set_vms(entries.collect());
         for settings in settings {
-            let node = NodeHandle::spawn(settings).await.expect("started");
+            let node =
+                NodeHandle::spawn(settings).await.expect("daemon starts");
             domain.nodes.push(node);
         }
         for node in 0..vms {
@@ -88,7 +90,7 @@
         domain
     }
 
-    /// A request through one of the daemons, by a patient caller.
+    /// A request through one of the daemons, with a deadline of 20 s.
     pub(crate) fn request(
         &self,
         node: usize,
@@ -98,7 +100,7 @@
         self.request_within(20_000, node, method, key)
     }
 
-    /// A request whose caller waits for so many milliseconds.
+    /// A request with a deadline of `deadline_ms`.
     pub(crate) fn request_within(
         &self,
         deadline_ms: u32,
@@ -114,29 +116,31 @@
             .header("goldcrestramp-deadline-ms", deadline_ms)
     }
 
-    /// A ticket takes a server out of service.
+    /// Drains a server, as a ticket would.
     pub(crate) async fn drain_server(&mut self, server: usize) {
         let name = format!("stock-{server}");
-        let thing = EntityId::new(EntityKind::Server, &name);
+        let entity = EntityId::new(EntityKind::Server, &name);
         self.state["servers"][server]["drain"] = json!(true);
-        self.state["tickets"]["last"][thing.to_string()] =
+        self.state["tickets"]["last"][entity.to_string()] =
             json!(EntityRevision(2, 0));
         self.put_config(2).await;
     }
 
-    /// Writes the configuration under this version.
+    /// Writes the configuration with this version.
     async fn put_config(&mut self, version: u64) {
-        let stored = self.store.get(keys::CONFIG).await.expect("a read");
+        let stored =
+            self.store.get(keys::CONFIG).await.expect("store is readable");
         let condition = stored.map_or(PutCondition::Absent, |stored| {
             PutCondition::Version(stored.version)
         });
         self.state["version"] = json!(version);
         let value = Bytes::from(self.state.to_string());
         let put = self.store.put(keys::CONFIG, condition, value, None);
-        put.await.expect("written");
+        put.await.expect("write succeeds");
     }
 
-    /// How many executions of requests whose ids end so each server logged.
+    /// How many executions of requests with this suffix of their id each server
+    /// logged.
     pub(crate) fn runs(&self, request: &str) -> Vec<usize> {
         let servers = self.servers.iter().map(ServerStandin::log);
         servers
@@ -150,19 +154,22 @@
     /// The position of the daemon that keeps a server.
     pub(crate) async fn keeper_of(&self, server: usize) -> usize {
         let name = format!("stock-{server}");
-        let looking = async {
+        let polling = async {
             loop {
                 for (position, node) in self.nodes.iter().enumerate() {
-                    let status = node.status().await.expect("a status");
+                    let status =
+                        node.status().await.expect("status is available");
                     let mut keeps = status.keeps.iter();
                     if keeps.any(|(server, _)| server.as_str() == name) {
                         return position;
                     }
                 }
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        tokio::time::timeout(LIMIT, looking).await.expect("a keeper")
+        tokio::time::timeout(TIMEOUT, polling)
+            .await
+            .expect("server has a keeper")
     }
 
     /// A key that this server owns.
@@ -170,9 +177,9 @@
         for number in 0..100 {
             let key = format!("k{number}");
             let id = format!("find-{number}");
-            let ask = self.request(0, Method::GET, &key);
-            let ask = ask.header("goldcrestramp-request", &id);
-            ask.send().await.expect("an answer");
+            let lookup = self.request(0, Method::GET, &key);
+            let lookup = lookup.header("goldcrestramp-request", &id);
+            lookup.send().await.expect("an response");
             if self.runs(&id)[server] > 0 {
                 return key;
             }
@@ -180,52 +187,56 @@
         panic!("the server owns none of a hundred keys");
     }
 
-    /// Waits until lookups of a key are run by this server.
+    /// Waits until this server runs lookups of a key.
     pub(crate) async fn wait_until_run_by(&self, server: usize, key: &str) {
-        let asking = async {
+        let polling = async {
             for number in 0_u32.. {
                 let id = format!("look-{server}-{number}");
-                let ask = self.request(0, Method::GET, key);
-                let ask = ask.header("goldcrestramp-request", &id);
-                ask.send().await.expect("an answer");
+                let lookup = self.request(0, Method::GET, key);
+                let lookup = lookup.header("goldcrestramp-request", &id);
+                lookup.send().await.expect("an response");
                 if self.runs(&id)[server] > 0 {
                     return;
                 }
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        tokio::time::timeout(LIMIT, asking).await.expect("moved in time");
+        tokio::time::timeout(TIMEOUT, polling)
+            .await
+            .expect("key moves in time");
     }
 
     async fn wait_until_served(&self, node: usize) {
-        let asking = async {
+        let polling = async {
             loop {
-                let ask = self.request(node, Method::GET, "first");
-                let answer = ask.send().await.expect("an answer");
-                if answer.status().is_success() {
+                let lookup = self.request(node, Method::GET, "first");
+                let response = lookup.send().await.expect("an response");
+                if response.status().is_success() {
                     return;
                 }
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        tokio::time::timeout(LIMIT, asking).await.expect("served in time");
+        tokio::time::timeout(TIMEOUT, polling)
+            .await
+            .expect("keys are served in time");
     }
 }
 
 fn loopback() -> SocketAddr {
-    "127.0.0.1:0".parse().expect("an address")
+    "127.0.0.1:0".parse().expect("address is valid")
 }
 
-/// Addresses on which nothing listens, on a host of this test's own, where
-/// no connection takes a drawn port before its daemon binds it.
-fn draw_addresses(last: u8, count: usize) -> Vec<SocketAddr> {
+/// Free addresses on a loopback host of this test alone, where no connection
+/// takes a port before its daemon binds it.
+fn free_addresses(last: u8, count: usize) -> Vec<SocketAddr> {
     let [_, _, high, low] = std::process::id().to_be_bytes();
     let host = Ipv4Addr::new(127, 64 + (high & 0x3f), low, last);
     let listeners: Vec<_> = (0..count)
-        .map(|_| TcpListener::bind((host, 0)).expect("a port"))
+        .map(|_| TcpListener::bind((host, 0)).expect("port is free"))
         .collect();
     let addresses = listeners.iter().map(TcpListener::local_addr);
-    addresses.map(|one| one.expect("an address")).collect()
+    addresses.map(|one| one.expect("address is valid")).collect()
 }
 
 fn settings(number: u32, url: &str, listen: &[SocketAddr]) -> NodeSettings {
@@ -240,10 +251,10 @@
         "platform_url": url,
         "operators": { "listen": listen[3] },
     });
-    serde_json::from_value(value).expect("settings")
+    serde_json::from_value(value).expect("settings are valid")
 }
 
-fn first_state(servers: &[ServerStandin]) -> Value {
+fn initial_state(servers: &[ServerStandin]) -> Value {
     let servers: Vec<_> = (0..)
         .zip(servers)
         .map(|(number, server): (u32, _)| {
--- a/goldcrestramp-node/tests/one_node/mod.rs
+++ b/goldcrestramp-node/tests/one_node/mod.rs
@@ -1,4 +1,4 @@
-//! One daemon, one server and the platform, in this process.
+//! One daemon, one server and one platform, in this process.
 
 use std::{
     net::{Ipv4Addr, SocketAddr, TcpListener},
@@ -15,10 +15,10 @@
 use serde_json::json;
 
 const DOMAIN: &str = "sierra-a";
-/// Longer than anything here takes; only a failed test sees it.
-const LIMIT: Duration = Duration::from_secs(30);
+/// Longer than any wait in these tests; only a failed test reaches it.
+const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What a test talks to.
+/// The running daemon, server and platform.
 pub(crate) struct OneNode {
     pub(crate) server: ServerStandin,
     pub(crate) node: NodeHandle,
@@ -26,40 +26,41 @@
     _platform: PlatformStandin,
 }
 
-/// More than any test has under way.
+/// More than the requests that any test has in flight.
 const SERVER_SLOTS: usize = 1_000;
 
 impl OneNode {
-    /// Starts all three; the server has `slots` slots, and each request
-    /// takes `work_ms`.
+    /// Starts all three. The configuration gives the server `slots` slots, and
+    /// each request takes `work_ms` milliseconds.
     pub(crate) async fn spawn(slots: u32, work_ms: u64) -> Self {
         let work = WorkTimes::fixed(work_ms);
         let behaviour = ServerBehaviour { work, ..Default::default() };
         Self::spawn_with(slots, behaviour).await
     }
 
-    /// The same, with a server that behaves so.
+    /// Like `spawn`, with the given behavior of the server.
     pub(crate) async fn spawn_with(
         slots: u32,
         behaviour: ServerBehaviour,
     ) -> Self {
-        let platform = PlatformStandin::bind(loopback()).await.expect("bound");
-        // The server itself refuses nothing: what is counted in it is the
-        // keeper's doing.
+        let platform =
+            PlatformStandin::bind(loopback()).await.expect("address binds");
+        // The server itself refuses nothing, so that its counts show the
+        // limits of the keeper alone.
         let behaviour = ServerBehaviour { slots: SERVER_SLOTS, ..behaviour };
         let server = ServerStandin::bind(loopback(), behaviour).await;
-        let server = server.expect("bound");
+        let server = server.expect("address binds");
         put_config(platform.address(), server.address(), slots).await;
         let settings = settings(platform.address());
         platform.set_vms(vec![live_entry(&settings)]);
-        let node = NodeHandle::spawn(settings).await.expect("started");
+        let node = NodeHandle::spawn(settings).await.expect("daemon starts");
         let http = reqwest::Client::new();
         let one = Self { server, node, http, _platform: platform };
         one.wait_until_served().await;
         one
     }
 
-    /// A request for a key by a caller with a deadline.
+    /// A request for a key by `caller`, with a deadline of `deadline_ms`.
     pub(crate) fn request(
         &self,
         method: Method,
@@ -76,32 +77,38 @@
     }
 
     async fn wait_until_served(&self) {
-        let asking = async {
+        let polling = async {
             loop {
-                let ask = self.request(Method::GET, "first", "probe", 5_000);
-                let answer = ask.send().await.expect("an answer");
-                if answer.status().is_success() {
+                let lookup =
+                    self.request(Method::GET, "first", "probe", 5_000);
+                let response = lookup.send().await.expect("an response");
+                if response.status().is_success() {
                     return;
                 }
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
         };
-        tokio::time::timeout(LIMIT, asking).await.expect("served in time");
+        tokio::time::timeout(TIMEOUT, polling)
+            .await
+            .expect("keys are served in time");
     }
 }
 
 fn loopback() -> SocketAddr {
-    "127.0.0.1:0".parse().expect("an address")
+    "127.0.0.1:0".parse().expect("address is valid")
 }
 
 fn settings(platform: SocketAddr) -> NodeSettings {
-    // A host of this process's own: no connection or other listener takes
-    // a drawn port before the daemon binds it.
+    // A loopback host of this process alone: no connection or other
+    // listener takes a port before the daemon binds it.
     let [_, _, high, low] = std::process::id().to_be_bytes();
     let host = Ipv4Addr::new(127, 64 + (high & 0x3f), low, 3);
-    let drawn: [TcpListener; 4] =
-        std::array::from_fn(|_| TcpListener::bind((host, 0)).expect("a port"));
-    let listen = drawn.each_ref().map(|one| one.local_addr().expect("bound"));
+    let listeners: [TcpListener; 4] = std::array::from_fn(|_| {
+        TcpListener::bind((host, 0)).expect("port is free")
+    });
+    let listen = listeners
+        .each_ref()
+        .map(|one| one.local_addr().expect("address binds"));
     let value = json!({
         "deployment": "one-node",
         "vm": "vm-0",
@@ -113,7 +120,7 @@
         "platform_url": format!("http://{platform}"),
         "operators": { "listen": listen[3] },
     });
-    serde_json::from_value(value).expect("settings")
+    serde_json::from_value(value).expect("settings are valid")
 }
 
 async fn put_config(platform: SocketAddr, server: SocketAddr, slots: u32) {
@@ -134,6 +141,6 @@
     let url = format!("http://{platform}/kv/config");
     let put = reqwest::Client::new().put(url);
     let put = put.header("if-none-match", "*").body(state.to_string());
-    let status = put.send().await.expect("an answer").status();
+    let status = put.send().await.expect("an response").status();
     assert!(status.is_success());
 }
--- a/goldcrestramp-node/tests/operators.rs
+++ b/goldcrestramp-node/tests/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' listener refuses what it must, each with its reason.
+//! The operators' listener refuses bad requests, each with its reason.
 
 use std::{
     fs,
@@ -17,7 +17,7 @@
 const TICKET: &str = r#"{ "ticket": 1, // first
   "callers": [{ "name": "shop", "weight": 2 }] }"#;
 
-/// A daemon that accepts every ticket and knows nothing else.
+/// A daemon that decides tickets by their number and has no other state.
 #[derive(Clone, Default)]
 struct ControlFake {
     refused: Arc<Mutex<Vec<OperatorRefusal>>>,
@@ -26,12 +26,12 @@
 
 impl ControlFake {
     fn refused(&self) -> Vec<&'static str> {
-        let refused = self.refused.lock().expect("no panic");
+        let refused = self.refused.lock().expect("lock is not poisoned");
         refused.iter().map(|refusal| refusal.code()).collect()
     }
 
     fn applied(&self) -> Vec<u64> {
-        self.applied.lock().expect("no panic").clone()
+        self.applied.lock().expect("lock is not poisoned").clone()
     }
 }
 
@@ -53,7 +53,7 @@
     }
 
     async fn apply(&self, ticket: ChangeTicket) -> ApplyOutcome {
-        self.applied.lock().expect("no panic").push(ticket.ticket);
+        self.applied.lock().expect("lock is not poisoned").push(ticket.ticket);
         let state = DeploymentState { version: 4, ..Default::default() };
         match ticket.ticket {
             1 => ApplyOutcome::Accepted(Box::new(state)),
@@ -71,24 +71,24 @@
     }
 
     fn count_refusal(&self, refusal: OperatorRefusal) {
-        self.refused.lock().expect("no panic").push(refusal);
+        self.refused.lock().expect("lock is not poisoned").push(refusal);
     }
 }
 
-/// A token file of this test's own, removed at the end.
+/// A token file of one test, removed on drop.
 struct TokenFile(PathBuf);
 
 impl TokenFile {
     fn new(name: &str, token: &str) -> Self {
         let file = format!("goldcrestramp-{}-{name}", std::process::id());
         let path = std::env::temp_dir().join(file);
-        fs::write(&path, token).expect("a file");
+        fs::write(&path, token).expect("file is written");
         Self(path)
     }
 
     fn policy(&self) -> OperatorPolicy {
         let settings = settings("0.0.0.0:1", Some(self.0.clone()));
-        OperatorPolicy::open(&settings).expect("a policy")
+        OperatorPolicy::open(&settings).expect("policy is valid")
     }
 }
 
@@ -99,12 +99,13 @@
 }
 
 fn settings(listen: &str, token_file: Option<PathBuf>) -> OperatorSettings {
-    let listen = listen.parse().expect("an address");
+    let listen = listen.parse().expect("address is valid");
     OperatorSettings { listen, token_file }
 }
 
 fn loopback() -> OperatorPolicy {
-    OperatorPolicy::open(&settings("127.0.0.1:1", None)).expect("a policy")
+    OperatorPolicy::open(&settings("127.0.0.1:1", None))
+        .expect("policy is valid")
 }
 
 fn get(path: &str) -> RequestBuilder {
@@ -118,8 +119,8 @@
         .body(body)
 }
 
-/// The status and body that `request` gets.
-async fn ask(
+/// The status and body of the response to `request`.
+async fn send(
     control: &ControlFake,
     policy: OperatorPolicy,
     request: RequestBuilder,
@@ -132,7 +133,7 @@
 }
 
 #[test]
-fn off_loopback_no_listener_stands_open() {
+fn a_listener_off_loopback_needs_a_token() {
     let open = OperatorPolicy::open(&settings("10.0.0.1:1", None));
     let gone = PathBuf::from("/nowhere/token");
     let missing =
@@ -141,14 +142,14 @@
     let empty =
         OperatorPolicy::open(&settings("127.0.0.1:1", Some(blank.0.clone())));
 
-    assert_eq!(open.expect_err("refused"), PolicyError::TokenNeeded);
+    assert_eq!(open.expect_err("it is refused"), PolicyError::TokenNeeded);
     let unreadable = PolicyError::TokenUnreadable;
-    assert_eq!(missing.expect_err("refused"), unreadable(gone));
-    assert_eq!(empty.expect_err("refused"), unreadable(blank.0.clone()));
+    assert_eq!(missing.expect_err("it is refused"), unreadable(gone));
+    assert_eq!(empty.expect_err("it is refused"), unreadable(blank.0.clone()));
 }
 
 #[tokio::test]
-async fn only_the_token_opens_what_it_guards() {
+async fn guarded_paths_need_the_right_token() {
     let file = TokenFile::new("guard", "s3cret\n");
     let cases = [
         (None, 401, "no-token"),
@@ -167,15 +168,15 @@
                 None => get(path),
             };
 
-            let answer = ask(&control, file.policy(), request).await;
+            let response = send(&control, file.policy(), request).await;
 
-            assert_eq!(answer, (status, code.to_owned()), "{path}");
+            assert_eq!(response, (status, code.to_owned()), "{path}");
             assert_eq!(control.refused(), [code]);
         }
     }
     let control = ControlFake::default();
     let right = get("/metrics").header("authorization", "Bearer s3cret");
-    assert_eq!(ask(&control, file.policy(), right).await.0, 200);
+    assert_eq!(send(&control, file.policy(), right).await.0, 200);
 }
 
 #[tokio::test]
@@ -183,14 +184,14 @@
     let file = TokenFile::new("ticket", "s3cret");
     let control = ControlFake::default();
 
-    let answer = ask(&control, file.policy(), post(TICKET)).await;
+    let response = send(&control, file.policy(), post(TICKET)).await;
 
-    assert_eq!(answer, (401, "no-token".to_owned()));
+    assert_eq!(response, (401, "no-token".to_owned()));
     assert!(control.applied().is_empty());
 }
 
 #[tokio::test]
-async fn a_replaced_token_counts_at_once_and_a_removed_one_locks() {
+async fn a_replaced_token_counts_at_once_and_a_removed_one_refuses_all() {
     let file = TokenFile::new("replaced", "old");
     let policy = file.policy();
     let with = |token: &str| {
@@ -198,42 +199,47 @@
     };
     let control = ControlFake::default();
 
-    fs::write(&file.0, "new").expect("a file");
-    let old = ask(&control, policy.clone(), with("old")).await;
-    let new = ask(&control, policy.clone(), with("new")).await;
-    fs::remove_file(&file.0).expect("it is there");
-    let gone = ask(&control, policy, with("new")).await;
+    fs::write(&file.0, "new").expect("file is written");
+    let old = send(&control, policy.clone(), with("old")).await;
+    let new = send(&control, policy.clone(), with("new")).await;
+    fs::remove_file(&file.0).expect("file exists");
+    let gone = send(&control, policy, with("new")).await;
 
     assert_eq!((old.0, new.0), (401, 200));
     assert_eq!(gone, (503, "token-unreadable".to_owned()));
 }
 
 #[tokio::test]
-async fn health_needs_no_token_and_readiness_tells_why_not() {
+async fn health_needs_no_token_and_readiness_gives_its_reason() {
     let file = TokenFile::new("health", "s3cret");
     let control = ControlFake::default();
 
-    let alive = ask(&control, file.policy(), get("/healthz")).await;
-    let ready = ask(&control, file.policy(), get("/readyz")).await;
+    let alive = send(&control, file.policy(), get("/healthz")).await;
+    let ready = send(&control, file.policy(), get("/readyz")).await;
 
     assert_eq!(alive, (200, "alive".to_owned()));
     assert_eq!(ready, (503, "no routing table yet".to_owned()));
 }
 
-/// A web page lets an operator's browser post to loopback: a plain form can
-/// do that, but it can't say that it posts JSON.
+/// Guards against cross-site requests: a web page can make an operator's
+/// browser post a plain form to loopback, but not one of type JSON.
 #[tokio::test]
 async fn a_form_posted_by_a_browser_applies_no_ticket() {
-    for kind in ["text/plain", "application/x-www-form-urlencoded", ""] {
+    for content_type in ["text/plain", "application/x-www-form-urlencoded", ""]
+    {
         let control = ControlFake::default();
         let request = get("/tickets")
             .method("POST")
-            .header("content-type", kind)
+            .header("content-type", content_type)
             .body(TICKET);
 
-        let answer = ask(&control, loopback(), request).await;
+        let response = send(&control, loopback(), request).await;
 
-        assert_eq!(answer, (415, "content-type".to_owned()), "{kind}");
+        assert_eq!(
+            response,
+            (415, "content-type".to_owned()),
+            "{content_type}"
+        );
         assert!(control.applied().is_empty());
     }
 }
@@ -252,16 +258,16 @@
     for (body, status, outcome) in cases {
         let control = ControlFake::default();
 
-        let answer = ask(&control, loopback(), post(&body)).await;
+        let response = send(&control, loopback(), post(&body)).await;
 
         let expected = format!("\"outcome\":\"{outcome}\"");
-        assert_eq!(answer.0, status, "{}", answer.1);
-        assert!(outcome.is_empty() || answer.1.contains(&expected));
+        assert_eq!(response.0, status, "{}", response.1);
+        assert!(outcome.is_empty() || response.1.contains(&expected));
     }
 }
 
 #[tokio::test]
-async fn questions_without_an_answer_are_refused() {
+async fn queries_that_cannot_be_answered_are_refused() {
     let cases = [
         ("/explain", 400, "bad-query"),
         ("/explain?service=a%20b&key=k", 400, "bad-query"),
@@ -273,9 +279,9 @@
     for (path, status, code) in cases {
         let control = ControlFake::default();
 
-        let answer = ask(&control, loopback(), get(path)).await;
+        let response = send(&control, loopback(), get(path)).await;
 
-        assert_eq!(answer, (status, code.to_owned()), "{path}");
+        assert_eq!(response, (status, code.to_owned()), "{path}");
         assert_eq!(control.refused(), [code]);
     }
 }
