--- a/goldcrestramp-node/tests/idle.rs
+++ b/goldcrestramp-node/tests/idle.rs
@@ -36,7 +36,9 @@
         one.request(Method::GET, "rice", &caller, 1_000).send()
     });
     for response in join_all(requests).await {
-        assert!(!response.expect("an response").status().is_success());
+        assert!(
+            !response.expect("request gets a response").status().is_success()
+        );
     }
     tokio::time::sleep(GRANT_EXPIRED_AFTER).await;
 
--- a/goldcrestramp-node/tests/moves.rs
+++ b/goldcrestramp-node/tests/moves.rs
@@ -1,5 +1,5 @@
 //! What callers receive when slices move, responses are lost or daemons are
-//! peers apart.
+//! far apart.
 
 mod delayed_link;
 mod one_domain;
@@ -32,7 +32,7 @@
         .body("5 sacks")
         .send()
         .await
-        .expect("an response");
+        .expect("request gets a response");
     let outcome = outcome(&response);
     (outcome, response.text().await.expect("body is complete"))
 }
@@ -146,7 +146,7 @@
         let id = format!("{round}-{key}");
         let request = domain.request(0, Method::GET, key);
         let request = request.header("goldcrestramp-request", &id);
-        request.send().await.expect("an response");
+        request.send().await.expect("request gets a response");
         if domain.runs(&id)[0] > 0 {
             run.push(key.clone());
         }
@@ -207,11 +207,12 @@
             .send()
     };
     for _ in 0..3 {
-        request(20_000, "patient").await.expect("an response");
+        request(20_000, "patient").await.expect("request gets a response");
     }
 
-    let late = request(100, "late").await.expect("an response");
-    let patient = request(20_000, "patient").await.expect("an response");
+    let late = request(100, "late").await.expect("request gets a response");
+    let patient =
+        request(20_000, "patient").await.expect("request gets a response");
 
     assert_eq!(outcome(&late), "not-run");
     assert_eq!(domain.runs("late").iter().sum::<usize>(), 0);
--- a/goldcrestramp-node/tests/one_domain/mod.rs
+++ b/goldcrestramp-node/tests/one_domain/mod.rs
@@ -139,8 +139,8 @@
         put.await.expect("write succeeds");
     }
 
-    /// How many executions of requests with this suffix of their id each server
-    /// logged.
+    /// How many executions each server logged of requests whose ids have this
+    /// suffix.
     pub(crate) fn runs(&self, request: &str) -> Vec<usize> {
         let servers = self.servers.iter().map(ServerStandin::log);
         servers
@@ -179,7 +179,7 @@
             let id = format!("find-{number}");
             let lookup = self.request(0, Method::GET, &key);
             let lookup = lookup.header("goldcrestramp-request", &id);
-            lookup.send().await.expect("an response");
+            lookup.send().await.expect("request gets a response");
             if self.runs(&id)[server] > 0 {
                 return key;
             }
@@ -194,7 +194,7 @@
                 let id = format!("look-{server}-{number}");
                 let lookup = self.request(0, Method::GET, key);
                 let lookup = lookup.header("goldcrestramp-request", &id);
-                lookup.send().await.expect("an response");
+                lookup.send().await.expect("request gets a response");
                 if self.runs(&id)[server] > 0 {
                     return;
                 }
@@ -210,7 +210,8 @@
         let polling = async {
             loop {
                 let lookup = self.request(node, Method::GET, "first");
-                let response = lookup.send().await.expect("an response");
+                let response =
+                    lookup.send().await.expect("request gets a response");
                 if response.status().is_success() {
                     return;
                 }
--- a/goldcrestramp-node/tests/one_node/mod.rs
+++ b/goldcrestramp-node/tests/one_node/mod.rs
@@ -81,7 +81,8 @@
             loop {
                 let lookup =
                     self.request(Method::GET, "first", "probe", 5_000);
-                let response = lookup.send().await.expect("an response");
+                let response =
+                    lookup.send().await.expect("request gets a response");
                 if response.status().is_success() {
                     return;
                 }
@@ -141,6 +142,6 @@
     let url = format!("http://{platform}/kv/config");
     let put = reqwest::Client::new().put(url);
     let put = put.header("if-none-match", "*").body(state.to_string());
-    let status = put.send().await.expect("an response").status();
+    let status = put.send().await.expect("request gets a response").status();
     assert!(status.is_success());
 }
--- a/goldcrestramp-node/tests/truth.rs
+++ b/goldcrestramp-node/tests/truth.rs
@@ -45,8 +45,10 @@
     wait_started(&one, "lookup-1").await;
     one.server.set_faults(ServerFaults { crossed: 1, ..shedding() });
 
-    let response =
-        sent.await.expect("task does not panic").expect("an response");
+    let response = sent
+        .await
+        .expect("task does not panic")
+        .expect("request gets a response");
 
     assert_eq!(header(&response, "goldcrestramp-outcome"), "unknown");
 }
@@ -61,14 +63,17 @@
         one.request(Method::POST, key, "tienda", deadline_ms)
             .header("goldcrestramp-request", "order-1")
     };
-    let first = order("rice", PATIENT_MS).send().await.expect("an response");
+    let first = order("rice", PATIENT_MS)
+        .send()
+        .await
+        .expect("request gets a response");
     assert_eq!(header(&first, "goldcrestramp-outcome"), "done");
 
     let too_long = order("rice", 3_000_000);
     let no_service = order("../none/rice", PATIENT_MS);
     for resend in [too_long, no_service] {
         let resend = resend.header("goldcrestramp-resend", "true");
-        let response = resend.send().await.expect("an response");
+        let response = resend.send().await.expect("request gets a response");
         assert_eq!(header(&response, "goldcrestramp-outcome"), "unknown");
         let body = response.text().await.expect("a body");
         assert!(body.contains("resend-refused"), "{body}");
