--- a/goldcrestramp-node/tests/apply.rs
+++ b/goldcrestramp-node/tests/apply.rs
@@ -1,10 +1,10 @@
-//! Operators apply tickets over a store that fails in every way it may.
+//! Operators apply tickets through a store with injected faults.
 //!
-//! What operators see: whoever is told "accepted" finds the ticket in force
-//! for good, whoever is told "refused" or "not applied" never does, and all
-//! VMs end with the same state, the accepted tickets in the order of their
-//! numbers. Answers are lost after or before the write takes effect, writes
-//! arrive late, the store goes down, and it comes back with older data.
+//! A ticket that is reported as accepted stays in force, one that is reported
+//! as refused or not applied never takes effect, and all VMs end with the same
+//! state: the accepted tickets in the order of their numbers. Responses are
+//! lost after or before the write takes effect, writes arrive late, and the
+//! store goes down or is restored with older data.
 
 mod store_fake;
 
@@ -31,27 +31,27 @@
 /// A ticket's number and digest.
 type TicketKey = (u64, u64);
 
-/// One step of a run.
+/// One step of a random run.
 #[derive(Clone, Debug)]
 enum FuzzStep {
     /// An idle operator applies a ticket; weight 0 removes a caller.
     Start { operator: usize, number: u64, weights: Weights },
-    /// An operator's call goes on until its next store call.
+    /// An operator's call proceeds until its next store call.
     Poll { operator: usize },
-    /// The VM of an operator reads the store and writes back what it lost.
+    /// The VM of an operator reads the store and writes again what it lost.
     Restore { operator: usize },
-    /// The next write fails like this.
+    /// The next write fails with this fault.
     Fault(WriteFault),
-    /// A write that was held up arrives.
+    /// The delayed writes arrive.
     Deliver,
-    /// The store goes down or returns.
+    /// The store goes down or up.
     Down(bool),
-    /// The store goes back by so many writes.
-    Older(usize),
+    /// The store is restored to its state so many writes ago.
+    RollBack(usize),
 }
 
 fn caller(number: u8) -> CallerName {
-    CallerName::new(&format!("caller-{number}")).expect("a name")
+    CallerName::new(&format!("caller-{number}")).expect("name is valid")
 }
 
 fn ticket(number: u64, weights: &Weights) -> ChangeTicket {
@@ -60,26 +60,26 @@
         name: caller(*name),
         weight: *weight,
     });
-    let gone = weights.iter().filter(|(_, weight)| **weight == 0);
-    let gone = gone.map(|(name, _)| caller(*name)).collect();
+    let removed = weights.iter().filter(|(_, weight)| **weight == 0);
+    let removed = removed.map(|(name, _)| caller(*name)).collect();
     ChangeTicket {
         ticket: number,
         callers: callers.collect(),
-        remove: RemovalList { callers: gone, ..RemovalList::default() },
+        remove: RemovalList { callers: removed, ..RemovalList::default() },
         ..ChangeTicket::default()
     }
 }
 
 type ApplyFuture = Pin<Box<dyn Future<Output = ApplyOutcome>>>;
 
-/// An operator with the VM that it talks to.
+/// An operator with the VM that it uses.
 #[derive(Default)]
 struct OperatorModel {
     held: DeploymentState,
     running: Option<(ChangeTicket, ApplyFuture)>,
 }
 
-/// The run: the store, the operators, and what they were told.
+/// A run: the store, the operators, and the outcomes of their tickets.
 struct FuzzRun {
     store: Arc<StoreFake>,
     operators: Vec<OperatorModel>,
@@ -112,7 +112,7 @@
             FuzzStep::Fault(fault) => self.store.fail_next_write(fault),
             FuzzStep::Deliver => self.store.deliver(),
             FuzzStep::Down(down) => self.store.set_down(down),
-            FuzzStep::Older(writes) => self.go_back(writes),
+            FuzzStep::RollBack(writes) => self.roll_back(writes),
         }
     }
 
@@ -123,7 +123,7 @@
         }
         let key = (ticket.ticket, ticket.digest());
         self.tickets.insert(key, ticket.clone());
-        // Applied anew: a former answer told of that time alone.
+        // Applied again: the previous outcome is about that call alone.
         self.denied.remove(&key);
         let (store, held) = (Arc::clone(&self.store), model.held.clone());
         let applied = ticket.clone();
@@ -140,11 +140,13 @@
         let mut context = Context::from_waker(Waker::noop());
         match future.as_mut().poll(&mut context) {
             Poll::Pending => model.running = Some((ticket, future)),
-            Poll::Ready(outcome) => self.told(operator, &ticket, outcome),
+            Poll::Ready(outcome) => {
+                self.record_outcome(operator, &ticket, outcome)
+            }
         }
     }
 
-    fn told(
+    fn record_outcome(
         &mut self,
         operator: usize,
         ticket: &ChangeTicket,
@@ -155,14 +157,14 @@
             ApplyOutcome::Accepted(state)
             | ApplyOutcome::AcceptedAlready(state) => {
                 self.accepted.insert(key);
-                self.take(operator, &state);
+                self.merge(operator, &state);
             }
             ApplyOutcome::Refused { .. } | ApplyOutcome::NotApplied(_) => {
-                // The answer is about this try of the ticket alone.
-                let tried = self.accepted.contains(&key)
+                // The outcome is about this attempt to apply the ticket alone.
+                let is_undecided = self.accepted.contains(&key)
                     || self.unknown.contains(&key)
                     || self.is_running(key);
-                if !tried {
+                if !is_undecided {
                     self.denied.insert(key);
                 }
             }
@@ -178,12 +180,12 @@
         keys.any(|other| other == key)
     }
 
-    /// A VM takes a state as its own; its version may only rise, and it
+    /// Merges a state into that of a VM; its version may only rise, and it
     /// may lose no accepted ticket.
-    fn take(&mut self, operator: usize, state: &DeploymentState) {
+    fn merge(&mut self, operator: usize, state: &DeploymentState) {
         let held = &mut self.operators[operator].held;
         let joined = merge_states(held, state);
-        assert!(joined.version >= held.version, "a version only rises");
+        assert!(joined.version >= held.version, "the version only rises");
         let kept = &joined.tickets.recent;
         let lost = held.tickets.recent.keys().find(|n| !kept.contains_key(n));
         assert_eq!(lost, None, "no accepted ticket is lost");
@@ -194,16 +196,16 @@
         let held = self.operators[operator].held.clone();
         let restored = complete(restore_config(&*self.store, &held));
         if let Ok(joined) = restored {
-            self.take(operator, &joined);
+            self.merge(operator, &joined);
         }
     }
 
-    /// A restore takes the store away for longer than any call under way:
-    /// every such call ends without its answer.
-    fn go_back(&mut self, writes: usize) {
+    /// Restores older data. This takes longer than any call in flight: each
+    /// of these ends while the store is down.
+    fn roll_back(&mut self, writes: usize) {
         self.store.set_down(true);
         self.finish_calls();
-        self.store.go_back(writes);
+        self.store.roll_back(writes);
         self.store.set_down(false);
     }
 
@@ -215,8 +217,8 @@
         }
     }
 
-    /// Lets every call end and every VM see the store.
-    fn settle(&mut self) {
+    /// Finishes all calls and lets each VM read the store.
+    fn finish(&mut self) {
         self.store.set_down(false);
         self.finish_calls();
         self.store.deliver();
@@ -226,7 +228,7 @@
     }
 }
 
-/// Runs a future whose every wait is a yield of the fake store.
+/// Runs a future that waits for nothing but the fake store.
 fn complete<T>(future: impl Future<Output = T>) -> T {
     let mut future = Box::pin(future);
     let mut context = Context::from_waker(Waker::noop());
@@ -237,8 +239,11 @@
     }
 }
 
-/// The oracle: the tickets in the order of their numbers, each whole.
-fn in_order(tickets: impl Iterator<Item = ChangeTicket>) -> Vec<CallerRules> {
+/// The oracle: the state after these tickets, applied completely and in
+/// order.
+fn expected_callers(
+    tickets: impl Iterator<Item = ChangeTicket>,
+) -> Vec<CallerRules> {
     let mut callers = BTreeMap::new();
     for ticket in tickets {
         let put = ticket.callers.into_iter();
@@ -260,9 +265,9 @@
         },
     );
     let fault = prop_oneof![
-        Just(WriteFault::AnswerLost),
+        Just(WriteFault::ResponseLost),
         Just(WriteFault::RequestLost),
-        Just(WriteFault::Late),
+        Just(WriteFault::Delayed),
     ];
     let step = prop_oneof![
         4 => start,
@@ -272,7 +277,7 @@
         2 => fault.prop_map(FuzzStep::Fault),
         1 => Just(FuzzStep::Deliver),
         1 => any::<bool>().prop_map(FuzzStep::Down),
-        1 => (0_usize..4).prop_map(FuzzStep::Older),
+        1 => (0_usize..4).prop_map(FuzzStep::RollBack),
     ];
     prop::collection::vec(step, 0..120)
 }
@@ -286,7 +291,7 @@
     })]
 
     #[test]
-    fn operators_are_told_the_truth_whatever_the_store_does(
+    fn outcomes_of_tickets_hold_whatever_the_store_does(
         steps in steps(),
     ) {
         let mut run = FuzzRun::new();
@@ -294,7 +299,7 @@
             run.step(step);
         }
 
-        run.settle();
+        run.finish();
 
         let last = run.operators[0].held.clone();
         for operator in &run.operators {
@@ -302,34 +307,36 @@
         }
         let recent = last.tickets.recent.iter();
         let keys: Vec<_> = recent
-            .flat_map(|(n, marks)| marks.iter().map(|m| (*n, m.digest)))
+            .flat_map(|(n, accepted)| accepted.iter().map(|m| (*n, m.digest)))
             .collect();
         let in_force = keys.iter().map(|key| run.tickets[key].clone());
-        prop_assert_eq!(&last.callers, &in_order(in_force));
+        prop_assert_eq!(&last.callers, &expected_callers(in_force));
         for key in &run.accepted {
             prop_assert!(keys.contains(key), "accepted {:?} stays", key);
         }
         for key in &run.denied {
-            prop_assert!(!keys.contains(key), "denied {:?} is there", key);
+            prop_assert!(!keys.contains(key), "denied {:?} is in force", key);
         }
     }
 }
 
-/// Two operators read the same state; the first write wins. The second is
-/// told which ticket was in between, and that its own is too late.
+/// Two operators read the same state, and the first write wins. The second
+/// operator's refusal names the ticket that came first.
 #[test]
-fn the_slower_operator_is_told_what_changed() {
+fn the_slower_operator_sees_which_ticket_came_first() {
     let mut run = FuzzRun::new();
     run.start(0, ticket(2, &Weights::from([(0, 1)])));
     run.start(1, ticket(1, &Weights::from([(0, 2)])));
-    // The second operator has read the store; then the first runs whole.
+    // The second operator has read the store; then the first runs to its
+    // end.
     run.poll(1);
     run.poll(1);
     while run.operators[0].running.is_some() {
         run.poll(0);
     }
 
-    let (_, future) = run.operators[1].running.take().expect("it runs");
+    let (_, future) =
+        run.operators[1].running.take().expect("call is running");
     let outcome = complete(future);
 
     let ApplyOutcome::Refused { refusals, raced } = outcome else {
@@ -339,14 +346,13 @@
     assert_eq!(refusals[0].reason.code(), "number-too-low");
 }
 
-/// The write takes effect, its answer is lost, and then the store is down:
-/// nobody can tell, and the operator is told so. The same ticket again
-/// brings the truth.
+/// The write takes effect, its response is lost, and the store goes down, so
+/// the outcome is unknown. Applying the same ticket again reveals it.
 #[test]
-fn a_lost_answer_and_an_outage_leave_it_unknown_until_asked_again() {
+fn a_lost_response_and_an_outage_leave_it_unknown_until_a_retry() {
     let store = StoreFake::default();
     let (held, one) = (DeploymentState::default(), Weights::from([(0, 1)]));
-    store.fail_next_write(WriteFault::AnswerLost);
+    store.fail_next_write(WriteFault::ResponseLost);
     store.go_down_after_next_write();
 
     let first = complete(apply_ticket(&store, &held, &ticket(1, &one)));
@@ -357,10 +363,10 @@
     assert!(matches!(again, ApplyOutcome::AcceptedAlready(_)), "{again:?}");
 }
 
-/// A value that this program does not understand is left as it is: a newer
-/// program wrote it, and writing over it would undo accepted tickets.
+/// A value that does not decode comes from a newer version of the program;
+/// overwriting it would undo accepted tickets.
 #[test]
-fn a_stored_value_that_is_not_understood_is_never_written_over() {
+fn a_stored_value_that_does_not_decode_is_never_overwritten() {
     let store = StoreFake::default();
     store.set_value(b"{ \"version\": 9, \"colour\": \"red\" }");
     let one = ticket(1, &Weights::from([(0, 1)]));
@@ -372,11 +378,11 @@
     assert!(store.value().starts_with(b"{ \"version\": 9"));
 }
 
-/// The store comes back without ticket 2. An operator applies ticket 1 of
-/// the same caller through a VM that still knows ticket 2: it is refused,
-/// and the next accepted ticket brings ticket 2 back into the store.
+/// The store is restored without ticket 2. Ticket 1 of the same caller,
+/// applied through a VM that still knows ticket 2, is refused, and the next
+/// accepted ticket writes ticket 2 again.
 #[test]
-fn a_store_with_older_data_is_judged_by_what_the_vm_knows() {
+fn a_ticket_is_checked_by_what_the_vm_knows_after_a_restore() {
     let store = StoreFake::default();
     let empty = DeploymentState::default();
     let two = ticket(2, &Weights::from([(0, 1)]));
@@ -385,7 +391,7 @@
     else {
         panic!("the first ticket");
     };
-    store.go_back(1);
+    store.roll_back(1);
 
     let late = ticket(1, &Weights::from([(0, 2)]));
     let late = complete(apply_ticket(&store, &held, &late));
--- a/goldcrestramp-node/tests/edge.rs
+++ b/goldcrestramp-node/tests/edge.rs
@@ -1,5 +1,5 @@
-//! Bad input of every kind to each listener: a clear answer or a closed
-//! connection, and a normal caller that is served whole all the while.
+//! Bad input to each listener gets a clear response or a closed connection,
+//! while a normal caller gets complete responses.
 
 mod small_domain;
 
@@ -23,95 +23,101 @@
     test_runner::{Config, RngAlgorithm, TestRng, TestRunner},
 };
 use reqwest::Method;
-use small_domain::{DomainShape, LIMIT, SmallDomain};
+use small_domain::{DomainShape, SmallDomain, TIMEOUT};
 use tokio::{
     io::{AsyncReadExt, AsyncWriteExt},
     net::TcpStream,
 };
 use tonic::Code;
 
-/// Connections that each test opens to a listener and leaves half-open.
+/// Half-open connections to each listener.
 const HALF_OPEN: usize = 50;
-/// Drawn inputs to each listener.
-const DRAWN: usize = 60;
+/// Random inputs to each listener.
+const RANDOM_INPUTS: usize = 60;
 
-async fn domain(seat: u8) -> SmallDomain {
+async fn domain(test_id: u8) -> SmallDomain {
     let servers = vec![ServerBehaviour::default()];
-    let shape = DomainShape { seat, nodes: 1, slots: 4, servers };
+    let shape = DomainShape { test_id, nodes: 1, slots: 4, servers };
     SmallDomain::spawn(shape, |_settings| {}).await
 }
 
-/// Lets `harm` happen while a normal caller asks on and on.
+/// Runs `disturb` while a normal caller sends lookups one after another.
 ///
 /// # Panics
 ///
-/// When one of its answers was not the whole right one.
-async fn serve_beside<T>(
+/// When a response to the normal caller is not complete and correct.
+async fn serve_during<T>(
     domain: &SmallDomain,
-    harm: impl AsyncFnOnce() -> T,
+    disturb: impl AsyncFnOnce() -> T,
 ) -> T {
-    let over = AtomicBool::new(false);
+    let is_over = AtomicBool::new(false);
     let served = AtomicUsize::new(0);
-    let asking = async {
-        while !over.load(Ordering::Relaxed) {
+    let looking_up = async {
+        while !is_over.load(Ordering::Relaxed) {
             let number = served.fetch_add(1, Ordering::Relaxed);
             let id = format!("normal-{number}");
-            let ask = domain.request_to(0, Method::GET, "rice");
-            let ask = ask
+            let lookup = domain.request_to(0, Method::GET, "rice");
+            let lookup = lookup
                 .header("goldcrestramp-caller", "tienda")
                 .header("goldcrestramp-request", &id);
-            let answer = ask.send().await.expect("an answer");
-            assert_eq!(answer.headers()["goldcrestramp-outcome"], "done");
-            let body = answer.bytes().await.expect("a whole body");
+            let response =
+                lookup.send().await.expect("request gets a response");
+            assert_eq!(response.headers()["goldcrestramp-outcome"], "done");
+            let body = response.bytes().await.expect("body is complete");
             let found = check_answer(&body, &format!("tienda/{id}"), "rice");
             assert_eq!(found, AnswerCheck::Whole { value: 0 });
         }
     };
-    let harming = async {
-        let result = tokio::time::timeout(LIMIT, harm()).await;
-        over.store(true, Ordering::Relaxed);
-        result.expect("every bad input was answered in time")
+    let disturbing = async {
+        let result = tokio::time::timeout(TIMEOUT, disturb()).await;
+        is_over.store(true, Ordering::Relaxed);
+        result.expect("each bad input is handled in time")
     };
-    let (result, ()) = tokio::join!(harming, asking);
+    let (result, ()) = tokio::join!(disturbing, looking_up);
     assert!(served.load(Ordering::Relaxed) > 0);
     result
 }
 
-/// Sends bytes and reads all that comes until the connection is closed.
+/// Sends bytes, and returns all that is received until the connection is
+/// closed.
 async fn send_raw(address: SocketAddr, bytes: &[u8]) -> Vec<u8> {
-    let mut stream = TcpStream::connect(address).await.expect("connected");
-    // A listener that has seen enough may close before it has all.
+    let mut stream =
+        TcpStream::connect(address).await.expect("connection succeeds");
+    // A listener may refuse and close before it has received all.
     drop(stream.write_all(bytes).await);
-    let mut answer = Vec::new();
-    drop(stream.read_to_end(&mut answer).await);
-    answer
+    let mut response = Vec::new();
+    drop(stream.read_to_end(&mut response).await);
+    response
 }
 
-/// Sends bytes and no more; what is sent back before the end is of no use.
+/// Sends bytes, closes the sending side, and returns all that is received.
 async fn send_and_close(address: SocketAddr, bytes: &[u8]) -> Vec<u8> {
-    let mut stream = TcpStream::connect(address).await.expect("connected");
+    let mut stream =
+        TcpStream::connect(address).await.expect("connection succeeds");
     drop(stream.write_all(bytes).await);
     drop(stream.shutdown().await);
-    let mut answer = Vec::new();
-    drop(stream.read_to_end(&mut answer).await);
-    answer
+    let mut response = Vec::new();
+    drop(stream.read_to_end(&mut response).await);
+    response
 }
 
-fn status_line(answer: &[u8]) -> String {
-    let text = String::from_utf8_lossy(answer);
+fn status_line(response: &[u8]) -> String {
+    let text = String::from_utf8_lossy(response);
     text.lines().next().unwrap_or_default().to_owned()
 }
 
-/// Draws the same values in every run.
+/// Random values, the same ones in each run.
 fn draw<S: Strategy>(strategy: &S, count: usize) -> Vec<S::Value> {
     let source = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let mut runner = TestRunner::new_with_rng(Config::default(), source);
     let values = (0..count).map(|_| strategy.new_tree(&mut runner));
-    values.map(|tree| tree.expect("a value").current()).collect()
+    values
+        .map(|tree| tree.expect("strategy yields a value").current())
+        .collect()
 }
 
-/// A shop's broken client sends what no request may be. It is told what is
-/// wrong, and that nothing ran.
+/// Each kind of malformed request gets its status and reason, and an outcome
+/// that says that nothing ran.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_malformed_request_is_refused_with_its_reason() {
     let domain = domain(2).await;
@@ -144,14 +150,14 @@
             "bad-request",
         ),
     ];
-    serve_beside(&domain, async || {
+    serve_during(&domain, async || {
         for (head, status, reason) in cases {
             let request = format!("{head}connection: close\r\n\r\n");
-            let answer = send_raw(callers, request.as_bytes()).await;
+            let response = send_raw(callers, request.as_bytes()).await;
 
-            let line = status_line(&answer);
+            let line = status_line(&response);
             assert!(line.contains(status), "{head}: {line}");
-            let text = String::from_utf8_lossy(&answer);
+            let text = String::from_utf8_lossy(&response);
             assert!(text.contains("goldcrestramp-outcome: not-run"), "{text}");
             assert!(text.contains(reason), "{head}: {text}");
         }
@@ -159,7 +165,8 @@
     .await;
 }
 
-/// Heads and bodies beyond the limits are refused before they are held.
+/// Heads and bodies beyond the limits are refused before they are buffered in
+/// memory.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn oversize_input_is_refused() {
     let domain = domain(3).await;
@@ -186,11 +193,12 @@
         (addresses.operators, head.as_bytes(), "431"),
         (addresses.operators, ticket.as_bytes(), "4"),
     ];
-    serve_beside(&domain, async || {
+    serve_during(&domain, async || {
         for (address, request, status) in cases {
             let line = status_line(&send_raw(address, request).await);
 
-            // The answer may be lost when it closes amid what is sent.
+            // The response may be lost when the listener closes during the
+            // send.
             let refused = line.is_empty() && request.len() > bytes;
             let expected = format!("HTTP/1.1 {status}");
             assert!(refused || line.starts_with(&expected), "{line}");
@@ -199,12 +207,13 @@
     .await;
 }
 
-/// Bytes that are no protocol at all, and requests of drawn parts.
+/// Random bytes, and requests of random parts, must neither fail with status
+/// 500 nor disturb a normal caller.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn garbage_costs_nobody_else_anything() {
+async fn garbage_does_not_disturb_other_callers() {
     let domain = domain(4).await;
     let addresses = domain.nodes[0].addresses();
-    let garbage = draw(&vec(any::<u8>(), 1..2_000), DRAWN);
+    let garbage = draw(&vec(any::<u8>(), 1..2_000), RANDOM_INPUTS);
     let parts = (
         "(GET|POST|PUT|[A-Z]{1,9}) ",
         "/(v1/)?(stock/)?[!-~]{0,40}",
@@ -216,8 +225,8 @@
             0..6,
         ),
     );
-    let requests = draw(&parts, 4 * DRAWN);
-    serve_beside(&domain, async || {
+    let requests = draw(&parts, 4 * RANDOM_INPUTS);
+    serve_during(&domain, async || {
         for bytes in &garbage {
             for address in [
                 addresses.callers,
@@ -232,8 +241,9 @@
             let headers = headers.concat();
             let request = format!("{method}{path}{version}{headers}\r\n");
             for address in [addresses.callers, addresses.operators] {
-                let answer = send_and_close(address, request.as_bytes()).await;
-                let line = status_line(&answer);
+                let response =
+                    send_and_close(address, request.as_bytes()).await;
+                let line = status_line(&response);
                 assert!(!line.contains(" 500"), "{request}: {line}");
             }
         }
@@ -241,10 +251,10 @@
     .await;
 }
 
-/// Callers and others connect, send nothing or a part, and hold on. Each is
-/// cut off after a while, and nobody waits behind them.
+/// Clients connect, send nothing or a part, and stay connected. Each is closed
+/// after a timeout, and no other request waits for them.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn half_open_connections_are_cut_off() {
+async fn half_open_connections_are_closed() {
     let domain = domain(5).await;
     let addresses = domain.nodes[0].addresses();
     let listeners = [
@@ -253,15 +263,15 @@
         (addresses.peers, "PRI * HT"),
         (addresses.control, "PRI * HT"),
     ];
-    serve_beside(&domain, async || {
+    serve_during(&domain, async || {
         let mut open = Vec::new();
         for (address, part) in listeners {
             for number in 0..HALF_OPEN {
                 let stream = TcpStream::connect(address).await;
-                let mut stream = stream.expect("connected");
+                let mut stream = stream.expect("connection succeeds");
                 if number % 2 == 0 {
                     let sent = stream.write_all(part.as_bytes()).await;
-                    sent.expect("taken");
+                    sent.expect("request is accepted");
                 }
                 open.push(stream);
             }
@@ -274,24 +284,24 @@
     .await;
 }
 
-/// A peer of another build sends messages that mean nothing: each is
-/// refused by name, and the daemon goes on.
+/// A peer of another version sends messages without meaning: each is refused
+/// with its reason, and the daemon continues.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn peers_nonsense_is_refused() {
+async fn meaningless_messages_of_peers_are_refused() {
     let domain = domain(6).await;
     let addresses = domain.nodes[0].addresses();
     let text = "[ -~]{0,12}";
-    let drawn = draw(
+    let messages = draw(
         &(text, text, text, vec(any::<u8>(), 0..40), any::<u64>()),
-        DRAWN,
+        RANDOM_INPUTS,
     );
     let (peers, control) = (addresses.peers, addresses.control);
-    serve_beside(&domain, async || {
+    serve_during(&domain, async || {
         let peer = PeerClient::connect(format!("http://{peers}")).await;
-        let mut peer = peer.expect("connected");
+        let mut peer = peer.expect("connection succeeds");
         let control = ControlClient::connect(format!("http://{control}"));
-        let mut control = control.await.expect("connected");
-        for (service, caller, class, key, number) in drawn {
+        let mut control = control.await.expect("connection succeeds");
+        for (service, caller, class, key, number) in messages {
             let request = RouteRequest {
                 service: service.clone(),
                 caller: caller.clone(),
@@ -302,8 +312,9 @@
                 recover: number % 2 == 0,
                 ..RouteRequest::default()
             };
-            let frames = peer.route(request).await.expect("a stream");
-            let first = frames.into_inner().message().await.expect("a frame");
+            let frames = peer.route(request).await.expect("stream opens");
+            let first =
+                frames.into_inner().message().await.expect("frame arrives");
             let first = first.and_then(|frame| frame.frame);
             let refused =
                 matches!(first, Some(Frame::NotRun(_) | Frame::Unknown(_)));
@@ -333,10 +344,10 @@
                 ..PermitRequest::default()
             };
             let replies = control.permits(tokio_stream::once(permit)).await;
-            let reply = replies.expect("a stream").into_inner();
+            let reply = replies.expect("stream opens").into_inner();
             let mut reply = reply;
-            let answer = reply.message().await;
-            assert!(answer.is_err(), "a VM without a name: {answer:?}");
+            let response = reply.message().await;
+            assert!(response.is_err(), "a VM without a name: {response:?}");
         }
         let body = vec![0_u8; 64 * 1_024 * 1_024];
         let large =
--- a/goldcrestramp-node/tests/path.rs
+++ b/goldcrestramp-node/tests/path.rs
@@ -1,4 +1,5 @@
-//! The whole path in one process: callers, daemons, servers, platform.
+//! The full path of a request in one process: caller, daemons, servers,
+//! platform.
 
 mod peer_keys;
 mod small_domain;
@@ -9,20 +10,20 @@
 use reqwest::Method;
 use small_domain::{DOMAIN, DomainShape, SmallDomain};
 
-/// Serves one lookup through each of three VMs; the bodies.
+/// Serves one lookup through each of three VMs; returns the bodies.
 async fn serve_through_each(
-    seat: u8,
+    test_id: u8,
     prepare: impl Fn(&mut NodeSettings),
 ) -> Vec<String> {
     let servers = vec![ServerBehaviour::default(); 2];
-    let shape = DomainShape { seat, nodes: 3, slots: 4, servers };
+    let shape = DomainShape { test_id, nodes: 3, slots: 4, servers };
     let domain = SmallDomain::spawn(shape, prepare).await;
     let mut bodies = Vec::new();
     for node in 0..domain.nodes.len() {
-        let ask = domain.request_to(node, Method::GET, "shop-17");
-        let answer = ask.send().await.expect("an answer");
-        assert_eq!(answer.headers()["goldcrestramp-outcome"], "done");
-        bodies.push(answer.text().await.expect("a whole body"));
+        let lookup = domain.request_to(node, Method::GET, "shop-17");
+        let response = lookup.send().await.expect("request gets a response");
+        assert_eq!(response.headers()["goldcrestramp-outcome"], "done");
+        bodies.push(response.text().await.expect("body is complete"));
     }
     bodies
 }
@@ -35,8 +36,8 @@
     assert!(bodies.iter().all(|body| !body.is_empty()));
 }
 
-// The same path, with certificates between the VMs: confirmations, permits,
-// tables and requests all go by TLS.
+// The same path with certificates of the VMs: confirmations, permits, tables
+// and requests are all sent by TLS.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_lookup_is_served_through_any_gateway_by_tls() {
     let authority = authority();
@@ -48,8 +49,8 @@
     });
     let with_keys = |settings: &mut NodeSettings| {
         let mut all = files.iter();
-        let mine = all.find(|(vm, _)| settings.vm.as_str() == *vm);
-        let (_, files) = mine.expect("keys for each VM");
+        let matching = all.find(|(vm, _)| settings.vm.as_str() == *vm);
+        let (_, files) = matching.expect("each VM has keys");
         settings.peer_tls = Some(PeerTlsSettings {
             authority_file: files.0.join("authority.pem"),
             certificate_file: files.0.join("vm.pem"),
--- a/goldcrestramp-node/tests/planted.rs
+++ b/goldcrestramp-node/tests/planted.rs
@@ -1,8 +1,9 @@
-//! Every check after a run can fail: each promise is broken by a daemon
-//! that leaves a safeguard out, and kept by the same daemon that does not.
+//! Each check after a run can fail: a daemon with a planted fault, which
+//! leaves out one safeguard, violates a guarantee that the same daemon without
+//! the fault keeps.
 //!
-//! Callers, daemon and servers talk over sockets, and both runs of a test
-//! have the same requests and the same faults of the servers.
+//! Callers, daemon and servers use sockets, and all runs of a test have the
+//! same requests.
 
 mod small_domain;
 
@@ -17,38 +18,38 @@
 use goldcrestramp_types::RequestClass;
 use small_domain::{DomainShape, SmallDomain};
 
-/// Answers of each server that go wrong; after many more in a row its
-/// keeper would take it as lost, and nothing would be left to judge.
-const BAD_ANSWERS: u32 = 4;
-/// How long requests arrive.
+/// Faulty responses of each server; after many more in a row its keeper would
+/// treat it as lost, and the run would have nothing to check.
+const FAULTY_RESPONSES: u32 = 4;
+/// How long requests are sent, in seconds.
 const SECONDS: u64 = 3;
 
-/// Every class.
+/// All classes.
 const ALL: [RequestClass; 3] =
     [RequestClass::Lookup, RequestClass::Order, RequestClass::Long];
-/// Orders alone: each bad answer is one of theirs.
+/// Orders only: each faulty response is one to an order.
 const ORDERS: [RequestClass; 1] = [RequestClass::Order];
 
-/// What the checks say of a run.
+/// The violations that the checks found in a run.
 #[derive(Clone, Copy, Debug)]
-struct RunFigures {
-    promises: GuaranteeViolations,
-    broken_histories: usize,
+struct RunViolations {
+    violations: GuaranteeViolations,
+    invalid_histories: usize,
 }
 
-impl RunFigures {
-    fn kept(&self) -> bool {
-        self.promises.is_empty() && self.broken_histories == 0
+impl RunViolations {
+    fn is_empty(&self) -> bool {
+        self.violations.is_empty() && self.invalid_histories == 0
     }
 }
 
-/// Puts requests of these classes through a daemon and two servers.
+/// Sends requests of these classes through one daemon to two servers.
 async fn run(
-    seat: u8,
+    test_id: u8,
     planted: Option<PlantedFault>,
     faults: &ServerFaults,
     classes: &[RequestClass],
-) -> RunFigures {
+) -> RunViolations {
     let work = WorkTimes::fixed(5);
     let behaviour = |number| ServerBehaviour {
         name: format!("stock-{number}"),
@@ -58,7 +59,7 @@
         ..ServerBehaviour::default()
     };
     let servers = vec![behaviour(0), behaviour(1)];
-    let shape = DomainShape { seat, nodes: 1, slots: 4, servers };
+    let shape = DomainShape { test_id, nodes: 1, slots: 4, servers };
     let domain = SmallDomain::spawn(shape, |_settings| {}).await;
     domain.nodes[0].context().faults.plant(planted);
     for server in &domain.servers {
@@ -72,9 +73,9 @@
     for server in &domain.servers {
         log.append(server.log());
     }
-    RunFigures {
-        promises: GuaranteeViolations::count(&log, &calls),
-        broken_histories: unlinearizable_keys(&calls).len(),
+    RunViolations {
+        violations: GuaranteeViolations::count(&log, &calls),
+        invalid_histories: unlinearizable_keys(&calls).len(),
     }
 }
 
@@ -102,81 +103,83 @@
 
 /// A keeper sends requests to a server that does not own their keys.
 ///
-/// Servers that look at the grant and its token refuse them all; servers
-/// that ignore the token run them beside the owner.
+/// Servers that check the grant and its fence token refuse them all; servers
+/// that ignore the token run them concurrently with the owner.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn work_beside_the_owner_shows() {
-    let heeded = ServerFaults::default();
-    let ignored = ServerFaults { ignores_fence: true, ..heeded.clone() };
+async fn work_beside_the_owner_is_detected() {
+    let checked = ServerFaults::default();
+    let ignored = ServerFaults { ignores_fence: true, ..checked.clone() };
     let planted = Some(PlantedFault::WrongServer);
 
-    let kept = run(2, None, &ignored, &ALL).await;
-    let fenced = run(3, planted, &heeded, &ALL).await;
-    let broken = run(4, planted, &ignored, &ALL).await;
+    let correct = run(2, None, &ignored, &ALL).await;
+    let fenced = run(3, planted, &checked, &ALL).await;
+    let faulty = run(4, planted, &ignored, &ALL).await;
 
-    assert!(kept.kept(), "{kept:?}");
-    assert!(fenced.kept(), "{fenced:?}");
-    assert!(broken.promises.owner_overlaps > 0, "{broken:?}");
+    assert!(correct.is_empty(), "{correct:?}");
+    assert!(fenced.is_empty(), "{fenced:?}");
+    assert!(faulty.violations.owner_overlaps > 0, "{faulty:?}");
 }
 
-/// The server's answers to started orders are lost on the way: a daemon
-/// that sends such an order again makes the shop receive it twice, and the
-/// key's value rises by two where its caller ordered once.
+/// The server's responses to started orders are crossed. A daemon that retries
+/// such an order runs it twice, and the key's value rises by two where its
+/// caller ordered once.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_started_order_that_is_sent_again_shows() {
+async fn a_retried_started_order_is_detected() {
     let faults =
-        ServerFaults { crossed: BAD_ANSWERS, ..ServerFaults::default() };
+        ServerFaults { crossed: FAULTY_RESPONSES, ..ServerFaults::default() };
 
-    let kept = run(2, None, &faults, &ORDERS).await;
-    let broken =
+    let correct = run(2, None, &faults, &ORDERS).await;
+    let faulty =
         run(3, Some(PlantedFault::StartedRetried), &faults, &ORDERS).await;
 
-    assert!(kept.kept(), "{kept:?}");
-    assert!(broken.promises.doubled > 0, "{broken:?}");
-    assert!(broken.broken_histories > 0, "{broken:?}");
+    assert!(correct.is_empty(), "{correct:?}");
+    assert!(faulty.violations.doubled > 0, "{faulty:?}");
+    assert!(faulty.invalid_histories > 0, "{faulty:?}");
 }
 
-/// The same answers are lost: a daemon that says "not run" of what it does
-/// not know makes callers order again what they have ordered.
+/// The same responses are crossed. A daemon that reports "not run" for an
+/// unknown outcome makes callers send their orders again.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_started_order_that_is_denied_shows() {
+async fn a_denied_started_order_is_detected() {
     let faults =
-        ServerFaults { crossed: BAD_ANSWERS, ..ServerFaults::default() };
+        ServerFaults { crossed: FAULTY_RESPONSES, ..ServerFaults::default() };
 
-    let kept = run(2, None, &faults, &ORDERS).await;
-    let broken =
+    let correct = run(2, None, &faults, &ORDERS).await;
+    let faulty =
         run(3, Some(PlantedFault::UnknownDenied), &faults, &ORDERS).await;
 
-    assert!(kept.kept(), "{kept:?}");
-    assert!(broken.promises.not_run_but_ran > 0, "{broken:?}");
-    assert!(broken.broken_histories > 0, "{broken:?}");
+    assert!(correct.is_empty(), "{correct:?}");
+    assert!(faulty.violations.not_run_but_ran > 0, "{faulty:?}");
+    assert!(faulty.invalid_histories > 0, "{faulty:?}");
 }
 
-/// A server mixes answers up: a daemon that does not look whose they are
-/// shows one shop another's data.
+/// A server crosses responses. A daemon that does not check their request ids
+/// sends one caller another's data.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn an_answer_to_another_request_shows() {
+async fn a_response_to_another_request_is_detected() {
     let faults =
-        ServerFaults { crossed: BAD_ANSWERS, ..ServerFaults::default() };
+        ServerFaults { crossed: FAULTY_RESPONSES, ..ServerFaults::default() };
 
-    let kept = run(2, None, &faults, &ALL).await;
-    let broken =
+    let correct = run(2, None, &faults, &ALL).await;
+    let faulty =
         run(3, Some(PlantedFault::CrossedPassed), &faults, &ALL).await;
 
-    assert!(kept.kept(), "{kept:?}");
-    assert!(broken.promises.wrong_answers > 0, "{broken:?}");
+    assert!(correct.is_empty(), "{correct:?}");
+    assert!(faulty.violations.wrong_answers > 0, "{faulty:?}");
 }
 
-/// Answers break off half way: a daemon that ends them as if they were
-/// whole lets callers take a part for the whole.
+/// Responses break off half way. A daemon that ends them normally makes
+/// callers take an incomplete response for a complete one.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_cut_answer_that_is_passed_as_whole_shows() {
-    let faults =
-        ServerFaults { truncated: BAD_ANSWERS, ..ServerFaults::default() };
+async fn a_truncated_response_passed_as_complete_is_detected() {
+    let faults = ServerFaults {
+        truncated: FAULTY_RESPONSES,
+        ..ServerFaults::default()
+    };
 
-    let kept = run(2, None, &faults, &ALL).await;
-    let broken = run(3, Some(PlantedFault::CutPassed), &faults, &ALL).await;
+    let correct = run(2, None, &faults, &ALL).await;
+    let faulty = run(3, Some(PlantedFault::CutPassed), &faults, &ALL).await;
 
-    assert!(kept.kept(), "{kept:?}");
-    assert!(broken.promises.cut_answers > 0, "{broken:?}");
+    assert!(correct.is_empty(), "{correct:?}");
+    assert!(faulty.violations.cut_answers > 0, "{faulty:?}");
 }
--- a/goldcrestramp-node/tests/small_domain/mod.rs
+++ b/goldcrestramp-node/tests/small_domain/mod.rs
@@ -1,4 +1,4 @@
-//! Daemons and servers of one failure domain, in this process.
+//! One failure domain of any number of daemons and servers, in this process.
 
 use std::{
     net::{Ipv4Addr, SocketAddr, TcpListener},
@@ -16,27 +16,27 @@
 
 /// The failure domain.
 pub(crate) const DOMAIN: &str = "sierra-a";
-/// Longer than anything here takes; only a failed test sees it.
-pub(crate) const LIMIT: Duration = Duration::from_secs(30);
-/// The addresses of one daemon.
+/// Longer than any wait in these tests; only a failed test reaches it.
+pub(crate) const TIMEOUT: Duration = Duration::from_secs(30);
+/// The listen addresses of one daemon.
 const LISTENERS: usize = 4;
-/// Enough keys that each of several servers holds some.
+/// Enough keys that each of several servers owns some.
 const KEYS: usize = 16;
 
-/// What is started.
+/// What `SmallDomain::spawn` starts.
 #[derive(Debug)]
 pub(crate) struct DomainShape {
-    /// Another number, from 2, for each test of the process.
-    pub(crate) seat: u8,
-    /// How many daemons.
+    /// From 2, and unique among the tests of the process.
+    pub(crate) test_id: u8,
+    /// The number of daemons.
     pub(crate) nodes: usize,
-    /// The slots of each server, as the configuration tells them.
+    /// The slots of each server in the configuration.
     pub(crate) slots: u32,
-    /// The servers.
+    /// The behavior of each server.
     pub(crate) servers: Vec<ServerBehaviour>,
 }
 
-/// What a test talks to.
+/// The running daemons, servers and platform.
 #[derive(Debug)]
 pub(crate) struct SmallDomain {
     pub(crate) servers: Vec<ServerStandin>,
@@ -51,11 +51,12 @@
         shape: DomainShape,
         prepare: impl Fn(&mut NodeSettings),
     ) -> Self {
-        let platform = PlatformStandin::bind(loopback()).await.expect("bound");
+        let platform =
+            PlatformStandin::bind(loopback()).await.expect("address binds");
         let address = platform.address();
         let servers = bind_servers(shape.servers).await;
         put_config(address, &servers, shape.slots).await;
-        let listen = draw_addresses(shape.seat, shape.nodes * LISTENERS);
+        let listen = free_addresses(shape.test_id, shape.nodes * LISTENERS);
         let mut all: Vec<_> = (0..)
             .zip(listen.chunks(LISTENERS))
             .map(|(number, listen)| settings(number, address, listen))
@@ -64,7 +65,9 @@
         platform.set_vms(all.iter().map(live_entry).collect());
         let mut nodes = Vec::new();
         for settings in all {
-            nodes.push(NodeHandle::spawn(settings).await.expect("started"));
+            nodes.push(
+                NodeHandle::spawn(settings).await.expect("daemon starts"),
+            );
         }
         let http = reqwest::Client::new();
         let domain = Self { servers, nodes, http, _platform: platform };
@@ -72,7 +75,7 @@
         domain
     }
 
-    /// A request for a key, to one of the VMs.
+    /// A request for a key through one of the VMs.
     pub(crate) fn request_to(
         &self,
         node: usize,
@@ -90,16 +93,19 @@
             for key in 0..keys {
                 let key = format!("first-{key}");
                 let served = self.wait_for_key(node, &key);
-                tokio::time::timeout(LIMIT, served).await.expect("in time");
+                tokio::time::timeout(TIMEOUT, served)
+                    .await
+                    .expect("condition is met in time");
             }
         }
     }
 
     async fn wait_for_key(&self, node: usize, key: &str) {
         loop {
-            let ask = self.request_to(node, Method::GET, key);
-            let answer = ask.send().await.expect("an answer");
-            if answer.status().is_success() {
+            let lookup = self.request_to(node, Method::GET, key);
+            let response =
+                lookup.send().await.expect("request gets a response");
+            if response.status().is_success() {
                 return;
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
@@ -108,7 +114,7 @@
 }
 
 fn loopback() -> SocketAddr {
-    "127.0.0.1:0".parse().expect("an address")
+    "127.0.0.1:0".parse().expect("address is valid")
 }
 
 async fn bind_servers(behaviours: Vec<ServerBehaviour>) -> Vec<ServerStandin> {
@@ -118,25 +124,25 @@
         let storage = storage.clone();
         let server =
             ServerStandin::bind_with(loopback(), behaviour, storage, None);
-        servers.push(server.await.expect("bound"));
+        servers.push(server.await.expect("address binds"));
     }
     servers
 }
 
-/// Addresses on which nothing listens, drawn together because peers must
-/// know them before the daemons start.
+/// Free addresses, chosen together because peers must know them before the
+/// daemons start.
 ///
-/// They stand on a host of this test's own, ending in `last`, where no
-/// connection or other listener can take a drawn port before its daemon
-/// binds it.
-fn draw_addresses(last: u8, count: usize) -> Vec<SocketAddr> {
+/// They are on a loopback host of this test alone, ending in `last`, where
+/// no connection or other listener can take a port before its daemon binds
+/// it.
+fn free_addresses(last: u8, count: usize) -> Vec<SocketAddr> {
     let [_, _, high, low] = std::process::id().to_be_bytes();
     let host = Ipv4Addr::new(127, 64 + (high & 0x3f), low, last);
     let listeners: Vec<_> = (0..count)
-        .map(|_| TcpListener::bind((host, 0)).expect("a port"))
+        .map(|_| TcpListener::bind((host, 0)).expect("port is free"))
         .collect();
     let addresses = listeners.iter().map(TcpListener::local_addr);
-    addresses.map(|one| one.expect("an address")).collect()
+    addresses.map(|one| one.expect("address is valid")).collect()
 }
 
 fn settings(
@@ -155,7 +161,7 @@
         "platform_url": format!("http://{platform}"),
         "operators": { "listen": listen[3] },
     });
-    serde_json::from_value(value).expect("settings")
+    serde_json::from_value(value).expect("settings are valid")
 }
 
 async fn put_config(
@@ -187,6 +193,6 @@
     let url = format!("http://{platform}/kv/config");
     let put = reqwest::Client::new().put(url);
     let put = put.header("if-none-match", "*").body(state.to_string());
-    let status = put.send().await.expect("an answer").status();
+    let status = put.send().await.expect("request gets a response").status();
     assert!(status.is_success());
 }
--- a/goldcrestramp-node/tests/store_fake/mod.rs
+++ b/goldcrestramp-node/tests/store_fake/mod.rs
@@ -1,4 +1,4 @@
-//! A key-value store in memory that fails as it is told.
+//! An in-memory key-value store with injected faults.
 
 use std::{
     pin::Pin,
@@ -12,22 +12,22 @@
 };
 use goldcrestramp_types::TimeSpan;
 
-/// How a write fails.
+/// How a write fails; each fault leaves its outcome unknown to the caller.
 #[derive(Clone, Copy, Debug)]
 pub enum WriteFault {
-    /// It takes effect, and the answer is lost.
-    AnswerLost,
-    /// It never arrives, and nobody can tell.
+    /// It takes effect, and its response is lost.
+    ResponseLost,
+    /// It never arrives.
     RequestLost,
-    /// Nobody can tell, and it arrives later.
-    Late,
+    /// It arrives later, with `deliver`.
+    Delayed,
 }
 
 #[derive(Debug, Default)]
 struct FakeState {
     value: Option<StoredValue>,
     history: Vec<Option<StoredValue>>,
-    late: Vec<(PutCondition, Bytes)>,
+    delayed: Vec<(PutCondition, Bytes)>,
     fault: Option<WriteFault>,
     down: bool,
     down_after_write: bool,
@@ -36,11 +36,11 @@
 impl FakeState {
     fn put(&mut self, condition: PutCondition, value: Bytes) -> PutOutcome {
         let version = self.value.as_ref().map(|v| v.version);
-        let holds = match condition {
+        let is_met = match condition {
             PutCondition::Absent => version.is_none(),
             PutCondition::Version(wanted) => version == Some(wanted),
         };
-        if !holds {
+        if !is_met {
             return PutOutcome::Conflict;
         }
         self.history.push(self.value.clone());
@@ -50,7 +50,7 @@
     }
 }
 
-/// A store of one key; every call yields once before it takes effect.
+/// A store of a single key; each call yields once before it takes effect.
 #[derive(Debug, Default)]
 pub struct StoreFake {
     state: Mutex<FakeState>,
@@ -58,49 +58,50 @@
 
 impl StoreFake {
     fn lock(&self) -> MutexGuard<'_, FakeState> {
-        self.state.lock().expect("no panic under the lock")
+        self.state.lock().expect("lock is not poisoned")
     }
 
-    /// The next write fails like this.
+    /// Makes the next write fail with `fault`.
     pub fn fail_next_write(&self, fault: WriteFault) {
         self.lock().fault = Some(fault);
     }
 
-    /// The store is down once the next write has been dealt with.
+    /// Takes the store down once the next write is processed.
     pub fn go_down_after_next_write(&self) {
         self.lock().down_after_write = true;
     }
 
-    /// Takes the store down or up.
+    /// Takes the store down, or up again.
     pub fn set_down(&self, down: bool) {
         self.lock().down = down;
     }
 
-    /// The writes that were held up arrive.
+    /// Delivers the delayed writes.
     pub fn deliver(&self) {
         let mut state = self.lock();
-        for (condition, value) in std::mem::take(&mut state.late) {
+        for (condition, value) in std::mem::take(&mut state.delayed) {
             state.put(condition, value);
         }
     }
 
-    /// Restores the value of so many writes ago; what was under way is lost.
-    pub fn go_back(&self, writes: usize) {
+    /// Restores the value from before the last `writes` writes; delayed writes
+    /// are lost.
+    pub fn roll_back(&self, writes: usize) {
         let mut state = self.lock();
-        state.late.clear();
+        state.delayed.clear();
         for _ in 0..writes {
-            let Some(former) = state.history.pop() else { return };
-            state.value = former;
+            let Some(previous) = state.history.pop() else { return };
+            state.value = previous;
         }
     }
 
-    /// The stored bytes.
+    /// The stored bytes; empty if nothing is stored.
     pub fn value(&self) -> Bytes {
         let state = self.lock();
         state.value.as_ref().map(|v| v.value.clone()).unwrap_or_default()
     }
 
-    /// Stores these bytes.
+    /// Stores these bytes as version 1.
     pub fn set_value(&self, value: &'static [u8]) {
         let value = Bytes::from_static(value);
         self.lock().value = Some(StoredValue { version: 1, value });
@@ -144,11 +145,13 @@
         state.down = std::mem::take(&mut state.down_after_write);
         match state.fault.take() {
             None => return Ok(state.put(condition, value)),
-            Some(WriteFault::AnswerLost) => {
+            Some(WriteFault::ResponseLost) => {
                 state.put(condition, value);
             }
             Some(WriteFault::RequestLost) => {}
-            Some(WriteFault::Late) => state.late.push((condition, value)),
+            Some(WriteFault::Delayed) => {
+                state.delayed.push((condition, value))
+            }
         }
         Err(StoreError::Unknown("lost".to_owned()))
     }
@@ -162,7 +165,7 @@
     }
 }
 
-/// Gives way once, so that a test decides who goes on.
+/// Is pending once, so that a test decides which call proceeds.
 #[derive(Debug, Default)]
 struct YieldOnce {
     yielded: bool,
--- a/goldcrestramp-node/tests/two_domains/mod.rs
+++ b/goldcrestramp-node/tests/two_domains/mod.rs
@@ -22,13 +22,13 @@
 
 /// The two failure domains, in one region.
 pub(crate) const DOMAINS: [&str; 2] = ["sierra-a", "sierra-b"];
-/// Enough keys that both domains hold some.
+/// Enough keys that each domain holds some.
 const KEYS: usize = 24;
-/// Longer than anything here takes; only a failed test sees it.
-const LIMIT: Duration = Duration::from_mins(1);
-const PAUSE: Duration = Duration::from_millis(50);
+/// Longer than any wait in these tests; only a failed test reaches it.
+const TIMEOUT: Duration = Duration::from_mins(1);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What a test talks to.
+/// The running daemons, servers and platform.
 pub(crate) struct TwoDomains {
     pub(crate) platform: PlatformStandin,
     pub(crate) store: PlatformClient,
@@ -41,15 +41,17 @@
 impl TwoDomains {
     /// Starts everything and waits until every key is served.
     ///
-    /// `seat`: another number for each test of the process.
-    pub(crate) async fn spawn(seat: u16) -> Self {
-        let platform = PlatformStandin::bind(loopback()).await.expect("bound");
+    /// `test_id`: below `TEST_IDS` and unique among the tests of the process.
+    pub(crate) async fn spawn(test_id: u16) -> Self {
+        let platform =
+            PlatformStandin::bind(loopback()).await.expect("address binds");
         let store =
             PlatformClient::open(&format!("http://{}", platform.address()));
-        let settings = [0, 1].map(|n| settings(seat, n, platform.address()));
+        let settings =
+            [0, 1].map(|n| settings(test_id, n, platform.address()));
         platform.set_vms(settings.iter().map(live_entry).collect());
         let mut two = Self {
-            store: store.expect("a client"),
+            store: store.expect("URL is valid"),
             platform,
             servers: [None, None],
             settings,
@@ -68,14 +70,14 @@
         two
     }
 
-    /// Starts a domain's daemon anew.
+    /// Starts a domain's daemon, with its first settings.
     pub(crate) async fn start_node(&mut self, domain: usize) {
         let settings = self.settings[domain].clone();
-        let node = NodeHandle::spawn(settings).await.expect("started");
+        let node = NodeHandle::spawn(settings).await.expect("daemon starts");
         self.nodes[domain] = Some(node);
     }
 
-    /// Starts a domain's server anew, at `address`.
+    /// Starts a new server for a domain at `address`.
     pub(crate) async fn start_server(
         &mut self,
         domain: usize,
@@ -83,50 +85,52 @@
     ) {
         let behaviour = ServerBehaviour::default();
         let server = ServerStandin::bind(address, behaviour).await;
-        self.servers[domain] = Some(server.expect("bound"));
+        self.servers[domain] = Some(server.expect("address binds"));
     }
 
-    /// Makes a domain's daemon stand still, or go on.
+    /// Pauses a domain's daemon, or resumes it.
     pub(crate) fn pause_node(&self, domain: usize, paused: bool) {
-        let node = self.nodes[domain].as_ref().expect("a running daemon");
+        let node = self.nodes[domain].as_ref().expect("daemon runs");
         node.context().faults.pause(paused);
     }
 
-    /// Waits until the platform has served so many more reads.
+    /// Waits until the platform has served `more` further reads.
     pub(crate) async fn wait_for_reads(&self, more: u64) {
         let until = self.platform.counts().reads + more;
         let waiting = async {
             while self.platform.counts().reads < until {
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        tokio::time::timeout(LIMIT, waiting).await.expect("in time");
+        tokio::time::timeout(TIMEOUT, waiting)
+            .await
+            .expect("condition is met in time");
     }
 
-    /// Ends everything in a domain at once; gives its server's address.
+    /// Stops a domain's daemon and server; returns the server's address.
     pub(crate) fn stop_domain(&mut self, domain: usize) -> SocketAddr {
         self.nodes[domain] = None;
-        let server = self.servers[domain].take().expect("a running server");
+        let server = self.servers[domain].take().expect("server runs");
         server.address()
     }
 
-    /// A ticket of this number declares a domain lost, or back.
+    /// Declares a domain lost or back, as ticket `number` would.
     pub(crate) async fn put_lost(
         &self,
         number: u64,
         domain: usize,
         lost: bool,
     ) {
-        let thing = EntityId::new(EntityKind::Domain, DOMAINS[domain]);
+        let entity = EntityId::new(EntityKind::Domain, DOMAINS[domain]);
         let edit = |state: &mut serde_json::Value| {
             state["domains"][domain]["lost"] = json!(lost);
-            state["tickets"]["last"][thing.to_string()] =
+            state["tickets"]["last"][entity.to_string()] =
                 json!(EntityRevision(number, 0));
         };
         self.put_config(number, edit).await;
     }
 
-    /// A ticket of this number drains a domain's server, or takes it back.
+    /// Drains a domain's server or ends the drain, as ticket `number` would.
     pub(crate) async fn put_drain(
         &self,
         number: u64,
@@ -134,58 +138,64 @@
         drain: bool,
     ) {
         let name = format!("{}-server", DOMAINS[domain]);
-        let thing = EntityId::new(EntityKind::Server, &name);
+        let entity = EntityId::new(EntityKind::Server, &name);
         let edit = |state: &mut serde_json::Value| {
             state["servers"][domain]["drain"] = json!(drain);
-            state["tickets"]["last"][thing.to_string()] =
+            state["tickets"]["last"][entity.to_string()] =
                 json!(EntityRevision(number, 0));
         };
         self.put_config(number, edit).await;
     }
 
-    /// Writes the configuration of this version, changed by `edit`.
+    /// Writes the configuration with this version, changed by `edit`.
     pub(crate) async fn put_config(
         &self,
         version: u64,
         edit: impl FnOnce(&mut serde_json::Value),
     ) {
-        let stored = self.store.get(keys::CONFIG).await.expect("a read");
+        let stored =
+            self.store.get(keys::CONFIG).await.expect("store is readable");
         let (condition, mut state) = match stored {
-            None => (PutCondition::Absent, self.first_state()),
+            None => (PutCondition::Absent, self.initial_state()),
             Some(stored) => {
                 let state = serde_json::from_slice(&stored.value);
                 let condition = PutCondition::Version(stored.version);
-                (condition, state.expect("a configuration"))
+                (condition, state.expect("configuration is valid"))
             }
         };
         state["version"] = json!(version);
         edit(&mut state);
         let value = Bytes::from(state.to_string());
         let put = self.store.put(keys::CONFIG, condition, value, None);
-        put.await.expect("written");
+        put.await.expect("write succeeds");
     }
 
-    /// A domain's own record, joined from its shards.
+    /// A domain's record, joined from its shards.
     pub(crate) async fn domain_record(
         &self,
         domain: &DomainName,
     ) -> Option<DomainRecord> {
         let read = async |key: String| {
-            let stored = self.store.get(&key).await.expect("a read");
+            let stored =
+                self.store.get(&key).await.expect("store is readable");
             stored.map(|stored| stored.value)
         };
         let head = read(keys::domain_head(domain)).await?;
-        let head = DomainHead::decode(&head).expect("a head");
+        let head = DomainHead::decode(&head).expect("head decodes");
         let mut shards = Vec::new();
-        for mark in &head.shards {
-            let key = keys::domain_shard(domain, &mark.service, mark.shard);
-            let value = read(key).await.expect("a shard");
-            shards.push(DomainShard::decode(&value).expect("a shard"));
+        for reference in &head.shards {
+            let key = keys::domain_shard(
+                domain,
+                &reference.service,
+                reference.shard,
+            );
+            let value = read(key).await.expect("shard decodes");
+            shards.push(DomainShard::decode(&value).expect("shard decodes"));
         }
-        Some(head.join(&shards).expect("a whole record"))
+        Some(head.join(&shards).expect("shards are complete"))
     }
 
-    /// Waits until the servers on a domain's record hold so many slices.
+    /// Waits until the servers on a domain's record hold `count` slices.
     pub(crate) async fn wait_for_held(
         &self,
         domain: &DomainName,
@@ -199,18 +209,20 @@
                         return record;
                     }
                 }
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        tokio::time::timeout(LIMIT, waiting).await.expect("in time")
+        tokio::time::timeout(TIMEOUT, waiting)
+            .await
+            .expect("condition is met in time")
     }
 
-    /// Whether slices were held by both servers, but none by both at one
-    /// time, as their own logs have it.
+    /// Whether the logs of both servers show a slice that each of them held,
+    /// and none that they held at the same time.
     pub(crate) fn moved_without_overlap(&self) -> bool {
         let holds = |server: usize| {
             let server = self.servers[server].as_ref();
-            server.expect("a running server").log().holds
+            server.expect("server runs").log().holds
         };
         let (left, right) = (holds(0), holds(1));
         let pairs =
@@ -223,7 +235,7 @@
         !same.is_empty() && same.iter().all(|(l, r)| apart(l, r))
     }
 
-    /// Waits until a domain no longer says that it has no usable server.
+    /// Waits until a domain reports no service without a usable server.
     pub(crate) async fn wait_for_usable(&self, domain: &DomainName) {
         let waiting = async {
             loop {
@@ -231,85 +243,95 @@
                 if record.is_some_and(|r| r.stranded.is_empty()) {
                     return;
                 }
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        tokio::time::timeout(LIMIT, waiting).await.expect("in time");
+        tokio::time::timeout(TIMEOUT, waiting)
+            .await
+            .expect("condition is met in time");
     }
 
-    /// Looks keys up one after another through domain 0 while `act` goes
-    /// on; how many lookups were not served.
-    pub(crate) async fn ask_during(&self, act: impl AsyncFnOnce()) -> usize {
+    /// Looks up keys one after another through domain 0 while `act` runs;
+    /// returns the number of lookups that failed.
+    pub(crate) async fn lookups_failed_during(
+        &self,
+        act: impl AsyncFnOnce(),
+    ) -> usize {
         let mut failed = 0;
-        let asking = async {
+        let polling = async {
             for key in (0..KEYS).cycle() {
-                failed += usize::from(!self.ask(0, key).await);
+                failed += usize::from(!self.lookup(0, key).await);
             }
         };
         tokio::select! {
             () = act() => {}
-            () = asking => {}
+            () = polling => {}
         }
         failed
     }
 
-    /// The service's record as the store has it.
+    /// The service's record in the store, which divides its slices among the
+    /// domains.
     pub(crate) async fn division(&self) -> Option<ServiceRecord> {
-        let service = ServiceName::new("stock").expect("a name");
+        let service = ServiceName::new("stock").expect("name is valid");
         let stored = self.store.get(&keys::slices(&service)).await;
-        let stored = stored.expect("a read")?;
+        let stored = stored.expect("store is readable")?;
         ServiceRecord::decode(&stored.value).ok()
     }
 
-    /// Waits until the record is as `wanted` says.
+    /// Waits until the service's record satisfies `wanted`.
     pub(crate) async fn wait_for_division(
         &self,
         wanted: impl Fn(&ServiceRecord) -> bool,
     ) {
         let waiting = async {
             while !self.division().await.is_some_and(|r| wanted(&r)) {
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        tokio::time::timeout(LIMIT, waiting).await.expect("in time");
+        tokio::time::timeout(TIMEOUT, waiting)
+            .await
+            .expect("condition is met in time");
     }
 
     /// Waits until every key is served through a domain's daemon.
     pub(crate) async fn wait_until_served(&self, domain: usize) {
-        let asking = async {
+        let polling = async {
             for key in 0..KEYS {
-                while !self.ask(domain, key).await {
-                    tokio::time::sleep(PAUSE).await;
+                while !self.lookup(domain, key).await {
+                    tokio::time::sleep(POLL_INTERVAL).await;
                 }
             }
         };
-        tokio::time::timeout(LIMIT, asking).await.expect("served in time");
+        tokio::time::timeout(TIMEOUT, polling)
+            .await
+            .expect("keys are served in time");
     }
 
-    /// Looks a key up; whether it was served.
-    async fn ask(&self, domain: usize, key: usize) -> bool {
-        let node = self.nodes[domain].as_ref().expect("a running daemon");
+    /// Looks up a key; returns whether it was served.
+    async fn lookup(&self, domain: usize, key: usize) -> bool {
+        let node = self.nodes[domain].as_ref().expect("daemon runs");
         let callers = node.addresses().callers;
         let url = format!("http://{callers}/v1/stock/key-{key}");
-        let ask = self
+        let lookup = self
             .http
             .get(url)
             .header("goldcrestramp-caller", "test")
             .header("goldcrestramp-deadline-ms", 2_000)
             .send();
-        ask.await.is_ok_and(|answer| answer.status().is_success())
+        lookup.await.is_ok_and(|response| response.status().is_success())
     }
 
-    fn first_state(&self) -> serde_json::Value {
+    fn initial_state(&self) -> serde_json::Value {
         let domains =
             DOMAINS.map(|name| json!({ "name": name, "region": "sierra" }));
         let servers =
-            self.servers.iter().zip(DOMAINS).map(|(server, place)| {
+            self.servers.iter().zip(DOMAINS).map(|(server, domain)| {
                 json!({
-                    "name": format!("{place}-server"),
+                    "name": format!("{domain}-server"),
                     "service": "stock",
-                    "domain": place,
-                    "address": server.as_ref().expect("running").address(),
+                    "domain": domain,
+                    "address": server.as_ref().expect("server runs").address(),
                     "slots": 4,
                     "connections": 120,
                     "checks_fence": true,
@@ -326,21 +348,28 @@
 }
 
 fn loopback() -> SocketAddr {
-    "127.0.0.1:0".parse().expect("an address")
+    "127.0.0.1:0".parse().expect("address is valid")
 }
 
-/// The first port of all; below those that the system gives out, so that
-/// no other test is given one before the daemon has bound it.
+/// The lowest port; all ports are below the ephemeral ones, so that no other
+/// test is given one before its daemon binds it.
 const PORT_BASE: u32 = 20_000;
-/// Processes with other numbers use other ports.
+/// Sets of ports; the process id chooses one, so that concurrent processes
+/// seldom share ports.
 const PORT_SETS: u32 = 360;
-const SEATS: u32 = 5;
+const TEST_IDS: u32 = 5;
 const PORTS: u32 = 6;
 
-fn settings(seat: u16, domain: usize, platform: SocketAddr) -> NodeSettings {
-    let place = std::process::id() % PORT_SETS * SEATS + u32::from(seat);
-    let half = u32::try_from(domain).expect("two domains") * PORTS / 2;
-    let first = PORT_BASE + place * PORTS + half;
+fn settings(
+    test_id: u16,
+    domain: usize,
+    platform: SocketAddr,
+) -> NodeSettings {
+    let position =
+        std::process::id() % PORT_SETS * TEST_IDS + u32::from(test_id);
+    let half =
+        u32::try_from(domain).expect("there are two domains") * PORTS / 2;
+    let first = PORT_BASE + position * PORTS + half;
     let port = |number: u32| format!("127.0.0.1:{}", first + number);
     let value = json!({
         "deployment": "two-domains",
@@ -353,5 +382,5 @@
         "platform_url": format!("http://{platform}"),
         "operators": { "listen": "127.0.0.1:0" },
     });
-    serde_json::from_value(value).expect("settings")
+    serde_json::from_value(value).expect("settings are valid")
 }
