--- a/goldcrestramp-node/tests/apply.rs
+++ b/goldcrestramp-node/tests/apply.rs
@@ -42,7 +42,7 @@
     Restore { operator: usize },
     /// The next write fails with this fault.
     Fault(WriteFault),
-    /// The delayed writes arrive.
+    /// The late writes arrive.
     Deliver,
     /// The store goes down or up.
     Down(bool),
@@ -140,13 +140,11 @@
         let mut context = Context::from_waker(Waker::noop());
         match future.as_mut().poll(&mut context) {
             Poll::Pending => model.running = Some((ticket, future)),
-            Poll::Ready(outcome) => {
-                self.record_outcome(operator, &ticket, outcome)
-            }
+            Poll::Ready(outcome) => self.record(operator, &ticket, outcome),
         }
     }
 
-    fn record_outcome(
+    fn record(
         &mut self,
         operator: usize,
         ticket: &ChangeTicket,
@@ -161,10 +159,10 @@
             }
             ApplyOutcome::Refused { .. } | ApplyOutcome::NotApplied(_) => {
                 // The outcome is about this attempt to apply the ticket alone.
-                let is_undecided = self.accepted.contains(&key)
+                let may_apply = self.accepted.contains(&key)
                     || self.unknown.contains(&key)
                     || self.is_running(key);
-                if !is_undecided {
+                if !may_apply {
                     self.denied.insert(key);
                 }
             }
@@ -267,7 +265,7 @@
     let fault = prop_oneof![
         Just(WriteFault::ResponseLost),
         Just(WriteFault::RequestLost),
-        Just(WriteFault::Delayed),
+        Just(WriteFault::Late),
     ];
     let step = prop_oneof![
         4 => start,
--- a/goldcrestramp-node/tests/fleet/mod.rs
+++ b/goldcrestramp-node/tests/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Several failure domains of daemons without servers, in this process.
+//! Daemons of several failure domains, without servers, in this process.
 
 use std::{
     net::{Ipv4Addr, SocketAddr, TcpListener},
@@ -21,16 +21,15 @@
 
 /// The failure domains.
 const DOMAINS: [&str; 3] = ["sierra-a", "sierra-b", "costa-a"];
-/// VMs in each: one is steward, the others follow its stream.
-const VMS_A_DOMAIN: usize = 3;
-/// Callers that the first configuration names, so that it is large beside
-/// a ticket.
+/// VMs in each domain: one is steward, the others follow its stream.
+const VMS_PER_DOMAIN: usize = 3;
+/// Callers in the first configuration: it is large compared to a ticket.
 pub(crate) const CALLERS: usize = 400;
-/// Longer than anything here takes; only a failed test sees it.
-const LIMIT: Duration = Duration::from_mins(1);
-const PAUSE: Duration = Duration::from_millis(20);
+/// Longer than any wait in these tests; only a failed test reaches it.
+const TIMEOUT: Duration = Duration::from_mins(1);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What a test talks to.
+/// The running daemons and platform.
 pub(crate) struct VmFleet {
     pub(crate) platform: PlatformStandin,
     pub(crate) nodes: Vec<NodeHandle>,
@@ -42,50 +41,52 @@
     /// Starts everything and waits until ticket 1 is in force on all VMs
     /// and all of them are voters.
     ///
-    /// A new domain's first VM is its only voter until it has led for a
-    /// while: were it stopped then, nobody could lead.
+    /// The first VM of a new domain is its only voter until it has led for a
+    /// while; if it stopped before that, no VM could lead.
     ///
-    /// `seat`: another number for each test of the process.
-    pub(crate) async fn spawn(seat: u8) -> Self {
-        let vms = DOMAINS.len() * VMS_A_DOMAIN;
-        let domain_of = |vm| DOMAINS[vm / VMS_A_DOMAIN];
-        let fleet = Self::start(seat, vms, false, domain_of).await;
+    /// `test_id`: unique among the tests of the process.
+    pub(crate) async fn spawn(test_id: u8) -> Self {
+        let vms = DOMAINS.len() * VMS_PER_DOMAIN;
+        let domain_of = |vm| DOMAINS[vm / VMS_PER_DOMAIN];
+        let fleet = Self::start(test_id, vms, false, domain_of).await;
         fleet.apply(0, &first_ticket()).await;
         fleet.wait_for_weight(0, 1).await;
         for domain in DOMAINS {
-            wait_until(async || fleet.voters(domain).await == VMS_A_DOMAIN)
+            wait_until(async || fleet.voters(domain).await == VMS_PER_DOMAIN)
                 .await;
         }
         fleet
     }
 
-    /// Starts so many VMs of one failure domain, whose configuration is in
-    /// the store already.
-    pub(crate) async fn spawn_one_domain(seat: u8, vms: usize) -> Self {
-        Self::start(seat, vms, true, |_| DOMAINS[0]).await
+    /// Starts `vms` VMs of one failure domain, whose configuration is already
+    /// in the store.
+    pub(crate) async fn spawn_one_domain(test_id: u8, vms: usize) -> Self {
+        Self::start(test_id, vms, true, |_| DOMAINS[0]).await
     }
 
     async fn start(
-        seat: u8,
+        test_id: u8,
         vms: usize,
-        configured: bool,
+        is_configured: bool,
         domain_of: impl Fn(usize) -> &'static str,
     ) -> Self {
-        let platform = PlatformStandin::bind(loopback()).await.expect("bound");
+        let platform =
+            PlatformStandin::bind(loopback()).await.expect("address binds");
         let all: Vec<_> = (0..vms)
-            .map(|vm| settings(seat, vm, domain_of(vm), platform.address()))
+            .map(|vm| settings(test_id, vm, domain_of(vm), platform.address()))
             .collect();
         platform.set_vms(all.iter().map(live_entry).collect());
         let http = reqwest::Client::new();
         let store =
             PlatformClient::open(&format!("http://{}", platform.address()));
-        let store = store.expect("a client");
+        let store = store.expect("URL is valid");
         let mut fleet = Self { platform, nodes: Vec::new(), store, http };
-        if configured {
+        if is_configured {
             fleet.put_config().await;
         }
         for settings in all {
-            let node = NodeHandle::spawn(settings).await.expect("started");
+            let node =
+                NodeHandle::spawn(settings).await.expect("daemon starts");
             fleet.nodes.push(node);
         }
         fleet
@@ -93,29 +94,34 @@
 
     async fn put_config(&self) {
         let text = first_ticket().to_string();
-        let ticket = parse_ticket("first", &text).expect("a ticket").ticket;
+        let ticket =
+            parse_ticket("first", &text).expect("ticket is valid").ticket;
         let empty = DeploymentState::default();
         let accepted = accept_ticket(&empty, &ticket);
         let AcceptOutcome::Accepted(state) = accepted else {
             panic!("{accepted:?}");
         };
-        let value = state.encode().expect("JSON");
+        let value = state.encode().expect("JSON is valid");
         let absent = PutCondition::Absent;
         let put = self.store.put(keys::CONFIG, absent, value, None);
-        put.await.expect("written");
+        put.await.expect("write succeeds");
     }
 
-    /// How many voters the store's roster of a domain has.
+    /// The number of voters in a domain's roster in the store.
     async fn voters(&self, domain: &str) -> usize {
-        let domain = DomainName::new(domain).expect("a name");
+        let domain = DomainName::new(domain).expect("name is valid");
         let stored = self.store.get(&keys::roster(&domain)).await;
-        let Some(stored) = stored.expect("a read") else {
+        let Some(stored) = stored.expect("store is readable") else {
             return 0;
         };
-        VoterRoster::decode(&stored.value).expect("a roster").voters.len()
+        VoterRoster::decode(&stored.value)
+            .expect("roster is valid")
+            .voters
+            .len()
     }
 
-    /// Applies a ticket at a VM until it is accepted; gives the version.
+    /// Applies a ticket at a VM until it is accepted; returns the version of
+    /// the configuration.
     pub(crate) async fn apply(&self, vm: usize, ticket: &Value) -> u64 {
         let url = self.url(vm, "/tickets");
         let applying = async {
@@ -126,18 +132,21 @@
                     .header("content-type", "application/json")
                     .body(ticket.to_string())
                     .send();
-                let answer = sent.await.expect("an answer");
-                let answer: TicketAnswer = answer.json().await.expect("JSON");
-                if let Some(version) = answer.version {
+                let response = sent.await.expect("request gets a response");
+                let response: TicketAnswer =
+                    response.json().await.expect("JSON is valid");
+                if let Some(version) = response.version {
                     return version;
                 }
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        tokio::time::timeout(LIMIT, applying).await.expect("accepted")
+        tokio::time::timeout(TIMEOUT, applying)
+            .await
+            .expect("ticket is accepted")
     }
 
-    /// Waits until on every VM this caller has this weight.
+    /// Waits until `caller` has `weight` on every VM.
     pub(crate) async fn wait_for_weight(&self, caller: usize, weight: u32) {
         for vm in 0..self.nodes.len() {
             let has = async || {
@@ -153,14 +162,18 @@
         self.get(vm, "/config").await
     }
 
-    /// What a VM shows.
+    /// The status report of a VM.
     pub(crate) async fn status(&self, vm: usize) -> StatusReport {
         self.get(vm, "/status").await
     }
 
     async fn get<T: DeserializeOwned>(&self, vm: usize, path: &str) -> T {
-        let answer = self.http.get(self.url(vm, path)).send().await;
-        answer.expect("an answer").json().await.expect("JSON")
+        let response = self.http.get(self.url(vm, path)).send().await;
+        response
+            .expect("request gets a response")
+            .json()
+            .await
+            .expect("JSON is valid")
     }
 
     fn url(&self, vm: usize, path: &str) -> String {
@@ -168,22 +181,24 @@
     }
 }
 
-/// Waits until `reached`.
+/// Waits until `reached` returns true.
 pub(crate) async fn wait_until(reached: impl AsyncFn() -> bool) {
     let waiting = async {
         while !reached().await {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    tokio::time::timeout(LIMIT, waiting).await.expect("in time");
+    tokio::time::timeout(TIMEOUT, waiting)
+        .await
+        .expect("condition is met in time");
 }
 
-/// A ticket that gives one caller a weight.
+/// A ticket that sets the weight of one caller.
 pub(crate) fn weight_ticket(number: u64, caller: usize, weight: u32) -> Value {
     json!({ "ticket": number, "callers": [rules(caller, weight)] })
 }
 
-/// The weight that a configuration gives a caller.
+/// The weight of a caller in a configuration.
 pub(crate) fn weight_of(
     state: &DeploymentState,
     caller: usize,
@@ -213,19 +228,22 @@
 }
 
 fn settings(
-    seat: u8,
+    test_id: u8,
     vm: usize,
     domain: &str,
     platform: SocketAddr,
 ) -> NodeSettings {
-    // A host of the VM's own: no connection or other listener takes a
-    // drawn port before the daemon binds it.
+    // A loopback host of this VM alone: no connection or other listener
+    // takes a port before the daemon binds it.
     let [_, _, high, low] = std::process::id().to_be_bytes();
-    let last = seat * 20 + u8::try_from(vm).expect("few") + 1;
+    let last = test_id * 20 + u8::try_from(vm).expect("number is small") + 1;
     let host = Ipv4Addr::new(127, 128 + (high & 0x3f), low, last);
-    let drawn: [TcpListener; 4] =
-        std::array::from_fn(|_| TcpListener::bind((host, 0)).expect("a port"));
-    let listen = drawn.each_ref().map(|one| one.local_addr().expect("bound"));
+    let listeners: [TcpListener; 4] = std::array::from_fn(|_| {
+        TcpListener::bind((host, 0)).expect("port is free")
+    });
+    let listen = listeners
+        .each_ref()
+        .map(|one| one.local_addr().expect("address binds"));
     let value = json!({
         "deployment": "fleet",
         "vm": format!("vm-{vm}"),
@@ -237,5 +255,5 @@
         "platform_url": format!("http://{platform}"),
         "operators": { "listen": listen[3] },
     });
-    serde_json::from_value(value).expect("settings")
+    serde_json::from_value(value).expect("settings are valid")
 }
--- a/goldcrestramp-node/tests/peer_tls.rs
+++ b/goldcrestramp-node/tests/peer_tls.rs
@@ -1,4 +1,5 @@
-//! Peers prove who they are; whoever can't, or claims more, is refused.
+//! Peers authenticate by certificate; a peer without a valid one, or whose
+//! claim does not match it, is refused.
 
 mod peer_keys;
 
@@ -27,10 +28,10 @@
         file("vm.pem"),
         file("vm.key"),
     );
-    parse_settings("test", &text).expect("settings")
+    parse_settings("test", &text).expect("settings are valid")
 }
 
-/// The keys of vm-1 in `domain` of `deployment`.
+/// Issues and opens the keys of vm-1 in `domain` of `deployment`.
 fn peer(
     files: &VmFiles,
     authority: &TestAuthority,
@@ -41,11 +42,13 @@
     let common = format!("{deployment}.goldcrestramp");
     files.issue(authority, &[&own, &common]);
     let settings = settings(files, deployment, domain);
-    PeerTls::open(&settings).expect("good keys").expect("with TLS")
+    PeerTls::open(&settings)
+        .expect("keys are valid")
+        .expect("TLS is configured")
 }
 
 mod claims {
-    //! A control service that answers only whom the claim check lets in.
+    //! A control service that accepts only claims that pass the check.
 
     use std::{pin::Pin, sync::Arc};
 
@@ -60,7 +63,8 @@
     /// The service of one VM.
     pub struct ClaimService(pub Arc<PeerTls>);
 
-    type Answers<T> = Pin<Box<dyn Stream<Item = Result<T, Status>> + Send>>;
+    type ReplyStream<T> =
+        Pin<Box<dyn Stream<Item = Result<T, Status>> + Send>>;
 
     #[tonic::async_trait]
     impl Control for ClaimService {
@@ -74,7 +78,7 @@
             Ok(Response::new(ConfirmReply::default()))
         }
 
-        type PermitsStream = Answers<PermitReply>;
+        type PermitsStream = ReplyStream<PermitReply>;
 
         async fn permits(
             &self,
@@ -90,7 +94,7 @@
             Err(Status::unimplemented("not used here"))
         }
 
-        type TablesStream = Answers<TableUpdate>;
+        type TablesStream = ReplyStream<TableUpdate>;
 
         async fn tables(
             &self,
@@ -101,11 +105,11 @@
     }
 }
 
-/// Serves peers with these keys; gives the address.
+/// Serves peers with these keys; returns the address.
 async fn serve(tls: &Arc<PeerTls>) -> SocketAddr {
-    let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
-    let listener = TcpListener::bind(any).await.expect("a listener");
-    let address = listener.local_addr().expect("an address");
+    let any: SocketAddr = "127.0.0.1:0".parse().expect("address is valid");
+    let listener = TcpListener::bind(any).await.expect("listener is bound");
+    let address = listener.local_addr().expect("address is valid");
     let incoming = PeerIncoming::spawn(listener, Arc::clone(tls));
     let service = claims::ClaimService(Arc::clone(tls));
     let service =
@@ -115,8 +119,9 @@
     address
 }
 
-/// Asks the peer at `address` with a claim; the answer's code.
-async fn ask(
+/// Sends a claim to the peer at `address`; returns the status code of its
+/// response.
+async fn send_claim(
     tls: &PeerTls,
     address: SocketAddr,
     domain: &str,
@@ -124,7 +129,8 @@
 ) -> Result<(), tonic::Code> {
     use goldcrestramp_wire::peer::control_client::ControlClient;
     let endpoint = Endpoint::from_shared(format!("https://{address}"));
-    let endpoint = tls.secure(endpoint.expect("a URL")).expect("good keys");
+    let endpoint =
+        tls.secure(endpoint.expect("URL is valid")).expect("keys are valid");
     let endpoint = endpoint.timeout(Duration::from_secs(10));
     let channel = endpoint.connect().await;
     let channel = channel.map_err(|_error| tonic::Code::Unavailable)?;
@@ -133,27 +139,27 @@
         vm: vm.to_owned(),
         ..ConfirmRequest::default()
     };
-    let answer = ControlClient::new(channel).confirm(request).await;
-    answer.map(|_| ()).map_err(|status| status.code())
+    let response = ControlClient::new(channel).confirm(request).await;
+    response.map(|_| ()).map_err(|status| status.code())
 }
 
 #[tokio::test]
-async fn peers_of_one_deployment_meet() {
+async fn peers_of_one_deployment_connect() {
     let authority = authority();
     let (files, others) = (VmFiles::new("meet-a"), VmFiles::new("meet-b"));
     let server = peer(&files, &authority, "shop", "sierra-a");
     let client = peer(&others, &authority, "shop", "costa-a");
     let address = serve(&server).await;
 
-    let answer = ask(&client, address, "costa-a", "vm-1").await;
+    let response = send_claim(&client, address, "costa-a", "vm-1").await;
 
-    assert_eq!(answer, Ok(()));
+    assert_eq!(response, Ok(()));
 }
 
-// A VM of costa-a says that it belongs to sierra-a, or is another VM: were
-// it believed, sierra-a's voters could elect a steward of costa-a.
+// A VM of costa-a claims to belong to sierra-a, or to be another VM. If this
+// were accepted, sierra-a's voters could elect a steward of costa-a.
 #[tokio::test]
-async fn a_claim_that_the_certificate_does_not_bear_out_is_refused() {
+async fn a_claim_that_the_certificate_does_not_prove_is_refused() {
     let authority = authority();
     let (files, others) = (VmFiles::new("claim-a"), VmFiles::new("claim-b"));
     let server = peer(&files, &authority, "shop", "sierra-a");
@@ -161,16 +167,16 @@
     let address = serve(&server).await;
 
     for (domain, vm) in [("sierra-a", "vm-1"), ("costa-a", "vm-2"), ("", "")] {
-        let answer = ask(&client, address, domain, vm).await;
+        let response = send_claim(&client, address, domain, vm).await;
 
-        assert_eq!(answer, Err(tonic::Code::PermissionDenied), "{domain}");
+        assert_eq!(response, Err(tonic::Code::PermissionDenied), "{domain}");
     }
 }
 
 // Another deployment with the same authority, and another authority: the
-// connection itself is refused, whoever calls whom.
+// connection itself is refused in both directions.
 #[tokio::test]
-async fn peers_of_another_deployment_or_authority_do_not_meet() {
+async fn peers_of_another_deployment_or_authority_do_not_connect() {
     let (ours, theirs) = (authority(), authority());
     let names = ["other-a", "other-b", "other-c"];
     let [first, second, third] = names.map(VmFiles::new);
@@ -182,13 +188,13 @@
         [(&shop, &club), (&club, &shop), (&shop, &fake), (&fake, &shop)]
     {
         let address = serve(server).await;
-        let answer = ask(client, address, "sierra-a", "vm-1").await;
+        let response = send_claim(client, address, "sierra-a", "vm-1").await;
 
-        assert!(answer.is_err());
+        assert!(response.is_err());
     }
 }
 
-// A peer that trusts the authority but has no certificate of its own.
+// A peer that trusts the authority but presents no certificate.
 #[tokio::test]
 async fn a_peer_without_a_certificate_is_refused() {
     use goldcrestramp_wire::peer::control_client::ControlClient;
@@ -200,23 +206,24 @@
         .ca_certificate(Certificate::from_pem(authority.pem()))
         .domain_name("shop.goldcrestramp");
     let endpoint = Endpoint::from_shared(format!("https://{address}"));
-    let endpoint = endpoint.expect("a URL").tls_config(config);
-
-    let answer = match endpoint.expect("a configuration").connect().await {
-        Ok(channel) => {
-            let request = ConfirmRequest::default();
-            ControlClient::new(channel).confirm(request).await.map(|_| ())
-        }
-        Err(error) => Err(tonic::Status::from_error(error.into())),
-    };
-
-    assert!(answer.is_err());
+    let endpoint = endpoint.expect("URL is valid").tls_config(config);
+
+    let response =
+        match endpoint.expect("configuration is valid").connect().await {
+            Ok(channel) => {
+                let request = ConfirmRequest::default();
+                ControlClient::new(channel).confirm(request).await.map(|_| ())
+            }
+            Err(error) => Err(tonic::Status::from_error(error.into())),
+        };
+
+    assert!(response.is_err());
 }
 
-// A peer without TLS, one that says nothing and one that sends garbage are
-// all kept out, and none keeps others waiting.
+// A peer without TLS, one that sends nothing and one that sends garbage are
+// all refused, and none blocks the others.
 #[tokio::test]
-async fn half_open_and_plain_connections_hold_up_nobody() {
+async fn half_open_and_plain_connections_block_no_other() {
     use tokio::io::AsyncWriteExt;
     let authority = authority();
     let (files, others) = (VmFiles::new("plain-a"), VmFiles::new("plain-b"));
@@ -224,41 +231,42 @@
     let client = peer(&others, &authority, "shop", "costa-a");
     let address = serve(&server).await;
     let open = || tokio::net::TcpStream::connect(address);
-    let _silent = open().await.expect("a connection");
-    let mut garbage = open().await.expect("a connection");
-    garbage.write_all(b"PRI * HTTP/2.0\r\n").await.expect("sent");
+    let _silent = open().await.expect("connection succeeds");
+    let mut garbage = open().await.expect("connection succeeds");
+    garbage.write_all(b"PRI * HTTP/2.0\r\n").await.expect("bytes are sent");
     let plain = Endpoint::from_shared(format!("http://{address}"));
-    let plain = plain.expect("a URL").connect().await;
+    let plain = plain.expect("URL is valid").connect().await;
 
-    let answer = ask(&client, address, "costa-a", "vm-1").await;
+    let response = send_claim(&client, address, "costa-a", "vm-1").await;
 
-    assert_eq!(answer, Ok(()));
+    assert_eq!(response, Ok(()));
     drop(plain);
 }
 
 // The operator replaces the files while the daemon runs, first one, then
-// the others: the former keys stay until all go together.
+// the others: the previous keys stay in use until all files match.
 #[tokio::test]
 async fn replaced_files_are_read_again() {
     let (old, new) = (authority(), authority());
     let (files, others) = (VmFiles::new("new-a"), VmFiles::new("new-b"));
     let server = peer(&files, &old, "shop", "sierra-a");
     let address = serve(&server).await;
-    let former = peer(&others, &old, "shop", "costa-a");
+    let previous = peer(&others, &old, "shop", "costa-a");
 
-    fs::write(files.0.join("vm.key"), "half written").expect("a file");
-    let half = ask(&former, address, "costa-a", "vm-1").await;
+    fs::write(files.0.join("vm.key"), "half written")
+        .expect("file is written");
+    let half = send_claim(&previous, address, "costa-a", "vm-1").await;
     let names = ["vm-1.sierra-a.shop.goldcrestramp", "shop.goldcrestramp"];
     files.issue(&new, &names);
     let replaced = peer(&others, &new, "shop", "costa-a");
-    let after = ask(&replaced, address, "costa-a", "vm-1").await;
+    let after = send_claim(&replaced, address, "costa-a", "vm-1").await;
 
     assert_eq!(half, Ok(()));
     assert_eq!(after, Ok(()));
 }
 
 #[test]
-fn keys_that_name_another_vm_do_not_start() {
+fn keys_that_name_another_vm_are_refused() {
     let authority = authority();
     let common = "shop.goldcrestramp";
     let own = "vm-1.sierra-a.shop.goldcrestramp";
@@ -277,26 +285,27 @@
 
         let expected = own.to_owned();
         let refused = PeerTlsError::OtherName { expected };
-        assert_eq!(opened.expect_err("refused"), refused, "{names:?}");
+        assert_eq!(opened.expect_err("it is refused"), refused, "{names:?}");
     }
 }
 
 #[test]
-fn unreadable_or_foreign_files_do_not_start() {
+fn unreadable_or_mismatched_files_are_refused() {
     let files = VmFiles::new("files");
     let names = ["vm-1.sierra-a.shop.goldcrestramp", "shop.goldcrestramp"];
     let settings = settings(&files, "shop", "sierra-a");
     let open = |file: &str, text: &str| {
         files.issue(&authority(), &names);
-        fs::write(Path::new(&files.0).join(file), text).expect("a file");
-        PeerTls::open(&settings).expect_err("refused")
+        fs::write(Path::new(&files.0).join(file), text)
+            .expect("file is written");
+        PeerTls::open(&settings).expect_err("it is refused")
     };
-    let foreign = KeyPair::generate().expect("a key").serialize_pem();
+    let other = KeyPair::generate().expect("key is generated").serialize_pem();
 
     let no_key = open("vm.key", "");
     let no_certificate = open("vm.pem", "");
     let no_authority = open("authority.pem", "garbage");
-    let other_key = open("vm.key", &foreign);
+    let other_key = open("vm.key", &other);
 
     assert!(matches!(no_key, PeerTlsError::Unreadable(..)));
     assert!(matches!(no_certificate, PeerTlsError::Unreadable(..)));
--- a/goldcrestramp-node/tests/planted.rs
+++ b/goldcrestramp-node/tests/planted.rs
@@ -2,8 +2,8 @@
 //! leaves out one safeguard, violates a guarantee that the same daemon without
 //! the fault keeps.
 //!
-//! Callers, daemon and servers use sockets, and all runs of a test have the
-//! same requests.
+//! Callers, daemon and servers use sockets. The correct and the faulty run of
+//! a test have the same requests and the same faults of the servers.
 
 mod small_domain;
 
--- a/goldcrestramp-node/tests/store_fake/mod.rs
+++ b/goldcrestramp-node/tests/store_fake/mod.rs
@@ -20,14 +20,14 @@
     /// It never arrives.
     RequestLost,
     /// It arrives later, with `deliver`.
-    Delayed,
+    Late,
 }
 
 #[derive(Debug, Default)]
 struct FakeState {
     value: Option<StoredValue>,
     history: Vec<Option<StoredValue>>,
-    delayed: Vec<(PutCondition, Bytes)>,
+    late: Vec<(PutCondition, Bytes)>,
     fault: Option<WriteFault>,
     down: bool,
     down_after_write: bool,
@@ -76,19 +76,19 @@
         self.lock().down = down;
     }
 
-    /// Delivers the delayed writes.
+    /// Delivers the late writes.
     pub fn deliver(&self) {
         let mut state = self.lock();
-        for (condition, value) in std::mem::take(&mut state.delayed) {
+        for (condition, value) in std::mem::take(&mut state.late) {
             state.put(condition, value);
         }
     }
 
-    /// Restores the value from before the last `writes` writes; delayed writes
+    /// Restores the value from before the last `writes` writes; late writes
     /// are lost.
     pub fn roll_back(&self, writes: usize) {
         let mut state = self.lock();
-        state.delayed.clear();
+        state.late.clear();
         for _ in 0..writes {
             let Some(previous) = state.history.pop() else { return };
             state.value = previous;
@@ -149,9 +149,7 @@
                 state.put(condition, value);
             }
             Some(WriteFault::RequestLost) => {}
-            Some(WriteFault::Delayed) => {
-                state.delayed.push((condition, value))
-            }
+            Some(WriteFault::Late) => state.late.push((condition, value)),
         }
         Err(StoreError::Unknown("lost".to_owned()))
     }
--- a/goldcrestramp-node/tests/tickets.rs
+++ b/goldcrestramp-node/tests/tickets.rs
@@ -1,5 +1,5 @@
-//! Tickets on their way to every VM of several failure domains, and what
-//! the VMs show of it.
+//! Distribution of tickets to all VMs of several failure domains, and the
+//! status that the VMs report of it.
 
 mod fleet;
 
@@ -9,10 +9,10 @@
 use goldcrestramp_node::{NodeContext, NodeHandle, NodeReport, StatusReport};
 use tokio::task::JoinHandle;
 
-/// Bytes of a caller's entry in a configuration, at least.
+/// Minimum bytes of a caller's entry in a configuration.
 const ENTRY_BYTES: u64 = 30;
 
-/// Follows the version in force on a VM; gives the first step back.
+/// Watches the version in force on a VM; ends with the first decrease.
 struct VersionWatch(JoinHandle<(u64, u64)>);
 
 impl VersionWatch {
@@ -31,7 +31,7 @@
         }))
     }
 
-    /// Whether it has only risen.
+    /// Whether the version has never decreased.
     fn has_risen(&self) -> bool {
         !self.0.is_finished()
     }
@@ -43,9 +43,9 @@
     }
 }
 
-// A domain of more VMs than it has voters starts as a whole: none finds a
-// roster, and the steward that comes of it asks its voters alone. The others
-// must find it too, or they keep no server and never see a ticket.
+// All VMs of a domain that has more VMs than voters start at once: none finds
+// a roster, and the first steward contacts its voters only. The other VMs must
+// find it too, or they keep no server and never receive a ticket.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_vm_that_is_no_voter_finds_its_steward() {
     let fleet = VmFleet::spawn_one_domain(7, 8).await;
@@ -59,15 +59,15 @@
     }
 }
 
-// Tickets go to VMs of all failure domains, stewards or not. Each domain's
-// steward sees them in the store and streams them to its own VMs: every VM
-// must end with all of them.
+// Tickets are applied at VMs of all failure domains, stewards or not. Each
+// domain's steward reads them from the store and streams them to its own VMs:
+// every VM must end with all of them.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_ticket_comes_into_force_on_every_vm_of_every_domain() {
     let fleet = VmFleet::spawn(0).await;
 
     for (number, vm) in [(2, 0), (3, 4), (4, 8), (5, 1)] {
-        let caller = usize::try_from(number).expect("few");
+        let caller = usize::try_from(number).expect("number is small");
         fleet.apply(vm, &weight_ticket(number, caller, 7)).await;
     }
 
@@ -76,12 +76,12 @@
     }
 }
 
-// The store comes back as it was before two accepted tickets, and the next
-// one is applied to that. Operators must find all of them in force
-// everywhere, in the store too, and no VM may go back meanwhile: stewards
+// The store is restored to its state before two accepted tickets, and the
+// next ticket is applied to that. All three must be in force on every VM, and
+// in the store, and no VM may return to an older version meanwhile: stewards
 // write what the store has lost, under a higher version.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn no_vm_goes_back_when_the_store_does() {
+async fn no_vm_returns_to_an_older_version_after_a_restore() {
     let fleet = VmFleet::spawn(1).await;
     let watches: Vec<_> =
         fleet.nodes.iter().map(VersionWatch::spawn).collect();
@@ -100,26 +100,26 @@
     assert!(watches.iter().all(VersionWatch::has_risen));
 }
 
-// A VM stands still while tickets come into force on the others. They must
-// not wait for it, and once it goes on it gets what it has missed.
+// A VM is paused while tickets come into force on the others. They must not
+// wait for it, and once it resumes it receives what it has missed.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_vm_that_stood_still_gets_what_it_missed() {
+async fn a_paused_vm_receives_what_it_missed() {
     let fleet = VmFleet::spawn(2).await;
-    let slow = 1;
+    let paused = 1;
     let others = |version: u64| {
         let others = fleet.nodes.iter().enumerate();
-        let mut others = others.filter(|(vm, _)| *vm != slow);
+        let mut others = others.filter(|(vm, _)| *vm != paused);
         others.all(|(_, node)| has(node, version))
     };
-    fleet.nodes[slow].context().faults.pause(true);
+    fleet.nodes[paused].context().faults.pause(true);
 
     for (number, weight) in [(2, 14), (3, 21), (4, 28)] {
         let ticket = weight_ticket(number, 1, weight);
         let version = fleet.apply(3, &ticket).await;
         wait_until(async || others(version)).await;
     }
-    let lagged = !has(&fleet.nodes[slow], 4);
-    fleet.nodes[slow].context().faults.pause(false);
+    let lagged = !has(&fleet.nodes[paused], 4);
+    fleet.nodes[paused].context().faults.pause(false);
 
     fleet.wait_for_weight(1, 28).await;
     assert!(lagged);
@@ -129,9 +129,9 @@
     node.context().metrics.config_version() >= version
 }
 
-// What a VM is sent for a ticket is the ticket's size, not that of the
-// configuration: near the bound, that would be more than all that control
-// may cost.
+// The bytes sent to a VM for a ticket grow with the ticket, not with the
+// configuration: a configuration near its maximum size would exceed the
+// bandwidth budget of all control messages.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_ticket_does_not_send_the_whole_configuration() {
     let fleet = VmFleet::spawn(3).await;
@@ -141,32 +141,36 @@
 
     for number in 2..=6 {
         fleet.apply(0, &weight_ticket(number, 1, 7)).await;
-        let caller = usize::try_from(number).expect("few");
+        let caller = usize::try_from(number).expect("number is small");
         fleet.apply(0, &weight_ticket(number + 100, caller, 7)).await;
         fleet.wait_for_weight(caller, 7).await;
     }
 
-    let whole = CALLERS as u64 * ENTRY_BYTES;
-    // A steward sends each of its two followers every change.
+    let full_bytes = CALLERS as u64 * ENTRY_BYTES;
+    // A steward sends each change to its two followers.
     for (vm, before) in before.iter().enumerate() {
-        assert!(bytes(vm) - before < 2 * whole, "vm {vm}: {whole} is whole");
+        assert!(
+            bytes(vm) - before < 2 * full_bytes,
+            "vm {vm}: {full_bytes} is the full size"
+        );
     }
     assert_eq!(weight_of(&fleet.config(8).await, 6), Some(7));
 }
 
-/// The place in the fleet of the steward of the first domain.
+/// The index of the first domain's steward.
 async fn steward(fleet: &VmFleet) -> usize {
     wait_until(async || fleet.status(0).await.view.is_some()).await;
-    let view = fleet.status(0).await.view.expect("a view");
+    let view = fleet.status(0).await.view.expect("view is known");
     let mut nodes = fleet.nodes.iter();
     let found = nodes.position(|node| *node.context().vm() == view.vm);
-    found.expect("a VM of the fleet")
+    found.expect("steward is in the fleet")
 }
 
-// Any VM shows what each VM of its domain has in force, the steward or not:
-// here all have the last ticket, and the tables of other domains are fresh.
+// Any VM, steward or not, reports the version in force on each VM of its
+// domain: all have the last ticket, and the age of each other domain's table
+// is known.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn any_vm_shows_the_versions_of_its_domain() {
+async fn any_vm_reports_the_versions_of_its_domain() {
     let fleet = VmFleet::spawn(4).await;
     let version = fleet.apply(0, &weight_ticket(2, 1, 7)).await;
     fleet.wait_for_weight(1, 7).await;
@@ -186,25 +190,25 @@
     }
 }
 
-// A VM that follows stands still while a ticket comes into force: the others
-// of its domain show that it lags, and by which versions.
+// A follower is paused while a ticket comes into force: the other VMs of its
+// domain report that it lags, and its version.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_vm_that_lags_is_shown_by_the_others() {
+async fn the_others_report_a_vm_that_lags() {
     let fleet = VmFleet::spawn(5).await;
     let steward = steward(&fleet).await;
-    let (slow, other) = ((steward + 1) % 3, (steward + 2) % 3);
-    fleet.nodes[slow].context().faults.pause(true);
+    let (paused, other) = ((steward + 1) % 3, (steward + 2) % 3);
+    fleet.nodes[paused].context().faults.pause(true);
     let version = fleet.apply(3, &weight_ticket(2, 1, 7)).await;
     wait_until(async || has(&fleet.nodes[other], version)).await;
 
     let report = fleet.status(other).await;
 
-    let view = report.view.expect("a view");
-    let name = fleet.nodes[slow].context().vm();
+    let view = report.view.expect("view is known");
+    let name = fleet.nodes[paused].context().vm();
     let node = view.nodes.iter().find(|node| node.vm == *name);
-    let node = node.expect("the slow VM");
+    let node = node.expect("paused VM is in the view");
     assert!(node.lags && node.config_version < version, "{node:?}");
-    fleet.nodes[slow].context().faults.pause(false);
+    fleet.nodes[paused].context().faults.pause(false);
     let caught_up = async || {
         let view = fleet.status(other).await.view;
         view.is_some_and(|view| view.nodes.iter().all(|node| !node.lags))
@@ -212,33 +216,33 @@
     wait_until(caught_up).await;
 }
 
-// A VM is cut off from all others. It shows what it last heard of its
-// steward and of the other domains, and that this grows old.
+// A VM is partitioned from all others. It reports the last state received
+// from its steward and from the other domains, with an increasing age.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_vm_that_is_cut_off_says_how_old_its_view_is() {
+async fn a_partitioned_vm_reports_the_age_of_its_view() {
     let fleet = VmFleet::spawn(6).await;
-    let cut = (steward(&fleet).await + 1) % 3;
-    wait_until(async || fleet.status(cut).await.view.is_some()).await;
+    let partitioned = (steward(&fleet).await + 1) % 3;
+    wait_until(async || fleet.status(partitioned).await.view.is_some()).await;
     let others = fleet.nodes.iter().enumerate();
-    let others = others.filter(|(vm, _)| *vm != cut);
+    let others = others.filter(|(vm, _)| *vm != partitioned);
     let addresses = others.flat_map(|(_, node)| {
         let addresses = node.addresses();
         [addresses.control.to_string(), addresses.peers.to_string()]
     });
-    let context = fleet.nodes[cut].context();
+    let context = fleet.nodes[partitioned].context();
     context.faults.cut(addresses);
 
-    let first = fleet.status(cut).await;
+    let first = fleet.status(partitioned).await;
     let older = async || {
-        let report = fleet.status(cut).await;
+        let report = fleet.status(partitioned).await;
         let age = |report: &StatusReport| {
             let view = report.view.as_ref().map(|view| view.age_ms);
             let domains = report.domains.iter().map(|d| d.age_ms);
             (view, domains.collect::<Vec<_>>())
         };
         let (before, after) = (age(&first), age(&report));
-        let risen = before.1.iter().zip(&after.1).all(|(b, a)| a > b);
-        after.0 > before.0 && risen
+        let increased = before.1.iter().zip(&after.1).all(|(b, a)| a > b);
+        after.0 > before.0 && increased
     };
 
     wait_until(older).await;
--- a/goldcrestramp-node/tests/two_domains/mod.rs
+++ b/goldcrestramp-node/tests/two_domains/mod.rs
@@ -258,14 +258,14 @@
         act: impl AsyncFnOnce(),
     ) -> usize {
         let mut failed = 0;
-        let polling = async {
+        let lookups = async {
             for key in (0..KEYS).cycle() {
                 failed += usize::from(!self.lookup(0, key).await);
             }
         };
         tokio::select! {
             () = act() => {}
-            () = polling => {}
+            () = lookups => {}
         }
         failed
     }
