--- a/goldcrestramp-node/benches/control_cost.rs
+++ b/goldcrestramp-node/benches/control_cost.rs
@@ -1,9 +1,9 @@
-//! What control costs a node, by the number of nodes.
+//! The cost of control per node, by the number of nodes.
 //!
 //! `cargo bench -p goldcrestramp-node --bench control_cost -- 10 40 160`
-//! runs so many daemons in this process, with two servers each, and prints
-//! CPU time of the control threads, messages, bytes and memory a node once
-//! the deployment has settled. No requests are sent.
+//! runs these numbers of daemons in this process, with two servers each, and
+//! prints CPU time of the control threads, messages, bytes and memory per node
+//! once the deployment is stable. No requests are sent.
 
 #![expect(
     clippy::cast_precision_loss,
@@ -21,14 +21,14 @@
 use goldcrestramp_node::NodeHandle;
 use goldcrestramp_platform::CallKind;
 
-/// Nodes in one failure domain at the size that is aimed for.
-const NODES_A_DOMAIN: usize = 64;
-/// Time to elect, place and settle.
-const SETTLE: Duration = Duration::from_secs(12);
-/// Time that is measured.
-const MEASURE: Duration = Duration::from_secs(10);
-/// Clock ticks in a second, as the kernel counts a thread's CPU time.
-const TICKS_A_SECOND: f64 = 100.0;
+/// Nodes in one failure domain at the target size.
+const NODES_PER_DOMAIN: usize = 64;
+/// Time for elections and placement until the deployment is stable.
+const SETTLE_TIME: Duration = Duration::from_secs(12);
+/// Duration of the measurement.
+const MEASURE_TIME: Duration = Duration::from_secs(10);
+/// Clock ticks per second, the kernel's unit of a thread's CPU time.
+const TICKS_PER_SECOND: f64 = 100.0;
 /// Kinds of control messages that are counted.
 const KINDS: [&str; 7] = [
     "confirm",
@@ -47,7 +47,7 @@
         .thread_name("traffic")
         .enable_all()
         .build()
-        .expect("a runtime");
+        .expect("runtime starts");
     println!(
         "nodes  cpu_mean_%  cpu_max_%  msgs/s  bytes/s  max_bytes/s  \
          lo_bytes/s  store_calls/s  rss_kb"
@@ -57,7 +57,7 @@
     }
 }
 
-/// One reading of everything that is counted.
+/// A sample of all counters.
 struct CostSample {
     at: Instant,
     ticks: Vec<u64>,
@@ -68,14 +68,17 @@
 }
 
 async fn measure(nodes: usize) {
-    let size =
-        DeploymentSize { nodes, nodes_a_domain: NODES_A_DOMAIN, callers: 0 };
+    let size = DeploymentSize {
+        nodes,
+        nodes_per_domain: NODES_PER_DOMAIN,
+        callers: 0,
+    };
     let mut deployment = BenchDeployment::open(size).await;
     let with_servers = resident_kb();
     deployment.start_nodes(size).await;
-    tokio::time::sleep(SETTLE).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     let first = sample(&deployment.nodes);
-    tokio::time::sleep(MEASURE).await;
+    tokio::time::sleep(MEASURE_TIME).await;
     let last = sample(&deployment.nodes);
     let resident = resident_kb() - with_servers;
     print_costs(nodes, &first, &last, resident);
@@ -93,7 +96,7 @@
         .ticks
         .iter()
         .zip(&last.ticks)
-        .map(|(from, to)| rate(*from, *to) / TICKS_A_SECOND * 100.0)
+        .map(|(from, to)| rate(*from, *to) / TICKS_PER_SECOND * 100.0)
         .collect();
     let bytes: Vec<f64> = first
         .bytes
@@ -102,15 +105,15 @@
         .map(|(from, to)| rate(*from, *to))
         .collect();
     let nodes = size as f64;
-    let most = |values: &[f64]| values.iter().copied().fold(0.0, f64::max);
+    let maximum = |values: &[f64]| values.iter().copied().fold(0.0, f64::max);
     println!(
         "{size:5}  {:10.3}  {:9.3}  {:6.1}  {:7.0}  {:11.0}  {:10.0}  \
          {:13.2}  {:6}",
         cpu.iter().sum::<f64>() / nodes,
-        most(&cpu),
+        maximum(&cpu),
         rate(first.messages, last.messages) / nodes,
         bytes.iter().sum::<f64>() / nodes,
-        most(&bytes),
+        maximum(&bytes),
         2.0 * rate(first.loopback, last.loopback) / nodes,
         rate(first.calls, last.calls),
         resident / size as u64,
@@ -141,8 +144,8 @@
 /// CPU time of each control thread of this process, in clock ticks.
 fn control_ticks() -> Vec<u64> {
     let mut threads: Vec<(u64, u64)> = Vec::new();
-    for task in fs::read_dir("/proc/self/task").expect("own threads") {
-        let path = task.expect("a thread").path().join("stat");
+    for task in fs::read_dir("/proc/self/task").expect("threads are listed") {
+        let path = task.expect("thread is readable").path().join("stat");
         let stat = fs::read_to_string(path).unwrap_or_default();
         let Some((head, tail)) = stat.rsplit_once(") ") else {
             continue;
--- a/goldcrestramp-node/benches/deployment/mod.rs
+++ b/goldcrestramp-node/benches/deployment/mod.rs
@@ -1,4 +1,4 @@
-//! Many daemons in this process, with their servers and their platform.
+//! Many daemons in this process, with their servers and one platform.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -10,26 +10,26 @@
 };
 use serde_json::json;
 
-/// Servers for each node, about as many as the users have.
-const SERVERS_A_NODE: usize = 2;
-/// Slices of the one service.
+/// Servers per node, about as many as users have.
+const SERVERS_PER_NODE: usize = 2;
+/// Slices of the only service.
 const SLICES: u32 = 65_536;
-/// How large a deployment is.
+/// The size of a deployment.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DeploymentSize {
     pub(crate) nodes: usize,
-    pub(crate) nodes_a_domain: usize,
-    /// Callers in the configuration: they make it large.
+    pub(crate) nodes_per_domain: usize,
+    /// Callers in the configuration; they determine its size.
     pub(crate) callers: usize,
 }
 
 impl DeploymentSize {
     fn domain_of(self, number: usize) -> String {
-        format!("domain-{:02}", number / self.nodes_a_domain)
+        format!("domain-{:02}", number / self.nodes_per_domain)
     }
 }
 
-/// Everything that runs; dropping it ends it.
+/// The running deployment; dropping it stops it.
 #[derive(Debug)]
 pub(crate) struct BenchDeployment {
     pub(crate) nodes: Vec<NodeHandle>,
@@ -40,12 +40,13 @@
 impl BenchDeployment {
     /// Starts the platform and the servers.
     pub(crate) async fn open(size: DeploymentSize) -> Self {
-        let platform = PlatformStandin::bind(loopback()).await.expect("bound");
+        let platform =
+            PlatformStandin::bind(loopback()).await.expect("address binds");
         let mut servers = Vec::new();
-        for _ in 0..size.nodes * SERVERS_A_NODE {
+        for _ in 0..size.nodes * SERVERS_PER_NODE {
             let behaviour = ServerBehaviour::default();
             let server = ServerStandin::bind(loopback(), behaviour).await;
-            servers.push(server.expect("bound"));
+            servers.push(server.expect("address binds"));
         }
         let deployment = Self { nodes: Vec::new(), servers, platform };
         deployment.put_config(size).await;
@@ -59,27 +60,28 @@
             (0..size.nodes).map(|n| settings(n, size, platform)).collect();
         self.platform.set_vms(all.iter().map(live_entry).collect());
         for settings in all {
-            let node = NodeHandle::spawn(settings).await.expect("started");
+            let node =
+                NodeHandle::spawn(settings).await.expect("daemon starts");
             self.nodes.push(node);
         }
     }
 
-    /// Writes the first configuration, its lists sorted by name as a ticket
-    /// would leave them.
+    /// Writes the first configuration, its lists sorted by name as after a
+    /// ticket.
     async fn put_config(&self, size: DeploymentSize) {
         let servers =
             self.servers.iter().enumerate().map(|(number, server)| {
                 json!({
                     "name": format!("server-{number:04}"),
                     "service": "stock",
-                    "domain": size.domain_of(number / SERVERS_A_NODE),
+                    "domain": size.domain_of(number / SERVERS_PER_NODE),
                     "address": server.address(),
                     "slots": 4,
                     "connections": 120,
                     "checks_fence": true,
                 })
             });
-        let last = (size.nodes - 1) / size.nodes_a_domain;
+        let last = (size.nodes - 1) / size.nodes_per_domain;
         let domains = (0..=last).map(
             |n| json!({ "name": format!("domain-{n:02}"), "region": "sierra" }),
         );
@@ -95,7 +97,8 @@
         let url = format!("http://{}/kv/config", self.platform.address());
         let put = reqwest::Client::new().put(url);
         let put = put.header("if-none-match", "*").body(state.to_string());
-        let status = put.send().await.expect("an answer").status();
+        let status =
+            put.send().await.expect("request gets a response").status();
         assert!(status.is_success(), "{status}");
     }
 }
@@ -104,8 +107,8 @@
     SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
 }
 
-/// A node's own loopback address: ports of the common one may be taken by
-/// connections at any moment.
+/// An address on a loopback host of this node alone: connections may take
+/// ports of 127.0.0.1 at any time.
 fn own_address(node: usize, port: u16) -> SocketAddr {
     let high = u8::try_from(node / 200).expect("below 51,000 nodes");
     let low = u8::try_from(node % 200 + 1).expect("below 201");
@@ -128,5 +131,5 @@
         "platform_url": format!("http://{platform}"),
         "operators": { "listen": "127.0.0.1:0" },
     });
-    serde_json::from_value(value).expect("settings")
+    serde_json::from_value(value).expect("settings are valid")
 }
--- a/goldcrestramp-node/benches/router_cost.rs
+++ b/goldcrestramp-node/benches/router_cost.rs
@@ -1,13 +1,13 @@
-//! What the router adds to a call, and how many calls a core carries.
+//! The latency that the router adds to a call, and its calls per core.
 //!
 //! `cargo bench -p goldcrestramp-node --bench router_cost` runs a daemon, a
-//! stand-in server that answers at once and a caller in this process, each
-//! on threads of its own, and prints:
+//! stand-in server that responds at once and a caller in this process, each
+//! on its own threads, and prints:
 //!
-//! * latency of one lookup at a time, straight to the server and through
-//!   the router by turns;
-//! * calls a second with many under way, and the CPU time of the daemon's
-//!   threads for each.
+//! * latency of one lookup at a time, alternating between direct calls to the
+//!   server and calls through the router;
+//! * calls per second with many in flight, and the CPU time of the daemon's
+//!   threads per call.
 
 #![expect(
     clippy::cast_precision_loss,
@@ -34,22 +34,23 @@
 use serde_json::json;
 use tokio::runtime::{Builder, Runtime};
 
-/// The daemon's own; a sixth of its CPU time was the system's.
+/// The allocator of the daemon; with the system's allocator, a sixth of its
+/// CPU time was spent there.
 #[global_allocator]
 static ALLOCATOR: mimalloc::MiMalloc = mimalloc::MiMalloc;
 
-/// Pairs of calls whose latencies are taken.
+/// Pairs of a direct and a routed call whose latencies are measured.
 const PAIRS: u32 = 2_000;
-/// Calls that are under way at once.
-const UNDER_WAY: u32 = 64;
-/// How long they go on.
-const LOADED: Duration = Duration::from_secs(8);
-/// Slots of the stand-in: it is not to be what limits.
+/// Calls in flight at a time.
+const IN_FLIGHT: u32 = 64;
+/// Duration of the throughput measurement.
+const LOAD_TIME: Duration = Duration::from_secs(8);
+/// Slots of the stand-in: enough that it is not the bottleneck.
 const SLOTS: usize = 256;
-/// Threads of the daemon, as its name shows them to the kernel.
+/// Name of the daemon's threads, by which they are found in `/proc`.
 const ROUTER: &str = "router";
-/// Clock ticks in a second, as the kernel counts a thread's CPU time.
-const TICKS_A_SECOND: f64 = 100.0;
+/// Clock ticks per second, the kernel's unit of a thread's CPU time.
+const TICKS_PER_SECOND: f64 = 100.0;
 
 fn main() {
     let others = runtime("standin", 4);
@@ -58,7 +59,8 @@
     let (platform, server) = others.block_on(start_others());
     let settings = settings(platform.address());
     platform.set_vms(vec![live_entry(&settings)]);
-    let node = router.block_on(NodeHandle::spawn(settings)).expect("started");
+    let node =
+        router.block_on(NodeHandle::spawn(settings)).expect("daemon starts");
     let target = CallTarget {
         http: reqwest::Client::new(),
         server: server.address(),
@@ -72,19 +74,20 @@
 fn runtime(name: &str, threads: usize) -> Runtime {
     let mut builder = Builder::new_multi_thread();
     let builder = builder.worker_threads(threads).thread_name(name);
-    builder.enable_all().build().expect("a runtime")
+    builder.enable_all().build().expect("runtime starts")
 }
 
 async fn start_others() -> (PlatformStandin, ServerStandin) {
-    let platform = PlatformStandin::bind(loopback()).await.expect("bound");
+    let platform =
+        PlatformStandin::bind(loopback()).await.expect("address binds");
     let behaviour = ServerBehaviour {
         slots: SLOTS,
         work: WorkTimes::fixed(0),
         ..ServerBehaviour::default()
     };
     let server = ServerStandin::bind(loopback(), behaviour).await;
-    let server = server.expect("bound");
-    // Calls without a grant, those that go straight to it, are run too.
+    let server = server.expect("address binds");
+    // Direct calls have no grant; the server runs them too.
     server.set_faults(ServerFaults {
         ignores_fence: true,
         ..ServerFaults::default()
@@ -93,7 +96,7 @@
     (platform, server)
 }
 
-/// Where calls go.
+/// The addresses that calls are sent to.
 #[derive(Clone)]
 struct CallTarget {
     http: reqwest::Client,
@@ -108,14 +111,14 @@
         }
     }
 
-    /// One lookup through the router; whether it was answered.
+    /// Sends one lookup through the router; returns whether it succeeded.
     async fn routed(&self, number: u32) -> bool {
         let url = format!("http://{}/v1/stock/k{number}", self.gateway);
         let call = self.http.get(url).header("goldcrestramp-caller", "bench");
         read(call).await
     }
 
-    /// The same straight to the server.
+    /// Sends the same lookup directly to the server.
     async fn direct(&self, number: u32) -> bool {
         let call = self
             .http
@@ -133,20 +136,20 @@
 }
 
 async fn read(call: reqwest::RequestBuilder) -> bool {
-    let Ok(answer) = call.send().await else { return false };
-    answer.status().is_success() && answer.bytes().await.is_ok()
+    let Ok(response) = call.send().await else { return false };
+    response.status().is_success() && response.bytes().await.is_ok()
 }
 
 async fn print_latencies(target: &CallTarget) {
     let mut direct = Vec::new();
     let mut routed = Vec::new();
     for number in 0..PAIRS {
-        let began = Instant::now();
-        assert!(target.direct(number).await, "the server answers");
-        direct.push(began.elapsed());
-        let began = Instant::now();
-        assert!(target.routed(number).await, "the router answers");
-        routed.push(began.elapsed());
+        let start = Instant::now();
+        assert!(target.direct(number).await, "the server responds");
+        direct.push(start.elapsed());
+        let start = Instant::now();
+        assert!(target.routed(number).await, "the router responds");
+        routed.push(start.elapsed());
     }
     let (direct, routed) = (Percentiles::of(direct), Percentiles::of(routed));
     println!("latency        p50_us   p99_us");
@@ -156,17 +159,18 @@
     println!("added        {:8.0} {:8.0}", added.0, added.1);
 }
 
-/// Microseconds.
+/// Percentiles of latencies, in microseconds.
 struct Percentiles {
     p50: f64,
     p99: f64,
 }
 
 impl Percentiles {
-    fn of(mut spans: Vec<Duration>) -> Self {
-        spans.sort_unstable();
+    fn of(mut latencies: Vec<Duration>) -> Self {
+        latencies.sort_unstable();
         let at = |percent: usize| {
-            spans[(spans.len() - 1) * percent / 100].as_secs_f64() * 1e6
+            latencies[(latencies.len() - 1) * percent / 100].as_secs_f64()
+                * 1e6
         };
         Self { p50: at(50), p99: at(99) }
     }
@@ -174,16 +178,16 @@
 
 async fn print_throughput(target: &CallTarget) {
     let ticks = router_ticks();
-    let began = Instant::now();
-    let tasks: Vec<_> = (0..UNDER_WAY)
-        .map(|task| tokio::spawn(call_until(target.clone(), task, began)))
+    let start = Instant::now();
+    let tasks: Vec<_> = (0..IN_FLIGHT)
+        .map(|task| tokio::spawn(call_until(target.clone(), task, start)))
         .collect();
     let mut calls = 0;
     for task in tasks {
-        calls += task.await.expect("no panic");
+        calls += task.await.expect("task does not panic");
     }
-    let seconds = began.elapsed().as_secs_f64();
-    let cpu = (router_ticks() - ticks) as f64 / TICKS_A_SECOND;
+    let seconds = start.elapsed().as_secs_f64();
+    let cpu = (router_ticks() - ticks) as f64 / TICKS_PER_SECOND;
     let calls = f64::from(calls);
     println!("calls/s      {:8.0}", calls / seconds);
     println!("cores        {:8.2}", cpu / seconds);
@@ -191,19 +195,20 @@
     println!("calls/s/core {:8.0}", calls / cpu);
 }
 
-/// Calls one after the other; those that were answered.
-async fn call_until(target: CallTarget, task: u32, began: Instant) -> u32 {
+/// Sends calls one after another until `LOAD_TIME` has passed; returns how
+/// many succeeded.
+async fn call_until(target: CallTarget, task: u32, start: Instant) -> u32 {
     let mut calls = 0;
-    while began.elapsed() < LOADED {
-        let answered = target.routed(task * 1_000 + calls % 1_000).await;
-        calls += u32::from(answered);
+    while start.elapsed() < LOAD_TIME {
+        let is_success = target.routed(task * 1_000 + calls % 1_000).await;
+        calls += u32::from(is_success);
     }
     calls
 }
 
 /// CPU time of the daemon's traffic threads, in clock ticks.
 fn router_ticks() -> u64 {
-    let tasks = fs::read_dir("/proc/self/task").expect("a list of threads");
+    let tasks = fs::read_dir("/proc/self/task").expect("threads are listed");
     let stats = tasks.flatten().filter_map(|task| {
         let stat = fs::read_to_string(task.path().join("stat")).ok()?;
         let (name, rest) = stat.split_once(") ")?;
@@ -212,8 +217,8 @@
     stats.sum()
 }
 
-/// User and system time: the 14th and 15th field, of which the first two
-/// are cut off.
+/// User and system time: the 14th and 15th field of `stat`, whose first two
+/// are not part of `rest`.
 fn ticks_of(rest: &str) -> u64 {
     let fields = rest.split(' ').skip(11).take(2);
     fields.filter_map(|field| field.parse::<u64>().ok()).sum()
@@ -224,12 +229,16 @@
 }
 
 fn settings(platform: SocketAddr) -> NodeSettings {
-    // Addresses of this process's own that no connection draws.
+    // A loopback host of this process alone: no connection takes a port
+    // before the daemon binds it.
     let [_, _, high, low] = std::process::id().to_be_bytes();
     let host = Ipv4Addr::new(127, 64 + (high & 0x3f), low, 9);
-    let drawn: [TcpListener; 4] =
-        std::array::from_fn(|_| TcpListener::bind((host, 0)).expect("a port"));
-    let listen = drawn.each_ref().map(|one| one.local_addr().expect("bound"));
+    let listeners: [TcpListener; 4] = std::array::from_fn(|_| {
+        TcpListener::bind((host, 0)).expect("port is free")
+    });
+    let listen = listeners
+        .each_ref()
+        .map(|one| one.local_addr().expect("address binds"));
     let value = json!({
         "deployment": "bench",
         "vm": "vm-0",
@@ -241,7 +250,7 @@
         "platform_url": format!("http://{platform}"),
         "operators": { "listen": listen[3] },
     });
-    serde_json::from_value(value).expect("settings")
+    serde_json::from_value(value).expect("settings are valid")
 }
 
 async fn put_config(platform: SocketAddr, server: SocketAddr) {
@@ -262,6 +271,6 @@
     let url = format!("http://{platform}/kv/config");
     let put = reqwest::Client::new().put(url);
     let put = put.header("if-none-match", "*").body(state.to_string());
-    let status = put.send().await.expect("an answer").status();
+    let status = put.send().await.expect("request gets a response").status();
     assert!(status.is_success());
 }
