--- a/goldcrestramp-node/tests/admission.rs
+++ b/goldcrestramp-node/tests/admission.rs
@@ -316,7 +316,7 @@
         }
         executions(&one).len() - start
     };
-    let (_hot, executed) = tokio::join!(join_all(busy), rare);
+    let (_busy, executed) = tokio::join!(join_all(busy), rare);
 
     // In turns they take ten, and a few in flight between two of them.
     assert!(executed < 100, "{executed} requests ran meanwhile");
--- a/goldcrestramp-node/tests/idle.rs
+++ b/goldcrestramp-node/tests/idle.rs
@@ -12,7 +12,7 @@
 
 use crate::one_node::OneNode;
 
-/// Longer than the longest grant, 2.25 s (2 s and a quarter).
+/// Longer than the longest grant, which is 2 s and a quarter.
 const GRANT_EXPIRED_AFTER: Duration = Duration::from_millis(2_600);
 /// How long CPU time is measured.
 const MEASURED_TIME: Duration = Duration::from_secs(1);
--- a/goldcrestramp-node/tests/moves.rs
+++ b/goldcrestramp-node/tests/moves.rs
@@ -67,12 +67,12 @@
     let (first, keepers) = order_and_move(&mut domain).await;
     let third = (0..3).find(|node| !keepers.contains(node));
 
-    let again =
+    let resent =
         order(&domain, third.expect("there is a third VM"), true).await;
 
     assert_ne!(keepers[0], keepers[1], "two VMs keep a server each");
     assert_eq!(first.0, "done");
-    assert_eq!(again, first);
+    assert_eq!(resent, first);
     assert_eq!(domain.runs("order-1").iter().sum::<usize>(), 1);
 }
 
@@ -83,15 +83,15 @@
 async fn a_resend_after_a_planned_stop_gets_the_first_answer() {
     let mut domain = OneDomain::spawn(13, 3).await;
     let (first, [_, keeper]) = order_and_move(&mut domain).await;
-    let heard = order(&domain, keeper, true).await;
+    let second = order(&domain, keeper, true).await;
     domain.nodes[keeper].drain().await;
     let stopped = domain.nodes.remove(keeper);
     drop(stopped);
 
-    let again = order(&domain, 0, true).await;
+    let resent = order(&domain, 0, true).await;
 
     assert_eq!(first.0, "done");
-    assert_eq!((&heard, &again), (&first, &first));
+    assert_eq!((&second, &resent), (&first, &first));
     assert_eq!(domain.runs("order-1").iter().sum::<usize>(), 1);
 }
 
@@ -129,10 +129,10 @@
     let domain = OneDomain::spawn(12, 1).await;
 
     let first = late_order(&domain, false).await.frame;
-    let again = late_order(&domain, true).await.frame;
+    let resent = late_order(&domain, true).await.frame;
 
     assert!(matches!(first, Some(Frame::NotRun(_))), "{first:?}");
-    assert!(matches!(again, Some(Frame::Unknown(_))), "{again:?}");
+    assert!(matches!(resent, Some(Frame::Unknown(_))), "{resent:?}");
 }
 
 /// Looks up each key once; returns the keys that the first server ran.
--- a/goldcrestramp-node/tests/planted.rs
+++ b/goldcrestramp-node/tests/planted.rs
@@ -2,7 +2,7 @@
 //! leaves out one safeguard, violates a guarantee that the same daemon without
 //! the fault keeps.
 //!
-//! Callers, daemon and servers use sockets. The correct and the faulty run of
+//! Callers, daemon and servers use sockets. The runs with and without the fault of
 //! a test have the same requests and the same faults of the servers.
 
 mod small_domain;
@@ -111,13 +111,13 @@
     let ignored = ServerFaults { ignores_fence: true, ..checked.clone() };
     let planted = Some(PlantedFault::WrongServer);
 
-    let correct = run(2, None, &ignored, &ALL).await;
+    let without_fault = run(2, None, &ignored, &ALL).await;
     let fenced = run(3, planted, &checked, &ALL).await;
-    let faulty = run(4, planted, &ignored, &ALL).await;
+    let with_fault = run(4, planted, &ignored, &ALL).await;
 
-    assert!(correct.is_empty(), "{correct:?}");
+    assert!(without_fault.is_empty(), "{without_fault:?}");
     assert!(fenced.is_empty(), "{fenced:?}");
-    assert!(faulty.violations.owner_overlaps > 0, "{faulty:?}");
+    assert!(with_fault.violations.owner_overlaps > 0, "{with_fault:?}");
 }
 
 /// The server's responses to started orders are crossed. A daemon that retries
@@ -128,13 +128,13 @@
     let faults =
         ServerFaults { crossed: FAULTY_RESPONSES, ..ServerFaults::default() };
 
-    let correct = run(2, None, &faults, &ORDERS).await;
-    let faulty =
+    let without_fault = run(2, None, &faults, &ORDERS).await;
+    let with_fault =
         run(3, Some(PlantedFault::StartedRetried), &faults, &ORDERS).await;
 
-    assert!(correct.is_empty(), "{correct:?}");
-    assert!(faulty.violations.doubled > 0, "{faulty:?}");
-    assert!(faulty.invalid_histories > 0, "{faulty:?}");
+    assert!(without_fault.is_empty(), "{without_fault:?}");
+    assert!(with_fault.violations.doubled > 0, "{with_fault:?}");
+    assert!(with_fault.invalid_histories > 0, "{with_fault:?}");
 }
 
 /// The same responses are crossed. A daemon that reports "not run" for an
@@ -144,13 +144,13 @@
     let faults =
         ServerFaults { crossed: FAULTY_RESPONSES, ..ServerFaults::default() };
 
-    let correct = run(2, None, &faults, &ORDERS).await;
-    let faulty =
+    let without_fault = run(2, None, &faults, &ORDERS).await;
+    let with_fault =
         run(3, Some(PlantedFault::UnknownDenied), &faults, &ORDERS).await;
 
-    assert!(correct.is_empty(), "{correct:?}");
-    assert!(faulty.violations.not_run_but_ran > 0, "{faulty:?}");
-    assert!(faulty.invalid_histories > 0, "{faulty:?}");
+    assert!(without_fault.is_empty(), "{without_fault:?}");
+    assert!(with_fault.violations.not_run_but_ran > 0, "{with_fault:?}");
+    assert!(with_fault.invalid_histories > 0, "{with_fault:?}");
 }
 
 /// A server crosses responses. A daemon that does not check their request ids
@@ -160,12 +160,12 @@
     let faults =
         ServerFaults { crossed: FAULTY_RESPONSES, ..ServerFaults::default() };
 
-    let correct = run(2, None, &faults, &ALL).await;
-    let faulty =
+    let without_fault = run(2, None, &faults, &ALL).await;
+    let with_fault =
         run(3, Some(PlantedFault::CrossedPassed), &faults, &ALL).await;
 
-    assert!(correct.is_empty(), "{correct:?}");
-    assert!(faulty.violations.wrong_answers > 0, "{faulty:?}");
+    assert!(without_fault.is_empty(), "{without_fault:?}");
+    assert!(with_fault.violations.wrong_answers > 0, "{with_fault:?}");
 }
 
 /// Responses break off half way. A daemon that ends them normally makes
@@ -177,9 +177,10 @@
         ..ServerFaults::default()
     };
 
-    let correct = run(2, None, &faults, &ALL).await;
-    let faulty = run(3, Some(PlantedFault::CutPassed), &faults, &ALL).await;
+    let without_fault = run(2, None, &faults, &ALL).await;
+    let with_fault =
+        run(3, Some(PlantedFault::CutPassed), &faults, &ALL).await;
 
-    assert!(correct.is_empty(), "{correct:?}");
-    assert!(faulty.violations.cut_answers > 0, "{faulty:?}");
+    assert!(without_fault.is_empty(), "{without_fault:?}");
+    assert!(with_fault.violations.cut_answers > 0, "{with_fault:?}");
 }
