--- a/goldcrestramp-entry/tests/daemon/node.rs
+++ b/goldcrestramp-entry/tests/daemon/node.rs
@@ -124,8 +124,18 @@
 /// The variable that names a folder to keep the output of daemons in.
 const LOG_FOLDER: &str = "GOLDCRESTRAMP_TEST_LOGS";
 
+/// The variable that names the program of another build of the daemon.
+const OTHER_BUILD: &str = "GOLDCRESTRAMP_OTHER_BUILD";
+
+/// Starts the daemon. If [`OTHER_BUILD`] is set, every second start of this
+/// test process takes that program: a fleet mixes two builds, and a restart
+/// may change the build of a VM.
 fn start(settings: &Path) -> Child {
-    Command::new(env!("CARGO_BIN_EXE_goldcrestramp-entry"))
+    static STARTS: AtomicU32 = AtomicU32::new(0);
+    let starts = STARTS.fetch_add(1, Ordering::Relaxed);
+    let other = std::env::var_os(OTHER_BUILD).filter(|_| starts % 2 == 1);
+    let own = env!("CARGO_BIN_EXE_goldcrestramp-entry");
+    Command::new(other.unwrap_or_else(|| own.into()))
         .arg("serve")
         .arg("--settings")
         .arg(settings)
--- a/goldcrestramp-entry/tests/soak/main.rs
+++ b/goldcrestramp-entry/tests/soak/main.rs
@@ -11,6 +11,10 @@
 //!
 //! `GOLDCRESTRAMP_SOAK_SEEDS=50 GOLDCRESTRAMP_SOAK_FIRST=1000` runs 50 seeds
 //! from 1,000 on, 6 at a time; without these variables one seed is run.
+//!
+//! `GOLDCRESTRAMP_OTHER_BUILD=/path cargo test -p goldcrestramp-entry --test
+//! soak` runs fleets that mix this build and the daemon at that path: every
+//! second start of a process takes the other one.
 
 #[path = "../daemon/cluster.rs"]
 #[allow(dead_code, reason = "shared with the tests of single faults")]
