--- a/goldcrestramp-entry/src/control/load.rs
+++ b/goldcrestramp-entry/src/control/load.rs
@@ -14,7 +14,7 @@
     pub millis: u32,
 }
 
-/// The load of one divided service since the last report.
+/// The load of one sharded service since the last report.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct ServiceLoad {
     /// The number of requests by key.
--- a/goldcrestramp-entry/src/control/service.rs
+++ b/goldcrestramp-entry/src/control/service.rs
@@ -1,4 +1,4 @@
-//! Plans the assignments of one divided service.
+//! Plans the assignments of one sharded service.
 
 use std::sync::Arc;
 
--- a/goldcrestramp-entry/src/control/term.rs
+++ b/goldcrestramp-entry/src/control/term.rs
@@ -178,7 +178,7 @@
         let plans = term.knows_its_start(revision);
         term.rates.retain(|instance| view.servers.contains_key(&instance.id));
         let mut commits = Vec::new();
-        for name in routes.divided() {
+        for name in routes.sharded() {
             let key = table_key(name);
             if !term.services.contains_key(name) {
                 let Some(item) = self.mirror.get(&key) else {
--- a/goldcrestramp-entry/src/records.rs
+++ b/goldcrestramp-entry/src/records.rs
@@ -12,7 +12,7 @@
 /// planning VM.
 pub const PLANNER_KEY: &str = "router/planner";
 
-/// The prefix of the keys of assignment tables; there is one table per divided
+/// The prefix of the keys of assignment tables; there is one table per sharded
 /// service.
 pub const TABLE_PREFIX: &str = "router/table/";
 
--- a/goldcrestramp-entry/src/traffic/reason.rs
+++ b/goldcrestramp-entry/src/traffic/reason.rs
@@ -13,7 +13,7 @@
     BodyTooLarge,
     /// The body was not received completely.
     BodyBroken,
-    /// The key of a request to a divided service is missing or malformed.
+    /// The key of a request to a sharded service is missing or malformed.
     BadKey,
     /// The service has no server that accepts requests.
     NoServer,
--- a/goldcrestramp-entry/src/traffic/request.rs
+++ b/goldcrestramp-entry/src/traffic/request.rs
@@ -61,7 +61,7 @@
     pub(crate) position: QueuePosition,
     pub(crate) route: Arc<RequestRoute>,
     pub(crate) service: Arc<str>,
-    /// The key, if the service is divided into slices.
+    /// The key, if the service is sharded.
     pub(crate) slice: Option<SliceIndex>,
     pub(crate) method: Method,
     pub(crate) uri: Uri,
@@ -136,7 +136,7 @@
     arrived + span.map_or(timeout, |span| span.min(timeout))
 }
 
-/// Reads the key of a request to a divided service.
+/// Reads the key of a request to a sharded service.
 pub(crate) fn slice_of(headers: &HeaderMap) -> Result<SliceIndex, EndReason> {
     let stated = text(headers, names::SHARD_KEY);
     let stated = stated.and_then(|text| text.trim().parse::<u16>().ok());
--- a/goldcrestramp-entry/src/traffic/serve.rs
+++ b/goldcrestramp-entry/src/traffic/serve.rs
@@ -143,7 +143,7 @@
     let target = state.next_target(&route.name, &weights);
     let target = target.ok_or(EndReason::NoServer)?;
     let service = Arc::clone(&route.targets[target].service);
-    let slice = if table.is_divided(&service) {
+    let slice = if table.is_sharded(&service) {
         Some(slice_of(&parts.headers)?)
     } else {
         None
--- a/goldcrestramp-entry/src/view.rs
+++ b/goldcrestramp-entry/src/view.rs
@@ -26,8 +26,8 @@
     pub version: u64,
     /// Limits on requests of callers.
     pub limits: TrafficLimits,
-    /// Whether each service is divided by key.
-    divided: FastMap<Arc<str>, bool>,
+    /// Whether each service is sharded.
+    sharded: FastMap<Arc<str>, bool>,
     /// The routes of each host, longest path prefix first.
     hosts: FastMap<Arc<str>, Vec<Arc<RequestRoute>>>,
 }
@@ -49,8 +49,8 @@
         Self {
             version: configuration.version,
             limits: configuration.limits,
-            divided: services
-                .map(|(name, shape)| (Arc::clone(name), shape.divided))
+            sharded: services
+                .map(|(name, shape)| (Arc::clone(name), shape.sharded))
                 .collect(),
             hosts,
         }
@@ -70,14 +70,14 @@
 
     /// Whether a service's keys have one owner each.
     #[must_use]
-    pub fn is_divided(&self, service: &str) -> bool {
-        self.divided.get(service).copied().unwrap_or(false)
+    pub fn is_sharded(&self, service: &str) -> bool {
+        self.sharded.get(service).copied().unwrap_or(false)
     }
 
-    /// The services that are divided by key.
-    pub fn divided(&self) -> impl Iterator<Item = &Arc<str>> {
-        let services = self.divided.iter();
-        services.filter(|(_, divided)| **divided).map(|(name, _)| name)
+    /// The sharded services.
+    pub fn sharded(&self) -> impl Iterator<Item = &Arc<str>> {
+        let services = self.sharded.iter();
+        services.filter(|(_, sharded)| **sharded).map(|(name, _)| name)
     }
 }
 
@@ -104,7 +104,7 @@
     /// The servers that are draining or have no entry any more, by id, with
     /// the earliest time at which the store may have accepted that change.
     pub leaving: FastMap<Arc<str>, LocalTime>,
-    /// The assignment tables of divided services.
+    /// The assignment tables of sharded services.
     pub tables: FastMap<Arc<str>, Arc<AssignmentTable>>,
     /// The VMs with an entry.
     pub vms: Vec<VmInstance>,
