--- a/goldcrestramp-assignment/src/edit.rs
+++ b/goldcrestramp-assignment/src/edit.rs
@@ -34,7 +34,7 @@
     /// The pieces keep holder, token, phase and handover. `None`, without
     /// a split, if no single assigned range covers `range`.
     pub(crate) fn isolate(&mut self, range: SliceRange) -> Option<usize> {
-        let covers = |run: &AssignedRange| run.range.covers(range);
+        let covers = |assigned: &AssignedRange| assigned.range.covers(range);
         let position = self.ranges.iter().position(covers)?;
         let source = self.ranges[position].clone();
         let part = |first: SliceIndex, last: SliceIndex| AssignedRange {
@@ -63,13 +63,14 @@
     pub(crate) fn remove_unused_instances(&mut self) {
         let mut new_positions = vec![None; self.instances.len()];
         let mut kept = Vec::new();
-        for run in &mut self.ranges {
-            let old = usize::from(run.instance.0);
+        for assigned in &mut self.ranges {
+            let old = usize::from(assigned.instance.0);
             let new = *new_positions[old].get_or_insert_with(|| {
                 kept.push(self.instances[old].clone());
                 kept.len() - 1
             });
-            run.instance = InstanceKey(u16::try_from(new).unwrap_or(u16::MAX));
+            assigned.instance =
+                InstanceKey(u16::try_from(new).unwrap_or(u16::MAX));
         }
         self.instances = kept;
     }
--- a/goldcrestramp-assignment/src/lib.rs
+++ b/goldcrestramp-assignment/src/lib.rs
@@ -29,8 +29,8 @@
     address: "127.0.0.1:9000".parse().expect("address parses"),
 };
 let table = AssignmentTable::striped(&[instance], 4).expect("has servers");
-let run = table.find(SliceIndex::from(40_000));
-assert_eq!(table.instance(run.instance).id.as_ref(), "stock-1");
+let assigned = table.find(SliceIndex::from(40_000));
+assert_eq!(table.instance(assigned.instance).id.as_ref(), "stock-1");
 ```
 */
 
--- a/goldcrestramp-assignment/src/moves.rs
+++ b/goldcrestramp-assignment/src/moves.rs
@@ -14,10 +14,10 @@
     status: impl Fn(&ServerInstance) -> HolderStatus,
     targets: &mut FastMap<SliceRange, ServerInstance>,
 ) -> bool {
-    let run = next.find(request.range.first);
-    let holder = next.instance(run.instance);
-    let movable = run.phase == AssignmentPhase::Granted
-        && run.range.covers(request.range)
+    let assigned = next.find(request.range.first);
+    let holder = next.instance(assigned.instance);
+    let movable = assigned.phase == AssignmentPhase::Granted
+        && assigned.range.covers(request.range)
         && *holder != request.target
         && status(holder) == HolderStatus::Serving;
     if !movable {
@@ -25,9 +25,9 @@
     }
     let Some(position) = next.isolate(request.range) else { return false };
     let token = next.next_token();
-    let run = &mut next.ranges[position];
-    run.phase = AssignmentPhase::Releasing;
-    run.token = token;
+    let assigned = &mut next.ranges[position];
+    assigned.phase = AssignmentPhase::Releasing;
+    assigned.token = token;
     targets.insert(request.range, request.target.clone());
     true
 }
@@ -44,17 +44,21 @@
         .collect();
     let mut changed = false;
     for key in instances {
-        let held = next.ranges.iter().any(|run| {
-            run.instance == key && run.phase == AssignmentPhase::Granted
+        let held = next.ranges.iter().any(|assigned| {
+            assigned.instance == key
+                && assigned.phase == AssignmentPhase::Granted
         });
         if !held {
             continue;
         }
         let token = next.next_token();
-        let ranges = next.ranges.iter_mut().filter(|run| run.instance == key);
-        for run in ranges.filter(|run| run.phase == AssignmentPhase::Granted) {
-            run.phase = AssignmentPhase::Releasing;
-            run.token = token;
+        let ranges =
+            next.ranges.iter_mut().filter(|assigned| assigned.instance == key);
+        for assigned in ranges
+            .filter(|assigned| assigned.phase == AssignmentPhase::Granted)
+        {
+            assigned.phase = AssignmentPhase::Releasing;
+            assigned.token = token;
         }
         changed = true;
     }
--- a/goldcrestramp-assignment/src/order_tracker.rs
+++ b/goldcrestramp-assignment/src/order_tracker.rs
@@ -48,18 +48,21 @@
 pub(crate) struct OrderTracker(FastMap<(SliceIndex, u64), OrderState>);
 
 impl OrderTracker {
-    pub(crate) fn get(&self, run: &AssignedRange) -> Option<&OrderState> {
-        self.0.get(&(run.range.first, run.token))
+    pub(crate) fn get(&self, assigned: &AssignedRange) -> Option<&OrderState> {
+        self.0.get(&(assigned.range.first, assigned.token))
     }
 
-    pub(crate) fn entry(&mut self, run: &AssignedRange) -> &mut OrderState {
-        self.0.entry((run.range.first, run.token)).or_default()
+    pub(crate) fn entry(
+        &mut self,
+        assigned: &AssignedRange,
+    ) -> &mut OrderState {
+        self.0.entry((assigned.range.first, assigned.token)).or_default()
     }
 
     /// Removes states that belong to none of `ranges`.
     pub(crate) fn retain(&mut self, ranges: &[AssignedRange]) {
-        let kept = ranges.iter().filter_map(|run| {
-            let key = (run.range.first, run.token);
+        let kept = ranges.iter().filter_map(|assigned| {
+            let key = (assigned.range.first, assigned.token);
             Some((key, self.0.remove(&key)?))
         });
         self.0 = kept.collect();
--- a/goldcrestramp-assignment/src/patch.rs
+++ b/goldcrestramp-assignment/src/patch.rs
@@ -13,7 +13,7 @@
 /// An assigned range that differs from the older table, with its holder.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 struct PatchRange {
-    run: AssignedRange,
+    assigned: AssignedRange,
     instance: ServerInstance,
 }
 
@@ -29,18 +29,18 @@
     /// The patch that turns `older` into this table.
     #[must_use]
     pub fn patch_from(&self, older: &Self) -> TablePatch {
-        let changed = |run: &&AssignedRange| {
-            let known = older.find(run.range.first);
+        let changed = |assigned: &&AssignedRange| {
+            let known = older.find(assigned.range.first);
             let same =
-                AssignedRange { instance: run.instance, ..known.clone() };
-            same != **run
+                AssignedRange { instance: assigned.instance, ..known.clone() };
+            same != **assigned
                 || older.instance(known.instance)
-                    != self.instance(run.instance)
+                    != self.instance(assigned.instance)
         };
         let ranges =
-            self.ranges.iter().filter(changed).map(|run| PatchRange {
-                run: run.clone(),
-                instance: self.instance(run.instance).clone(),
+            self.ranges.iter().filter(changed).map(|assigned| PatchRange {
+                assigned: assigned.clone(),
+                instance: self.instance(assigned.instance).clone(),
             });
         TablePatch {
             highest_token: self.highest_token,
@@ -59,21 +59,21 @@
     ///
     /// [`TableError`] if the patch was made from another table.
     pub fn patched(&self, patch: &TablePatch) -> Result<Self, TableError> {
-        let replaced = |run: &AssignedRange| {
-            let next = patch
-                .ranges
-                .partition_point(|p| p.run.range.last < run.range.first);
+        let replaced = |assigned: &AssignedRange| {
+            let next = patch.ranges.partition_point(|p| {
+                p.assigned.range.last < assigned.range.first
+            });
             let next = patch.ranges.get(next);
-            next.is_some_and(|p| p.run.range.first <= run.range.last)
+            next.is_some_and(|p| p.assigned.range.first <= assigned.range.last)
         };
         let mut table = self.clone();
-        table.ranges.retain(|run| !replaced(run));
+        table.ranges.retain(|assigned| !replaced(assigned));
         table.highest_token = patch.highest_token;
-        for PatchRange { run, instance } in &patch.ranges {
+        for PatchRange { assigned, instance } in &patch.ranges {
             let instance = table.instance_key(instance).ok_or(TableError)?;
-            table.ranges.push(AssignedRange { instance, ..run.clone() });
+            table.ranges.push(AssignedRange { instance, ..assigned.clone() });
         }
-        table.ranges.sort_by_key(|run| run.range.first);
+        table.ranges.sort_by_key(|assigned| assigned.range.first);
         table.remove_unused_instances();
         if table.is_valid() { Ok(table) } else { Err(TableError) }
     }
--- a/goldcrestramp-assignment/src/planner.rs
+++ b/goldcrestramp-assignment/src/planner.rs
@@ -112,8 +112,8 @@
             .table
             .ranges
             .iter()
-            .filter(|run| run.phase == AssignmentPhase::Releasing)
-            .map(|run| run.range)
+            .filter(|assigned| assigned.phase == AssignmentPhase::Releasing)
+            .map(|assigned| assigned.range)
             .collect();
         self.move_targets.retain(|range, _target| releasing.contains(range));
         let instances: FastSet<&ServerInstance> =
@@ -153,7 +153,7 @@
             .ranges
             .iter()
             .enumerate()
-            .filter(|(_, run)| self.is_free(now, run, status))
+            .filter(|(_, assigned)| self.is_free(now, assigned, status))
             .map(|(position, _)| position)
             .collect();
         for position in free {
@@ -183,13 +183,14 @@
     pub fn orders(&mut self, now: LocalTime) -> Vec<ServerOrder> {
         let fully_released = self.fully_released_instances();
         let mut orders = Vec::new();
-        for run in &self.table.ranges {
-            let instance = self.table.instance(run.instance);
+        for assigned in &self.table.ranges {
+            let instance = self.table.instance(assigned.instance);
             // One order releases all ranges of a server. Released one by
             // one, each would take as long as its longest running work.
-            let releases_all = run.phase == AssignmentPhase::Releasing
-                && fully_released.get(&run.instance) == Some(&run.token);
-            let state = self.tracker.entry(run);
+            let releases_all = assigned.phase == AssignmentPhase::Releasing
+                && fully_released.get(&assigned.instance)
+                    == Some(&assigned.token);
+            let state = self.tracker.entry(assigned);
             if !state.needs_order() || now < state.due {
                 continue;
             }
@@ -197,21 +198,22 @@
                 continue;
             }
             state.in_flight = true;
-            let kind = match run.phase {
+            let kind = match assigned.phase {
                 AssignmentPhase::Granted => {
                     self.grant_expiries.record_send(instance);
                     OrderKind::Grant {
                         duration: self.timing.grant_duration,
-                        handover: run.handover.clone(),
+                        handover: assigned.handover.clone(),
                     }
                 }
                 AssignmentPhase::Releasing => OrderKind::Release,
             };
-            let range = if releases_all { SliceRange::ALL } else { run.range };
+            let range =
+                if releases_all { SliceRange::ALL } else { assigned.range };
             let order = ServerOrder {
                 instance: instance.clone(),
                 range,
-                token: run.token,
+                token: assigned.token,
                 kind,
             };
             if !(releases_all && orders.contains(&order)) {
@@ -237,13 +239,13 @@
         }
         let timing = self.timing;
         let table = &self.table;
-        let ranges = table.ranges.iter().filter(|run| {
-            run.token == order.token
-                && order.range.covers(run.range)
-                && *table.instance(run.instance) == order.instance
+        let ranges = table.ranges.iter().filter(|assigned| {
+            assigned.token == order.token
+                && order.range.covers(assigned.range)
+                && *table.instance(assigned.instance) == order.instance
         });
-        for run in ranges {
-            let state = self.tracker.entry(run);
+        for assigned in ranges {
+            let state = self.tracker.entry(assigned);
             state.in_flight = false;
             state.due = now + timing.retry_delay;
             match outcome {
@@ -270,11 +272,11 @@
     fn is_free(
         &self,
         now: LocalTime,
-        run: &AssignedRange,
+        assigned: &AssignedRange,
         status: impl Fn(&ServerInstance) -> HolderStatus,
     ) -> bool {
         let Some(instance) =
-            self.table.instances.get(usize::from(run.instance.0))
+            self.table.instances.get(usize::from(assigned.instance.0))
         else {
             return false;
         };
@@ -282,17 +284,17 @@
         // a range is not free, unless its holder has ended.
         let committed = self.table.ranges.iter().any(|known| {
             known.phase == AssignmentPhase::Releasing
-                && known.range == run.range
-                && known.token == run.token
+                && known.range == assigned.range
+                && known.token == assigned.token
         });
-        if run.phase != AssignmentPhase::Releasing {
+        if assigned.phase != AssignmentPhase::Releasing {
             return false;
         }
         let status = status(instance);
         if status == HolderStatus::Ended {
             return true;
         }
-        let state = self.tracker.get(run);
+        let state = self.tracker.get(assigned);
         let released = state.is_some_and(|state| {
             matches!(state.response, OrderResponse::Released(_))
         });
@@ -319,24 +321,24 @@
             OrderResponse::Released(left) => left.clone(),
             _ => None,
         });
-        let run = &mut next.ranges[position];
-        run.instance = key;
-        run.token = token;
-        run.phase = AssignmentPhase::Granted;
-        run.handover = handover;
+        let assigned = &mut next.ranges[position];
+        assigned.instance = key;
+        assigned.token = token;
+        assigned.phase = AssignmentPhase::Granted;
+        assigned.handover = handover;
         true
     }
 
     /// Removes the handover data that holders have received. It is used only
     /// once, and makes up 2/3 of a table's bytes.
     fn drop_delivered_handovers(&self, next: &mut AssignmentTable) {
-        for run in &mut next.ranges {
+        for assigned in &mut next.ranges {
             if self
                 .tracker
-                .get(run)
+                .get(assigned)
                 .is_some_and(|state| state.response == OrderResponse::Granted)
             {
-                run.handover = None;
+                assigned.handover = None;
             }
         }
     }
@@ -348,9 +350,9 @@
             .ranges
             .iter()
             .enumerate()
-            .filter(|(_, run)| {
-                let state = self.tracker.get(run);
-                run.phase == AssignmentPhase::Granted
+            .filter(|(_, assigned)| {
+                let state = self.tracker.get(assigned);
+                assigned.phase == AssignmentPhase::Granted
                     && state.is_some_and(|state| {
                         state.response == OrderResponse::Outdated
                     })
@@ -379,10 +381,13 @@
                 mixed.extend([key, other]);
             }
         }
-        for run in &self.table.ranges {
-            let first = *tokens.entry(run.instance).or_insert(run.token);
-            if run.phase == AssignmentPhase::Granted || first != run.token {
-                mixed.insert(run.instance);
+        for assigned in &self.table.ranges {
+            let first =
+                *tokens.entry(assigned.instance).or_insert(assigned.token);
+            if assigned.phase == AssignmentPhase::Granted
+                || first != assigned.token
+            {
+                mixed.insert(assigned.instance);
             }
         }
         tokens.retain(|instance, _token| !mixed.contains(instance));
--- a/goldcrestramp-assignment/src/table.rs
+++ b/goldcrestramp-assignment/src/table.rs
@@ -103,15 +103,16 @@
         let ranges =
             servers.checked_mul(stripes).filter(|ranges| *ranges > 0)?;
         let total = u32::from(u16::MAX) + 1;
-        let start_of =
-            |run: u32| u64::from(run) * u64::from(total) / u64::from(ranges);
-        let ranges = (0..ranges).filter_map(|run| {
-            let first = u16::try_from(start_of(run)).ok()?;
+        let start_of = |index: u32| {
+            u64::from(index) * u64::from(total) / u64::from(ranges)
+        };
+        let ranges = (0..ranges).filter_map(|index| {
+            let first = u16::try_from(start_of(index)).ok()?;
             let last =
-                u16::try_from(start_of(run + 1).checked_sub(1)?).ok()?;
+                u16::try_from(start_of(index + 1).checked_sub(1)?).ok()?;
             Some(AssignedRange {
                 range: SliceRange { first: first.into(), last: last.into() },
-                instance: InstanceKey(u16::try_from(run % servers).ok()?),
+                instance: InstanceKey(u16::try_from(index % servers).ok()?),
                 token: 1,
                 phase: AssignmentPhase::Granted,
                 handover: None,
@@ -147,7 +148,9 @@
     /// The assigned range that contains a slice.
     #[must_use]
     pub fn find(&self, slice: SliceIndex) -> &AssignedRange {
-        let next = self.ranges.partition_point(|run| run.range.first <= slice);
+        let next = self
+            .ranges
+            .partition_point(|assigned| assigned.range.first <= slice);
         &self.ranges[next.saturating_sub(1)]
     }
 
@@ -181,12 +184,12 @@
     /// servers and have tokens up to the highest one.
     pub(crate) fn is_valid(&self) -> bool {
         let mut next = 0_u32;
-        let ordered = self.ranges.iter().all(|run| {
-            let valid = u32::from(run.range.first.get()) == next
-                && run.range.first <= run.range.last
-                && usize::from(run.instance.0) < self.instances.len()
-                && run.token <= self.highest_token;
-            next = u32::from(run.range.last.get()) + 1;
+        let ordered = self.ranges.iter().all(|assigned| {
+            let valid = u32::from(assigned.range.first.get()) == next
+                && assigned.range.first <= assigned.range.last
+                && usize::from(assigned.instance.0) < self.instances.len()
+                && assigned.token <= self.highest_token;
+            next = u32::from(assigned.range.last.get()) + 1;
             valid
         });
         ordered && next == u32::from(u16::MAX) + 1
--- a/goldcrestramp-assignment/tests/ownership/cluster.rs
+++ b/goldcrestramp-assignment/tests/ownership/cluster.rs
@@ -260,8 +260,8 @@
         let planner = &mut self.planners[index];
         let Some(plan) = &mut planner.planner else { return };
         let slice = SliceIndex::from(choice);
-        let run = plan.table().find(slice).range;
-        let last = u16::min(choice.saturating_add(99), run.last.get());
+        let found = plan.table().find(slice).range;
+        let last = u16::min(choice.saturating_add(99), found.last.get());
         let range = SliceRange { first: slice, last: last.into() };
         let requests: Vec<MoveRequest> = listed
             .get(usize::from(choice) % listed.len().max(1))
--- a/goldcrestramp-assignment/tests/patch.rs
+++ b/goldcrestramp-assignment/tests/patch.rs
@@ -59,12 +59,19 @@
 
 /// The owner of every range, independent of the order of instances.
 fn owners(table: &AssignmentTable) -> Vec<OwnedRange> {
-    let runs = table.ranges().iter();
-    runs.map(|run| {
-        let id = Arc::clone(&table.instance(run.instance).id);
-        (run.range, id, run.token, run.phase, run.handover.clone())
-    })
-    .collect()
+    let ranges = table.ranges().iter();
+    ranges
+        .map(|assigned| {
+            let id = Arc::clone(&table.instance(assigned.instance).id);
+            (
+                assigned.range,
+                id,
+                assigned.token,
+                assigned.phase,
+                assigned.handover.clone(),
+            )
+        })
+        .collect()
 }
 
 proptest! {
