--- a/goldcrestramp-assignment/src/edit.rs
+++ b/goldcrestramp-assignment/src/edit.rs
@@ -62,17 +62,17 @@
     /// grow with every instance that ever existed.
     pub(crate) fn remove_unused_instances(&mut self) {
         let mut new_positions = vec![None; self.instances.len()];
-        let mut kept = Vec::new();
+        let mut used = Vec::new();
         for assigned in &mut self.ranges {
             let old = usize::from(assigned.instance.0);
             let new = *new_positions[old].get_or_insert_with(|| {
-                kept.push(self.instances[old].clone());
-                kept.len() - 1
+                used.push(self.instances[old].clone());
+                used.len() - 1
             });
             assigned.instance =
                 InstanceKey(u16::try_from(new).unwrap_or(u16::MAX));
         }
-        self.instances = kept;
+        self.instances = used;
     }
 }
 
--- a/goldcrestramp-assignment/src/order_tracker.rs
+++ b/goldcrestramp-assignment/src/order_tracker.rs
@@ -61,10 +61,10 @@
 
     /// Removes states that belong to none of `ranges`.
     pub(crate) fn retain(&mut self, ranges: &[AssignedRange]) {
-        let kept = ranges.iter().filter_map(|assigned| {
+        let retained = ranges.iter().filter_map(|assigned| {
             let key = (assigned.range.first, assigned.token);
             Some((key, self.0.remove(&key)?))
         });
-        self.0 = kept.collect();
+        self.0 = retained.collect();
     }
 }
--- a/goldcrestramp-assignment/src/previous_planner.rs
+++ b/goldcrestramp-assignment/src/previous_planner.rs
@@ -18,8 +18,8 @@
 /// The latest time at which any previous planner may have sent a grant, as
 /// known at `now`.
 ///
-/// A planner that can't confirm that it still is the planner goes on
-/// renewing grants for `proof_lifetime`. That the previous planner has
+/// A planner that can't confirm that it still is the planner continues
+/// to renew grants for `proof_lifetime`. That the previous planner has
 /// stopped proves nothing about the ones before it: one of them may be cut
 /// off and renew until its `proof_lifetime` is over.
 ///
--- a/goldcrestramp-decisions/src/lib.rs
+++ b/goldcrestramp-decisions/src/lib.rs
@@ -27,7 +27,8 @@
 - [`AttemptBudget`]: limits the attempts beyond the first that a VM may make.
 - [`server_share`]: the requests that one VM may have in flight at a server.
 - [`WorkEstimate`]: how long a server works on a request.
-- [`denial_action`]: whether an owner that denied a key is asked again.
+- [`denial_action`]: whether a request is retried at an owner that denied
+  its key.
 - [`WeightedRoundRobin`]: splits a route by weight.
 - [`rebalancing_moves`]: which key ranges move between servers, and when.
 - [`baseline`]: two simple policies for comparison.
--- a/goldcrestramp-decisions/src/pipeline.rs
+++ b/goldcrestramp-decisions/src/pipeline.rs
@@ -53,7 +53,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct PipelineGate {
     arrived: u64,
-    answered: u64,
+    responded: u64,
     /// No ordered request is ahead of requests with this number or a higher
     /// one.
     barrier: u64,
@@ -71,8 +71,8 @@
             self.barrier = self.arrived;
             return PipelineStart::InTurn;
         }
-        let ahead = number.saturating_sub(self.answered);
-        let alone = ahead == 0 || self.answered < self.barrier;
+        let ahead = number.saturating_sub(self.responded);
+        let alone = ahead == 0 || self.responded < self.barrier;
         if alone || ahead >= MAX_CONCURRENT {
             PipelineStart::InTurn
         } else {
@@ -81,7 +81,7 @@
     }
 
     /// Records a response to the first request that had none.
-    pub const fn answered(&mut self) {
-        self.answered += 1;
+    pub const fn record_response(&mut self) {
+        self.responded += 1;
     }
 }
--- a/goldcrestramp-decisions/src/placement/balance.rs
+++ b/goldcrestramp-decisions/src/placement/balance.rs
@@ -13,7 +13,7 @@
 /// The slices of a target that are candidates for a move, heaviest first.
 ///
 /// Lighter ones save less than their cold start costs.
-const CANDIDATE_LIMIT: usize = 24;
+const MAX_CANDIDATES: usize = 24;
 
 /// Plans the moves of one service's slices.
 #[derive(Clone, Debug)]
@@ -239,6 +239,6 @@
         list.remove(0);
     }
     list.retain(|candidate| !view.long_work.contains(candidate.slice));
-    list.truncate(CANDIDATE_LIMIT);
+    list.truncate(MAX_CANDIDATES);
     list
 }
--- a/goldcrestramp-decisions/src/placement/mod.rs
+++ b/goldcrestramp-decisions/src/placement/mod.rs
@@ -17,7 +17,7 @@
 //!   leave its server.
 //! - [`assign_orphans`] spreads the slices of a target that is lost or drains.
 //! - [`hash_placement`] and [`greedy_moves`] are baselines. They are simpler,
-//!   so the planner is worth keeping only while it beats them.
+//!   so the planner is worth its complexity only while it outperforms them.
 
 mod assign;
 mod balance;
--- a/goldcrestramp-decisions/src/queue/admission.rs
+++ b/goldcrestramp-decisions/src/queue/admission.rs
@@ -33,9 +33,9 @@
 /// deadline.
 ///
 /// In the first 150 ms of a burst, a forecast is too low by up to half: later
-/// requests that have asked for less go first. With 125, the mean error,
-/// requests of that time were refused after 190 ms of waiting instead of on
-/// arrival.
+/// requests of flows that requested less are served first. With 125, the mean
+/// error, requests of that time were refused after 190 ms of waiting instead
+/// of on arrival.
 const MARGIN_PERCENT: u64 = 200;
 
 /// A caller may always have this many requests waiting, even in a standing
--- a/goldcrestramp-decisions/src/queue/flow.rs
+++ b/goldcrestramp-decisions/src/queue/flow.rs
@@ -126,7 +126,7 @@
     /// `tag`, if tags are spread evenly between the lowest and the highest.
     ///
     /// Flows that joined at the same time have equal tags. The distance of
-    /// their tags alone would say that none of them goes before the last.
+    /// their tags alone would say that none of them is served before the last.
     pub(crate) fn round_before(&self, tag: u64, service: u64) -> u64 {
         let lowest = self.lowest_tag().unwrap_or(u64::MAX);
         let highest = self.ready.last_key_value();
--- a/goldcrestramp-decisions/src/queue/mod.rs
+++ b/goldcrestramp-decisions/src/queue/mod.rs
@@ -8,8 +8,8 @@
 have passed.
 
 - *Fairness*: [`tree`] gives classes, callers and keys their shares.
-- *Order*: within a key the earliest deadline goes first. A request that can no
-  longer end in time is given up at that moment.
+- *Order*: within a key the earliest deadline is served first. A request
+  that can no longer end in time is given up at that moment.
 - *Refusal*: [`admission`] refuses on arrival what would wait in vain. When the
   queue is full, the caller with the most waiting requests for its weight loses
   its least urgent one.
--- a/goldcrestramp-decisions/src/queue/tree.rs
+++ b/goldcrestramp-decisions/src/queue/tree.rs
@@ -7,11 +7,12 @@
 
 This is start-time fair queuing in three levels: class, caller, key. A flow's
 next request starts at its *tag*, a virtual time that rises by the used slot
-time divided by the flow's weight; the lowest tag goes first. The expected slot
-time is charged at the start, and the rest at the flow's next start, so a flow
-pays for what it used. An idle flow joins at the current virtual time, which
-rises by the used slot time divided by the weights of all waiting flows. So it
-gets no credit for the past, and one that used idle slots has no debt for them.
+time divided by the flow's weight; the lowest tag is served first. The
+expected slot time is charged at the start, and the rest at the flow's next
+start, so a flow pays for what it used. An idle flow joins at the current
+virtual time, which rises by the used slot time divided by the weights of all
+waiting flows. So it gets no credit for the past, and one that used idle slots
+has no debt for them.
 
 A flow exists while one of its requests waits or runs, and at most
 [`MAX_IDLE_FLOWS`] flows are kept after that. So the tables are exact and not a
--- a/goldcrestramp-decisions/src/rebalancing/load.rs
+++ b/goldcrestramp-decisions/src/rebalancing/load.rs
@@ -64,9 +64,9 @@
         if elapsed <= 0.0 {
             return;
         }
-        let kept = 0.5_f32.powf(elapsed / seconds(HALF_LIFE));
-        self.known = 1.0 - (1.0 - self.known) * kept;
-        let gain = (1.0 - kept) / self.known;
+        let factor = 0.5_f32.powf(elapsed / seconds(HALF_LIFE));
+        self.known = 1.0 - (1.0 - self.known) * factor;
+        let gain = (1.0 - factor) / self.known;
         for (rate, counted) in self.rates.iter_mut().zip(&mut self.counted) {
             #[expect(clippy::cast_precision_loss, reason = "small counts")]
             let new_rate = *counted as f32 / elapsed;
--- a/goldcrestramp-decisions/src/rebalancing/mod.rs
+++ b/goldcrestramp-decisions/src/rebalancing/mod.rs
@@ -27,10 +27,10 @@
 };
 
 /// A dense part is moved if it has this part of the rate to move. A range that
-/// has more is moved as a whole instead.
+/// has more is moved completely instead.
 const MIN_DENSE_FRACTION: f32 = 0.5;
 
-/// Of a whole range only the dense part is moved if it has this part of the
+/// Of a complete range only the dense part is moved if it has this part of the
 /// range's load: the cold rest stays.
 const MIN_TRIMMED_FRACTION: f32 = 0.8;
 
@@ -286,7 +286,7 @@
     }
 
     /// The parts that may move, best first: a dense part of the busiest range,
-    /// as it moves much load with few keys; the busiest key alone; whole
+    /// as it moves much load with few keys; the busiest key alone; complete
     /// ranges that fit; and a prefix of the busiest range, for a load that is
     /// spread all over it.
     fn parts(&self, source: usize, wanted: f32) -> Vec<(usize, SliceRange)> {
@@ -336,19 +336,19 @@
 
     /// Applies a move to the ranges.
     fn apply(&mut self, position: usize, range: SliceRange, target: usize) {
-        let whole = self.ranges[position];
+        let source = self.ranges[position];
         self.ranges[position] = PlacedRange { range, target, movable: false };
-        if whole.range.first < range.first {
+        if source.range.first < range.first {
             let last = SliceIndex::from(range.first.get() - 1);
-            let first = whole.range.first;
+            let first = source.range.first;
             let range = SliceRange { first, last };
-            self.ranges.push(PlacedRange { range, ..whole });
+            self.ranges.push(PlacedRange { range, ..source });
         }
-        if range.last < whole.range.last {
+        if range.last < source.range.last {
             let first = SliceIndex::from(range.last.get() + 1);
-            let last = whole.range.last;
+            let last = source.range.last;
             let range = SliceRange { first, last };
-            self.ranges.push(PlacedRange { range, ..whole });
+            self.ranges.push(PlacedRange { range, ..source });
         }
     }
 }
--- a/goldcrestramp-decisions/src/retry/proof.rs
+++ b/goldcrestramp-decisions/src/retry/proof.rs
@@ -2,8 +2,8 @@
 //!
 //! A response is lost, the request is retried, and a full server refuses the
 //! second attempt. The refusal is true of that attempt only. A caller that
-//! applies it to the whole request sends the order again under another id, and
-//! two parcels are sent.
+//! applies it to the complete request sends the order again under another id,
+//! and two parcels are sent.
 
 use goldcrestramp_types::{NotRunReason, RequestEffect, UnknownReason};
 
--- a/goldcrestramp-decisions/src/round_robin.rs
+++ b/goldcrestramp-decisions/src/round_robin.rs
@@ -13,10 +13,10 @@
 /// ```
 /// use goldcrestramp_decisions::WeightedRoundRobin;
 ///
-/// let mut robin = WeightedRoundRobin::default();
+/// let mut round_robin = WeightedRoundRobin::default();
 /// let mut first = 0;
 /// for _ in 0..100 {
-///     first += u32::from(robin.next(&[90, 10]) == Some(0));
+///     first += u32::from(round_robin.next(&[90, 10]) == Some(0));
 /// }
 /// assert_eq!(first, 90);
 /// ```
--- a/goldcrestramp-decisions/src/times.rs
+++ b/goldcrestramp-decisions/src/times.rs
@@ -75,6 +75,7 @@
 
 /// Updates an exponential moving average with a new value.
 fn blend(typical: TimeSpan, span: TimeSpan) -> TimeSpan {
-    let kept = typical.as_micros() - typical.as_micros() / SMOOTHING_DIVISOR;
-    TimeSpan::from_micros(kept + span.as_micros() / SMOOTHING_DIVISOR)
+    let remaining =
+        typical.as_micros() - typical.as_micros() / SMOOTHING_DIVISOR;
+    TimeSpan::from_micros(remaining + span.as_micros() / SMOOTHING_DIVISOR)
 }
--- a/goldcrestramp-decisions/src/work.rs
+++ b/goldcrestramp-decisions/src/work.rs
@@ -78,10 +78,10 @@
     pub fn decay(&mut self, now: LocalTime) {
         let elapsed = now.since(self.since).to_std().as_secs_f32();
         let half_life = HALF_LIFE.to_std().as_secs_f32();
-        let kept = 0.5_f32.powf(elapsed / half_life);
-        self.responses = self.responses * kept + self.fresh_responses;
-        self.seconds = self.seconds * kept + self.fresh_seconds;
-        self.span = self.span * kept + elapsed;
+        let factor = 0.5_f32.powf(elapsed / half_life);
+        self.responses = self.responses * factor + self.fresh_responses;
+        self.seconds = self.seconds * factor + self.fresh_seconds;
+        self.span = self.span * factor + elapsed;
         self.fresh_responses = 0.0;
         self.fresh_seconds = 0.0;
         self.since = now;
--- a/goldcrestramp-decisions/tests/direct.rs
+++ b/goldcrestramp-decisions/tests/direct.rs
@@ -144,7 +144,7 @@
         .expect("there is a window")
 }
 
-/// Guards against VMs that each take the whole constant while they start.
+/// Guards against VMs that each take the full constant while they start.
 #[test]
 fn starting_vms_stay_within_the_retry_budget() {
     let (sent, allowed) =
@@ -308,19 +308,19 @@
 /// Applies moves as the servers would.
 fn apply_moves(ranges: &mut Vec<PlacedRange>, moves: &[(SliceRange, usize)]) {
     for (range, target) in moves {
-        let whole =
+        let source =
             ranges.iter().position(|placed| placed.range.covers(*range));
-        let whole = ranges.swap_remove(whole.expect("one range covers it"));
+        let source = ranges.swap_remove(source.expect("one range covers it"));
         let (first, last) = (range.first.get(), range.last.get());
-        if whole.range.first.get() < first {
+        if source.range.first.get() < first {
             let last = SliceIndex::from(first - 1);
-            let range = SliceRange { first: whole.range.first, last };
-            ranges.push(PlacedRange { range, ..whole });
+            let range = SliceRange { first: source.range.first, last };
+            ranges.push(PlacedRange { range, ..source });
         }
-        if last < whole.range.last.get() {
+        if last < source.range.last.get() {
             let first = SliceIndex::from(last + 1);
-            let range = SliceRange { first, last: whole.range.last };
-            ranges.push(PlacedRange { range, ..whole });
+            let range = SliceRange { first, last: source.range.last };
+            ranges.push(PlacedRange { range, ..source });
         }
         ranges.push(PlacedRange {
             range: *range,
@@ -368,7 +368,7 @@
 
 /// Of sixty busy adjacent keys eight get half of the requests, more than one
 /// server can handle. Split key by key, no server is over its capacity. A move
-/// of the whole range would only overload another server.
+/// of the complete range would only overload another server.
 #[test]
 fn the_busiest_adjacent_keys_are_split_key_by_key() {
     let targets = targets(20);
--- a/goldcrestramp-decisions/tests/link.rs
+++ b/goldcrestramp-decisions/tests/link.rs
@@ -8,14 +8,15 @@
 };
 
 /// 30 Mbit/s.
-const RATE: u64 = 3_750_000;
+const RATE_BYTES_PER_S: u64 = 3_750_000;
 
 fn at(millis: u64) -> LocalTime {
     LocalTime::from_micros(millis * 1_000)
 }
 
 fn link() -> LinkShare {
-    let settings = LinkSettings { bytes_per_second: RATE, flow_limit: 3 };
+    let settings =
+        LinkSettings { bytes_per_second: RATE_BYTES_PER_S, flow_limit: 3 };
     LinkShare::open(at(0), settings)
 }
 
@@ -59,7 +60,11 @@
     let mut link = link();
     let flow = open(&mut link, "a");
     let sent = run_second(&mut link, &[flow], 0)[&flow];
-    assert!((RATE * 85 / 100..=RATE + LINK_CHUNK).contains(&sent), "{sent}");
+    assert!(
+        (RATE_BYTES_PER_S * 85 / 100..=RATE_BYTES_PER_S + LINK_CHUNK)
+            .contains(&sent),
+        "{sent}"
+    );
 }
 
 #[test]
@@ -70,9 +75,10 @@
         let flow = open(&mut link, "a");
         let sent = run_second(&mut link, &[flow], short);
         let sent = sent.get(&flow).copied().unwrap_or(0);
-        let maximum = RATE * percent / 100 + 2 * LINK_CHUNK;
+        let maximum = RATE_BYTES_PER_S * percent / 100 + 2 * LINK_CHUNK;
         assert!(sent <= maximum, "{short} short bytes a ms: {sent}");
-        let minimum = maximum.saturating_sub(RATE * 15 / 100 + 3 * LINK_CHUNK);
+        let minimum = maximum
+            .saturating_sub(RATE_BYTES_PER_S * 15 / 100 + 3 * LINK_CHUNK);
         assert!(sent >= minimum, "{short} short bytes a ms: {sent}");
     }
 }
@@ -91,7 +97,8 @@
 #[test]
 fn a_response_too_large_for_the_link_is_refused_before_it_starts() {
     let mut link = link();
-    let late = link.open_flow(at(0), &caller("a"), 2 * RATE, at(1_000));
+    let late =
+        link.open_flow(at(0), &caller("a"), 2 * RATE_BYTES_PER_S, at(1_000));
     assert_eq!(late, Err(NotRunReason::LinkFull));
     for _ in 0..3 {
         open(&mut link, "a");
@@ -108,7 +115,7 @@
     link.close_flow(flows[0]);
     let sent = run_second(&mut link, &flows[1..], 0);
     assert_eq!(sent.len(), 1);
-    assert!(sent[&flows[1]] >= RATE * 85 / 100);
+    assert!(sent[&flows[1]] >= RATE_BYTES_PER_S * 85 / 100);
 }
 
 #[test]
--- a/goldcrestramp-decisions/tests/overload/main.rs
+++ b/goldcrestramp-decisions/tests/overload/main.rs
@@ -89,9 +89,9 @@
     compare(&loads, &[])
 }
 
-/// Whether `part` is at least `percent` of `whole`.
-fn reaches_percent(part: usize, whole: usize, percent: usize) -> bool {
-    part * 100 >= whole * percent
+/// Whether `part` is at least `percent` of `total`.
+fn reaches_percent(part: usize, total: usize, percent: usize) -> bool {
+    part * 100 >= total * percent
 }
 
 /// Whether at most `max` of ten thousand refusals took more than 5 ms.
--- a/goldcrestramp-decisions/tests/pipeline.rs
+++ b/goldcrestramp-decisions/tests/pipeline.rs
@@ -23,7 +23,7 @@
 }
 
 /// A caller sends four lookups of 120 ms at once. One after the other, the
-/// last response comes after 480 ms, past its target of 400 ms.
+/// last response arrives after 480 ms, past its target of 400 ms.
 #[test]
 fn pipelined_lookups_do_not_wait_for_one_another() {
     let times = response_times(&[(LOOKUP, 120); 4]);
@@ -46,7 +46,7 @@
 fn a_completed_order_delays_nothing() {
     let mut gate = PipelineGate::default();
     gate.arrived(ORDER);
-    gate.answered();
+    gate.record_response();
     gate.arrived(LOOKUP);
 
     assert_eq!(gate.arrived(LOOKUP), PipelineStart::Now);
--- a/goldcrestramp-decisions/tests/placement.rs
+++ b/goldcrestramp-decisions/tests/placement.rs
@@ -65,7 +65,7 @@
 /// A hash placement never moves slices for load, so its hot servers overload.
 /// A greedy one is balanced, at the cost of many moves.
 #[test]
-fn placement_beats_both_baselines() {
+fn placement_outperforms_both_baselines() {
     for (name, case) in cases() {
         let hash = run(&case, PlacementKind::Hash);
         let greedy = run(&case, PlacementKind::Greedy);
--- a/goldcrestramp-decisions/tests/placement_simulation/mod.rs
+++ b/goldcrestramp-decisions/tests/placement_simulation/mod.rs
@@ -26,7 +26,7 @@
 const FAILURE_GAP_S: f64 = 2.0;
 /// Requests wait for long at a server above this utilization.
 const FULL_UTILIZATION: f64 = 0.95;
-const HEAVY_LIMIT: usize = 32;
+const MAX_HEAVY_SLICES: usize = 32;
 const STEP_S: usize = 5;
 
 /// The placement that decides.
@@ -178,12 +178,13 @@
         let base = self.total * (1.0 - HOT_SHARE) / harmonic;
         for rank in 1..=KEYS {
             let slice = slice_of(&rank.to_le_bytes(), count);
-            // The head of the distribution is cut: the hot keys replace it.
+            // The head of the distribution is truncated: the hot keys
+            // replace it.
             let drawn = f64::from(rank.max(50));
             load[slice.position()] += base / drawn;
         }
-        let cut: f64 = load.iter().sum();
-        let scale = self.total * (1.0 - HOT_SHARE) / cut;
+        let sum: f64 = load.iter().sum();
+        let scale = self.total * (1.0 - HOT_SHARE) / sum;
         for load in &mut load {
             *load *= scale;
         }
@@ -258,7 +259,7 @@
             .collect();
         let busy = heavy.iter().map(|(_, load)| load).sum();
         heavy.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
-        heavy.truncate(HEAVY_LIMIT);
+        heavy.truncate(MAX_HEAVY_SLICES);
         TargetReport { busy, heavy }
     }
 
--- a/goldcrestramp-decisions/tests/queue.rs
+++ b/goldcrestramp-decisions/tests/queue.rs
@@ -166,7 +166,7 @@
         }
     }
     assert!(served["hot"] >= 298, "idle time and half of the rest");
-    assert!(served["rare"] >= 98, "half while both ask: {served:?}");
+    assert!(served["rare"] >= 98, "half while both send: {served:?}");
 }
 
 fn offer_as(
--- a/goldcrestramp-decisions/tests/rebalancing/simulation.rs
+++ b/goldcrestramp-decisions/tests/rebalancing/simulation.rs
@@ -199,19 +199,19 @@
     fn apply_move(&mut self, chosen: RangeMove) {
         let RangeMove { range, target } = chosen;
         self.totals.keys_moved += range.slices();
-        let whole =
+        let source =
             self.ranges.iter().position(|placed| placed.range.covers(range));
-        let whole =
-            self.ranges.swap_remove(whole.expect("one range covers it"));
-        if whole.range.first < range.first {
+        let source =
+            self.ranges.swap_remove(source.expect("one range covers it"));
+        if source.range.first < range.first {
             let last = SliceIndex::from(range.first.get() - 1);
-            let range = SliceRange { first: whole.range.first, last };
-            self.ranges.push(PlacedRange { range, ..whole });
+            let range = SliceRange { first: source.range.first, last };
+            self.ranges.push(PlacedRange { range, ..source });
         }
-        if range.last < whole.range.last {
+        if range.last < source.range.last {
             let first = SliceIndex::from(range.last.get() + 1);
-            let range = SliceRange { first, last: whole.range.last };
-            self.ranges.push(PlacedRange { range, ..whole });
+            let range = SliceRange { first, last: source.range.last };
+            self.ranges.push(PlacedRange { range, ..source });
         }
         self.ranges.push(PlacedRange { range, target, movable: true });
     }
--- a/goldcrestramp-entry/src/control/actor.rs
+++ b/goldcrestramp-entry/src/control/actor.rs
@@ -260,11 +260,11 @@
             && !self.stopping;
         let Some(lease) = self.lease.filter(|_| idle) else { return };
         let known = self.planner();
-        // The record of an earlier run of this process remains until its lease
-        // expires; that run has certainly ended. A record of this run, which
-        // is not planning, is from a claim whose response was lost. This VM
-        // keeps the lease of that record alive, so without a new claim no VM
-        // could plan.
+        // The record of an earlier instance of this process remains until its
+        // lease expires; that instance has certainly ended. A record of this
+        // one, which is not planning, is from a claim whose response was
+        // lost. This VM keeps the lease of that record alive, so without a
+        // new claim no VM could plan.
         let own = known
             .as_ref()
             .is_some_and(|(planner, _)| planner.vm == self.me.vm);
@@ -326,7 +326,7 @@
              previous planner is {}.",
             previous_planner.as_ref().map_or("unknown", |(vm, _at)| &vm.vm)
         );
-        // An earlier run of this process has ended. If this run planned
+        // An earlier instance of this process has ended. If this one planned
         // itself, it may have had a successor since it lost its lease. A
         // successor that this VM does not know of may be cut off from the
         // store and still renew grants.
--- a/goldcrestramp-entry/src/control/claim.rs
+++ b/goldcrestramp-entry/src/control/claim.rs
@@ -52,8 +52,8 @@
         .await;
 }
 
-/// Asks the previous planner to step down until it has, or until the attempts
-/// are used up.
+/// Requests the previous planner to step down until it has, or until the
+/// attempts are used up.
 pub(crate) async fn stop_previous_planner(
     peers: PeerClient,
     previous: VmInstance,
@@ -62,13 +62,13 @@
 ) {
     /// After this many attempts, the grants that it may have sent have
     /// expired.
-    const MAX_TRIES: u32 = 20;
+    const MAX_ATTEMPTS: u32 = 20;
     /// A planner that steps down waits for orders in flight, which takes about
     /// 700 ms.
     const RETRY_DELAY: std::time::Duration =
         std::time::Duration::from_millis(300);
     let call = PeerCall::StepDown { start: previous.start };
-    for _ in 0..MAX_TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         let reply = peers.call(previous.address, &call).await;
         if matches!(reply, Some(PeerReply::SteppedDown)) {
             let at = MonotonicClock.now();
--- a/goldcrestramp-entry/src/control/follow.rs
+++ b/goldcrestramp-entry/src/control/follow.rs
@@ -54,8 +54,8 @@
 const HEDGE_DELAY: Duration = Duration::from_millis(1_200);
 
 /// Delays after a failure. The first is short, because one lost response is
-/// not an outage. All VMs come back at the same time, so jitter spreads each
-/// delay over half of its length.
+/// not an outage. All VMs reconnect at the same time, so jitter spreads
+/// each delay over half of its length.
 const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(100);
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(800);
 
@@ -132,7 +132,7 @@
         let next = Instant::now() + MIN_WATCH_INTERVAL;
         let outcome = match step.source {
             UpdateSource::Peer(address, _revision) => {
-                return self.ask_peer(address, step.known).await;
+                return self.query_peer(address, step.known).await;
             }
             UpdateSource::StoreVms => self.read_vms().await?,
             UpdateSource::FullStore => self.read_all().await?,
@@ -156,7 +156,7 @@
     /// Queries another VM. If its response is slow, the next source is used
     /// while the call runs until it completes or times out. At most one such
     /// call is left in flight.
-    async fn ask_peer(
+    async fn query_peer(
         &mut self,
         address: SocketAddr,
         known: KnownRevisions,
--- a/goldcrestramp-entry/src/control/handlers.rs
+++ b/goldcrestramp-entry/src/control/handlers.rs
@@ -255,10 +255,11 @@
 
     async fn handle(&mut self, _: StopControl, _: &mut Context<Self>) {
         self.stopping = true;
-        // No VM can take over while the store is away. If the planner stopped
+        // No VM can take over during a store outage. If the planner stopped
         // renewing at once, every key would be without an owner when its grant
         // expires. So it renews grants until the process ends, like a planner
-        // whose lease cannot be renewed, and a successor asks it to step down.
+        // whose lease cannot be renewed, and a successor requests it to step
+        // down.
         if self.term.is_some() && !self.sync.is_fresh(now(), self.proof) {
             log::warn!(
                 "[control] No response of the store: still renewing grants."
--- a/goldcrestramp-entry/src/control/message.rs
+++ b/goldcrestramp-entry/src/control/message.rs
@@ -35,7 +35,7 @@
 #[derive(Debug)]
 pub(crate) struct VmPage(pub(crate) StorePage);
 
-/// Asks which source to follow next.
+/// Requests the source to follow next.
 #[derive(Debug)]
 pub(crate) struct NextSource;
 
--- a/goldcrestramp-entry/src/control/sync.rs
+++ b/goldcrestramp-entry/src/control/sync.rs
@@ -15,9 +15,9 @@
 /// than a lost response and its retry.
 const MIN_OUTAGE: TimeSpan = TimeSpan::from_millis(600);
 
-/// Entries that expired while the store was away are back about two seconds
-/// after its return, so until then a missing entry does not show that its
-/// owner has ended.
+/// Entries that expired during a store outage are written again within about
+/// two seconds after its end, so until then a missing entry does not show that
+/// its owner has ended.
 const RECOVERY_GRACE: TimeSpan = TimeSpan::from_millis(2_300);
 
 /// Bounds how far in the past a change is dated. An update that is older than
@@ -308,8 +308,8 @@
         due
     }
 
-    /// Whether entries may be missing although their owners live, because the
-    /// store is away or has just come back.
+    /// Whether entries may be missing although their owners are alive, because
+    /// the store is unavailable or has just recovered.
     #[must_use]
     pub fn may_miss_entries(&self, now: LocalTime) -> bool {
         let had_outage = self.recovered_at > LocalTime::default();
--- a/goldcrestramp-entry/src/control/term.rs
+++ b/goldcrestramp-entry/src/control/term.rs
@@ -273,7 +273,7 @@
             return;
         }
         // The commit was not done, or its outcome is not known; the store
-        // itself has the answer.
+        // itself has to be read.
         log::info!("[control] A commit for {service} is read back.");
         let (store, control) = (Arc::clone(&self.store), self.address.clone());
         tokio::spawn(read_back(store, service, control));
@@ -336,9 +336,9 @@
         release
     }
 
-    /// Ends the term if `start` identifies this run of the process.
+    /// Ends the term if `start` identifies this instance of the process.
     pub(crate) fn step_down(&mut self, start: u64) -> PeerReply {
-        // Another run is meant, and it has ended, since this one responds.
+        // Another instance is meant, which has ended, since this one responds.
         if start != self.me.start {
             return PeerReply::SteppedDown;
         }
@@ -346,7 +346,7 @@
             log::warn!("[control] Another VM plans; this one steps down.");
             self.end_term();
         }
-        // Orders in flight end within a second; the caller asks again.
+        // Orders in flight end within a second; the caller retries.
         if self.has_orders_in_flight() {
             return PeerReply::Busy;
         }
--- a/goldcrestramp-entry/src/http.rs
+++ b/goldcrestramp-entry/src/http.rs
@@ -236,9 +236,9 @@
 
     fn put_idle(&self, address: SocketAddr, sender: ConnectionSender) {
         let mut idle = self.idle();
-        let kept = idle.entry(address).or_default();
-        if kept.len() < MAX_IDLE && !sender.is_closed() {
-            kept.push(sender);
+        let connections = idle.entry(address).or_default();
+        if connections.len() < MAX_IDLE && !sender.is_closed() {
+            connections.push(sender);
         }
     }
 
--- a/goldcrestramp-entry/src/mirror.rs
+++ b/goldcrestramp-entry/src/mirror.rs
@@ -38,7 +38,7 @@
     revision: u64,
 }
 
-/// A copy of the store that never goes back to an older state.
+/// A copy of the store that never reverts to an older state.
 ///
 /// Changes come from a watch, from full reads, from the responses to own
 /// writes and from other VMs, in any order and more than once. The revision of
--- a/goldcrestramp-entry/src/peers/message.rs
+++ b/goldcrestramp-entry/src/peers/message.rs
@@ -27,7 +27,7 @@
     Tables(Vec<TableUpdate>),
     /// Reports a VM's load to the planning VM.
     Load(LoadReport),
-    /// Tells a previous planner that another VM has replaced it.
+    /// Notifies a previous planner that another VM has replaced it.
     StepDown {
         /// Identifies the VM instance that is meant, by its `start`.
         start: u64,
--- a/goldcrestramp-entry/src/records.rs
+++ b/goldcrestramp-entry/src/records.rs
@@ -37,7 +37,7 @@
 pub struct VmInstance {
     /// The VM's name.
     pub vm: Arc<str>,
-    /// A random number that identifies the run, chosen when the process
+    /// A random number that identifies the instance, chosen when the process
     /// starts.
     pub start: u64,
     /// The failure domain of the VM.
--- a/goldcrestramp-entry/src/store.rs
+++ b/goldcrestramp-entry/src/store.rs
@@ -17,7 +17,7 @@
 /// when it is slow.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// The timeout for the begin of a page of items. It is longer, since pages of
+/// The timeout for the start of a page of items. It is longer, since pages of
 /// several VMs may be queued ahead of it on a link, and a page that is given
 /// up is requested again.
 const PAGE_TIMEOUT: Duration = Duration::from_secs(4);
--- a/goldcrestramp-entry/src/traffic/connection.rs
+++ b/goldcrestramp-entry/src/traffic/connection.rs
@@ -155,7 +155,7 @@
             let head = Request::from_parts(head, ());
             serve(&self.traffic, head, Some(body)).await
         };
-        self.state.borrow_mut().gate.answered();
+        self.state.borrow_mut().gate.record_response();
         self.caught_up.notify_waiters();
         response
     }
--- a/goldcrestramp-entry/src/traffic/serve.rs
+++ b/goldcrestramp-entry/src/traffic/serve.rs
@@ -410,7 +410,7 @@
         slot: &ServerSlot,
         now: LocalTime,
     ) -> TimeSpan {
-        let latency = slot.answered(now);
+        let latency = slot.record_response(now);
         let service = self.service(&request.service);
         service.times.borrow_mut().record(&request.route.name, latency);
         latency
--- a/goldcrestramp-entry/src/traffic/server.rs
+++ b/goldcrestramp-entry/src/traffic/server.rs
@@ -184,7 +184,7 @@
     }
 
     /// Records a response of the server and returns its time.
-    pub(crate) fn answered(&self, now: LocalTime) -> TimeSpan {
+    pub(crate) fn record_response(&self, now: LocalTime) -> TimeSpan {
         let span = now.since(self.entered_at);
         self.server.times.borrow_mut().record(&self.route, span);
         self.end(now, ServerSignal::Answered(self.class, span));
--- a/goldcrestramp-entry/src/traffic/state.rs
+++ b/goldcrestramp-entry/src/traffic/state.rs
@@ -100,7 +100,7 @@
     pub(crate) fn apply_view(&self, view: &FleetView) {
         let now = MonotonicClock.now();
         self.record_tokens(now, view);
-        self.forget_servers(view);
+        self.remove_unlisted_servers(view);
         for service in self.services.borrow().values() {
             wake_all(&service.queue);
         }
@@ -133,7 +133,7 @@
     }
 
     /// Drops the state of servers that are removed and have nothing in flight.
-    fn forget_servers(&self, view: &FleetView) {
+    fn remove_unlisted_servers(&self, view: &FleetView) {
         let is_owner = |instance: &ServerInstance| {
             let mut tables = view.tables.values();
             tables.any(|table| {
--- a/goldcrestramp-entry/src/view.rs
+++ b/goldcrestramp-entry/src/view.rs
@@ -177,7 +177,7 @@
         items: impl Iterator<Item = (&'a Arc<str>, &'a MirrorValue)>,
         parse: impl Fn(&str, &[u8]) -> Option<Value>,
     ) -> bool {
-        let mut kept = FastMap::default();
+        let mut next = FastMap::default();
         let mut changed = false;
         for (key, item) in items {
             let entry = match self.0.remove(key) {
@@ -188,10 +188,10 @@
                     (item.revision, value)
                 }
             };
-            kept.insert(Arc::clone(key), entry);
+            next.insert(Arc::clone(key), entry);
         }
         changed |= self.0.values().any(|(_, value)| value.is_some());
-        self.0 = kept;
+        self.0 = next;
         changed
     }
 
--- a/goldcrestramp-entry/tests/daemon/configuration.rs
+++ b/goldcrestramp-entry/tests/daemon/configuration.rs
@@ -76,7 +76,7 @@
 #[tokio::test]
 async fn a_vm_without_the_store_requests_a_change_once() {
     let throttled = ThrottledCluster::start().await;
-    throttled.store_relay.set_behavior(RelayBehavior::Silent);
+    throttled.store_relay.set_behavior(RelayBehavior::Discards);
     tokio::time::sleep(DETECTION_TIME).await;
     throttled
         .peer_relay
@@ -152,7 +152,7 @@
     let cluster = Cluster::start_on(store, POOLED, 1, 1).await;
     assert_eq!(cluster.get(0, "/nothing/here").await.status(), 404);
 
-    relay.set_behavior(RelayBehavior::Silent);
+    relay.set_behavior(RelayBehavior::Discards);
 
     let refused =
         async || cluster.get(0, "/nothing/here").await.status() == 503;
--- a/goldcrestramp-entry/tests/daemon/ownership.rs
+++ b/goldcrestramp-entry/tests/daemon/ownership.rs
@@ -15,7 +15,7 @@
     store::StoreStandin,
 };
 
-/// A sample of keys from the whole key space, few enough for a fast test.
+/// A sample of keys from the full key space, few enough for a fast test.
 fn sample_keys() -> impl Iterator<Item = u64> {
     (0..65_536).step_by(4_099)
 }
@@ -233,7 +233,7 @@
     store.address = relay.address;
     let cluster = Cluster::start_on(store, SHARDED, 1, 1).await;
     cluster.wait_served(0, 0).await;
-    relay.set_behavior(RelayBehavior::Silent);
+    relay.set_behavior(RelayBehavior::Discards);
     tokio::time::sleep(DETECTION_TIME).await;
 
     cluster.nodes[0].signal(Signal::TERM);
--- a/goldcrestramp-entry/tests/daemon/stop.rs
+++ b/goldcrestramp-entry/tests/daemon/stop.rs
@@ -110,7 +110,7 @@
     let mut idle = tokio::net::TcpStream::connect(traffic)
         .await
         .expect("connection succeeds");
-    relay.set_behavior(RelayBehavior::Silent);
+    relay.set_behavior(RelayBehavior::Discards);
     cluster.nodes[0].signal(Signal::TERM);
     tokio::time::sleep(Duration::from_millis(800)).await;
     let attempt = cluster.next_attempt();
--- a/goldcrestramp-entry/tests/framing.rs
+++ b/goldcrestramp-entry/tests/framing.rs
@@ -77,9 +77,9 @@
 
 #[test]
 fn a_part_of_a_head_is_incomplete() {
-    let whole = b"GET /a HTTP/1.1\r\nHost: s\r\n\r\n";
-    for end in 0..whole.len() {
-        let step = frame_request(&whole[..end]);
+    let request = b"GET /a HTTP/1.1\r\nHost: s\r\n\r\n";
+    for end in 0..request.len() {
+        let step = frame_request(&request[..end]);
 
         assert!(matches!(step, FrameStep::Incomplete), "{end}");
     }
--- a/goldcrestramp-entry/tests/knowledge.rs
+++ b/goldcrestramp-entry/tests/knowledge.rs
@@ -1,4 +1,4 @@
-//! A VM's copy of the store never goes back to an older state, and the VM
+//! A VM's copy of the store never reverts to an older state, and the VM
 //! knows when the copy may be out of date.
 
 use std::net::SocketAddr;
@@ -179,7 +179,7 @@
 }
 
 /// Guards against an older configuration in force after a newer one. The store
-/// comes back with an older one, or a lower version is written later.
+/// returns with an older one, or a lower version is written later.
 #[test]
 fn a_configuration_never_reverts() {
     let configuration =
--- a/goldcrestramp-entry/tests/soak/main.rs
+++ b/goldcrestramp-entry/tests/soak/main.rs
@@ -1,11 +1,11 @@
 //! Random fault injection into real processes under load.
 //!
 //! Daemons run as separate processes. Relays between them and the stand-ins
-//! of the store and the servers delay, reset, silence or drop one direction
-//! of connections. Processes are killed, stopped, paused and restarted;
-//! servers drop, truncate and mismatch responses and shed requests;
-//! configurations change. An oracle checks what callers and servers saw
-//! against the guarantees.
+//! of the store and the servers delay and reset connections, and discard what
+//! they receive from one side or both. Processes are killed, stopped, paused
+//! and restarted; servers drop, truncate and mismatch responses and shed
+//! requests; configurations change. An oracle checks what callers and servers
+//! saw against the guarantees.
 //!
 //! Seeds that once violated a guarantee run again with each manual run.
 //!
--- a/goldcrestramp-entry/tests/soak/plan.rs
+++ b/goldcrestramp-entry/tests/soak/plan.rs
@@ -46,7 +46,7 @@
     match rng.random_range(0..4) {
         0 => RelayBehavior::Delays(millis(rng, 20..900)),
         1 => RelayBehavior::Resets,
-        2 => RelayBehavior::Silent,
+        2 => RelayBehavior::Discards,
         _ => RelayBehavior::DropsResponses,
     }
 }
--- a/goldcrestramp-entry/tests/soak/relay.rs
+++ b/goldcrestramp-entry/tests/soak/relay.rs
@@ -29,7 +29,7 @@
     /// It closes every connection, and each new one immediately.
     Resets,
     /// It accepts everything and forwards nothing.
-    Silent,
+    Discards,
     /// It forwards requests and drops responses.
     DropsResponses,
     /// It forwards this many response bytes per second, over all connections.
@@ -151,7 +151,7 @@
                 }
                 continue;
             }
-            RelayBehavior::Silent => discards = true,
+            RelayBehavior::Discards => discards = true,
             RelayBehavior::DropsResponses if !is_request => discards = true,
             _ => {}
         }
--- a/goldcrestramp-platform/src/client.rs
+++ b/goldcrestramp-platform/src/client.rs
@@ -17,8 +17,8 @@
 
 /// The timeout of a call.
 ///
-/// The service responds within milliseconds, so 2 s tell an outage from a
-/// short delay.
+/// The service responds within milliseconds, so 2 s distinguish an outage from
+/// a short delay.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A client of one platform; cheap to clone.
@@ -221,8 +221,8 @@
 /// Classifies a refused write.
 ///
 /// A server error, such as 502 from an intermediary, may hide a write that
-/// took effect. If it were treated as "no effect", an operator would be told
-/// that an accepted ticket was lost. Only a read can decide.
+/// took effect. If it were treated as "no effect", an accepted ticket would
+/// be reported to its operator as lost. Only a read can decide.
 fn refused_write(status: StatusCode) -> StoreError {
     if status.is_server_error() {
         StoreError::Unknown(status.to_string())
--- a/goldcrestramp-platform/src/records/service.rs
+++ b/goldcrestramp-platform/src/records/service.rs
@@ -28,7 +28,8 @@
 /// `held` has one run `[length, domain]` for each block of slices that a
 /// domain holds, and `moving` one `[slice, target]` for each slice that is to
 /// move. Domains are given as positions in `domains`, which has one
-/// `[name, ticket]` for each domain, with the mark of the ticket.
+/// `[name, ticket]` for each domain, with the revision that its last
+/// ticket gave it.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceForm {
