--- a/goldcrestramp-entry/src/records.rs
+++ b/goldcrestramp-entry/src/records.rs
@@ -12,7 +12,7 @@
 /// planning VM.
 pub const PLANNER_KEY: &str = "router/planner";
 
-/// The prefix of the keys of assignment tables; there is one table per divided
+/// The prefix of the keys of assignment tables; there is one table per sharded
 /// service.
 pub const TABLE_PREFIX: &str = "router/table/";
 
@@ -37,7 +37,7 @@
 pub struct VmInstance {
     /// The VM's name.
     pub vm: Arc<str>,
-    /// A random number that identifies the run, chosen when the process
+    /// A random number that identifies the instance, chosen when the process
     /// starts.
     pub start: u64,
     /// The failure domain of the VM.
--- a/goldcrestramp-entry/tests/soak/main.rs
+++ b/goldcrestramp-entry/tests/soak/main.rs
@@ -1,16 +1,20 @@
 //! Random fault injection into real processes under load.
 //!
 //! Daemons run as separate processes. Relays between them and the stand-ins
-//! of the store and the servers delay, reset, silence or drop one direction
-//! of connections. Processes are killed, stopped, paused and restarted;
-//! servers drop, truncate and mismatch responses and shed requests;
-//! configurations change. An oracle checks what callers and servers saw
-//! against the guarantees.
+//! of the store and the servers delay and reset connections, and discard what
+//! they receive from one side or both. Processes are killed, stopped, paused
+//! and restarted; servers drop, truncate and mismatch responses and shed
+//! requests; configurations change. An oracle checks what callers and servers
+//! saw against the guarantees.
 //!
 //! Seeds that once violated a guarantee run again with each manual run.
 //!
 //! `GOLDCRESTRAMP_SOAK_SEEDS=50 GOLDCRESTRAMP_SOAK_FIRST=1000` runs 50 seeds
 //! from 1,000 on, 6 at a time; without these variables one seed is run.
+//!
+//! `GOLDCRESTRAMP_OTHER_BUILD=/path cargo test -p goldcrestramp-entry --test
+//! soak` runs fleets that mix this build and the daemon at that path: every
+//! second start of a process takes the other one.
 
 #[path = "../daemon/cluster.rs"]
 #[allow(dead_code, reason = "shared with the tests of single faults")]
