--- a/goldcrestramp-config/src/document/tree.rs
+++ b/goldcrestramp-config/src/document/tree.rs
@@ -43,7 +43,7 @@
     let stripped = match strip_comments(text) {
         Ok(stripped) => stripped,
         Err(error) => {
-            let message = format!("invalid comment: {error}");
+            let message = format!("not a text with comments: {error}");
             faults.add(start, "", message);
             return None;
         }
@@ -52,7 +52,7 @@
         // The parser reports column 0 at the start of a line.
         let (line, column) = (error.line().max(1), error.column().max(1));
         let position = SourcePosition { line, column };
-        faults.add(position, "", format!("invalid JSON: {error}"));
+        faults.add(position, "", format!("no valid JSON: {error}"));
         return None;
     }
     let mut scanner =
--- a/goldcrestramp-config/src/example/reader.rs
+++ b/goldcrestramp-config/src/example/reader.rs
@@ -168,10 +168,7 @@
         faults.add(positions.find(&path), &path, message);
     };
     if state.domains.iter().all(|d| d.region != example.store_region) {
-        report(
-            "store_region".to_owned(),
-            "no failure domain is in this region",
-        );
+        report("store_region".to_owned(), "no failure domain stands there");
     }
     let mut names = FastSet::default();
     for (index, vm) in example.vms.iter().enumerate() {
--- a/goldcrestramp-config/src/settings/reader.rs
+++ b/goldcrestramp-config/src/settings/reader.rs
@@ -251,8 +251,8 @@
     ];
     for (path, label, position) in labels {
         if !is_dns_label(label) {
-            let message = "with peer_tls only a-z, 0-9 and inner `-` are \
-                allowed, 63 characters at most";
+            let message = "with peer_tls only a-z, 0-9 and inner `-` may \
+                stand here, 63 at most";
             faults.add(position, path, message);
         }
     }
--- a/goldcrestramp-config/src/ticket/entity.rs
+++ b/goldcrestramp-config/src/ticket/entity.rs
@@ -82,11 +82,10 @@
     type Error = &'static str;
 
     fn try_from(text: String) -> Result<Self, Self::Error> {
-        let (code, name) =
-            text.split_once('/').ok_or("expected `kind/name`")?;
+        let (code, name) = text.split_once('/').ok_or("no kind/name")?;
         let mut kinds = EntityKind::ALL.into_iter();
         let kind = kinds.find(|kind| kind.code() == code);
-        Ok(Self::new(kind.ok_or("unknown kind of entity")?, name))
+        Ok(Self::new(kind.ok_or("no such kind of thing")?, name))
     }
 }
 
--- a/goldcrestramp-config/src/ticket/preview.rs
+++ b/goldcrestramp-config/src/ticket/preview.rs
@@ -210,7 +210,7 @@
     lost.map(|domain| {
         let name = &domain.name;
         format!(
-            "{name} is declared lost: its slices move to other domains; if \
+            "{name} is declared lost: its slices go to other domains; if \
              its servers still run, a key can have two owners"
         )
     })
@@ -223,6 +223,6 @@
     });
     idle.map(|server| {
         let (name, service) = (&server.name, &server.service);
-        format!("{name} may not own keys under the rules of {service}")
+        format!("{name} may own no key by the rules of {service}")
     })
 }
--- a/goldcrestramp-config/src/ticket/refusal.rs
+++ b/goldcrestramp-config/src/ticket/refusal.rs
@@ -110,7 +110,7 @@
 impl fmt::Display for RefusalReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Empty => write!(f, "the ticket changes nothing"),
+            Self::Empty => write!(f, "the ticket touches nothing"),
             Self::NumberReused => {
                 write!(f, "this number was accepted with another text")
             }
@@ -118,11 +118,11 @@
                 write!(f, "{thing} was last touched by ticket {last}")
             }
             Self::TouchedTwice { thing } => {
-                write!(f, "{thing} is listed twice in the ticket")
+                write!(f, "{thing} stands twice in the ticket")
             }
             Self::Missing { thing } => write!(f, "{thing} does not exist"),
             Self::EmptyRegion { region } => {
-                write!(f, "no failure domain is in region {region}")
+                write!(f, "no failure domain stands in region {region}")
             }
             Self::StillUsed { by } => write!(f, "{by} still refers to it"),
             Self::SlicesFixed => {
@@ -141,7 +141,7 @@
                 write!(f, "fewer connections than slots")
             }
             Self::NoCapacity { service } => {
-                write!(f, "no server of {service} could own keys any longer")
+                write!(f, "no server of {service} could own keys any more")
             }
             Self::TooLarge { bytes, limit } => write!(
                 f,
--- a/goldcrestramp-node/src/control/service.rs
+++ b/goldcrestramp-node/src/control/service.rs
@@ -224,5 +224,5 @@
 }
 
 fn stopping(_error: xtra::Error) -> Status {
-    Status::unavailable("the daemon is stopping")
+    Status::unavailable("the daemon is ending")
 }
--- a/goldcrestramp-node/src/gateway/request.rs
+++ b/goldcrestramp-node/src/gateway/request.rs
@@ -56,12 +56,12 @@
         default_deadline: TimeSpan,
     ) -> Result<Self, RequestFault> {
         let service = ServiceName::new(service)
-            .map_err(|_error| RequestFault("the service name is invalid"))?;
+            .map_err(|_error| RequestFault("the service's name is bad"))?;
         let class = read_class(method, headers)?;
         let name = read_name(headers, class)?;
         let remaining = read_deadline(headers, default_deadline)?;
         if class == RequestClass::Order && remaining > MAX_ORDER_DEADLINE {
-            let fault = "the deadline of an order must be within 60 s";
+            let fault = "an order's deadline is at most a minute away";
             return Err(RequestFault(fault));
         }
         Ok(Self {
@@ -103,7 +103,7 @@
         Some(_) => header_text(headers, HEADER_CALLER).unwrap_or_default(),
     };
     CallerName::new(name)
-        .map_err(|_error| RequestFault("the caller name is invalid"))
+        .map_err(|_error| RequestFault("the caller's name is bad"))
 }
 
 /// Without a class header a GET is a lookup and any other method an order,
@@ -118,7 +118,7 @@
         None => RequestClass::Order,
         Some(_) => header_text(headers, HEADER_CLASS)
             .and_then(RequestClass::from_code)
-            .ok_or(RequestFault("the class must be lookup, order or long"))?,
+            .ok_or(RequestFault("class is lookup, order or long"))?,
     };
     if is_get && class == RequestClass::Order {
         return Err(RequestFault("an order cannot be a GET"));
@@ -138,10 +138,10 @@
         }
         let generated = format!("g-{:032x}", rand::random::<u128>());
         return RequestName::new(&generated)
-            .map_err(|_error| RequestFault("generated id is invalid"));
+            .map_err(|_error| RequestFault("no request id"));
     };
     RequestName::new(name)
-        .map_err(|_error| RequestFault("the request id is invalid"))
+        .map_err(|_error| RequestFault("the request id is bad"))
 }
 
 fn read_deadline(
@@ -151,7 +151,7 @@
     if !headers.contains_key(HEADER_DEADLINE) {
         return Ok(default);
     }
-    let fault = RequestFault("the deadline is not a number of milliseconds");
+    let fault = RequestFault("the deadline is not in milliseconds");
     let millis = header_text(headers, HEADER_DEADLINE).ok_or(fault)?;
     let remaining = TimeSpan::from_millis(millis.parse().map_err(|_e| fault)?);
     if remaining > MAX_DEADLINE {
--- a/goldcrestramp-node/src/gateway/routes.rs
+++ b/goldcrestramp-node/src/gateway/routes.rs
@@ -79,7 +79,7 @@
 }
 
 fn no_route() -> WarpResponse {
-    let title = "the path must be /v1/SERVICE/KEY";
+    let title = "requests go to /v1/SERVICE/KEY";
     response::not_run(NotRunReason::UnknownService, title, "", None)
 }
 
@@ -129,11 +129,7 @@
         }
         Err(_elapsed) => {
             let reason = NotRunReason::DeadlinePassed;
-            return refuse(
-                reason,
-                "the body did not arrive before the deadline",
-                &name,
-            );
+            return refuse(reason, "the body came late", &name);
         }
     };
     let outcome = shared.router.route(&request).await;
@@ -143,7 +139,7 @@
 const fn body_title(fault: BodyFault) -> &'static str {
     match fault {
         BodyFault::TooLarge => "the body is too large",
-        BodyFault::Truncated => "the body is truncated",
+        BodyFault::Truncated => "the body broke off",
     }
 }
 
--- a/goldcrestramp-node/src/keeper/forward.rs
+++ b/goldcrestramp-node/src/keeper/forward.rs
@@ -161,7 +161,7 @@
 /// If the reader has stalled, the channel has no room for the error. Waiting
 /// would occupy the slot, and the end of the stream has the same meaning.
 fn abort(frames: &FrameSender) {
-    let status = Status::data_loss("the server's response is truncated");
+    let status = Status::data_loss("the server's answer broke off");
     drop(frames.try_send(Err(status)));
 }
 
--- a/goldcrestramp-node/src/keeper/handover.rs
+++ b/goldcrestramp-node/src/keeper/handover.rs
@@ -146,13 +146,13 @@
     /// A record is malformed.
     pub(crate) fn accept(&self, parcel: OrderParcel) -> Result<u32, Status> {
         let service = ServiceName::new(&parcel.service)
-            .map_err(|_fault| Status::invalid_argument("invalid service"))?;
+            .map_err(|_fault| Status::invalid_argument("no such service"))?;
         let now = self.context.now();
         let view = self.context.view.load();
         let mut accepted = 0;
         for order in parcel.orders {
             let record = decode_record(order)
-                .ok_or_else(|| Status::invalid_argument("invalid record"))?;
+                .ok_or_else(|| Status::invalid_argument("not a record"))?;
             if let Some(kept) = view.find(now, &service, record.slice) {
                 self.attempts.import(now, &kept, record);
                 accepted += 1;
--- a/goldcrestramp-node/src/keeper/request.rs
+++ b/goldcrestramp-node/src/keeper/request.rs
@@ -46,6 +46,7 @@
         let is_order = self.class.effect() == RequestEffect::NonIdempotent;
         !is_order || self.server.as_ref() == Some(&kept.order.server)
     }
+
     /// Decodes a gateway's request that arrived at `now`.
     ///
     /// # Errors
--- a/goldcrestramp-node/src/operators/apply.rs
+++ b/goldcrestramp-node/src/operators/apply.rs
@@ -69,8 +69,7 @@
             return outcome;
         }
     }
-    application
-        .failure("another ticket was stored at every attempt".to_owned())
+    application.failure("other tickets went in at every try".to_owned())
 }
 
 /// Writes back the configuration that a store restored from older data has
@@ -99,9 +98,7 @@
             Err(error) => return Err(error),
         }
     }
-    Err(StoreError::Unavailable(
-        "another VM wrote at every attempt".to_owned(),
-    ))
+    Err(StoreError::Unavailable("others wrote at every try".to_owned()))
 }
 
 /// The stored configuration and the condition for a write that replaces it.
--- a/goldcrestramp-node/src/operators/show.rs
+++ b/goldcrestramp-node/src/operators/show.rs
@@ -314,13 +314,13 @@
         .filter(|s| s.domain == table.domain && config.may_own(rules, s));
     let count = eligible.count();
     why.push(format!(
-        "{} of its servers in {} may own keys, in proportion to slots",
+        "{} of its servers in {} may own keys, shares follow slots",
         count, table.domain
     ));
     match config.server(&owner.server) {
         None => why.push(format!("{} is no longer configured", owner.server)),
         Some(rules) if rules.drain => {
-            why.push(format!("{} is draining, its slices move", owner.server));
+            why.push(format!("{} drains, its slices move", owner.server));
         }
         Some(_) => {}
     }
@@ -336,7 +336,7 @@
     let regions: Vec<_> =
         rules.regions.iter().map(RegionName::as_str).collect();
     format!(
-        "{} may be owned in domains [{}], regions [{}]; empty means all",
+        "{} may be owned in domains [{}], regions [{}]; empty is all",
         rules.name,
         domains.join(", "),
         regions.join(", ")
@@ -359,9 +359,8 @@
         .map(|d| d.name.as_str())
         .collect();
     if missing.is_empty() {
-        "no table names an owner: it is moving, or its owner was lost"
-            .to_owned()
+        "no table names an owner: it moves, or its owner was lost".to_owned()
     } else {
-        format!("no table received from {}", missing.join(", "))
+        format!("no table has come from {}", missing.join(", "))
     }
 }
--- a/goldcrestramp-platform/src/store.rs
+++ b/goldcrestramp-platform/src/store.rs
@@ -46,7 +46,7 @@
 impl fmt::Display for StoreError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Unavailable(why) => write!(f, "unavailable: {why}"),
+            Self::Unavailable(why) => write!(f, "no answer: {why}"),
             Self::Unknown(why) => write!(f, "effect unknown: {why}"),
             Self::Refused(why) => write!(f, "refused: {why}"),
         }
