--- a/goldcrestramp-node/benches/ticket_reach.rs
+++ b/goldcrestramp-node/benches/ticket_reach.rs
@@ -93,7 +93,7 @@
         .map(|(after, before)| after - before)
         .collect::<Vec<_>>();
     let config =
-        deployment.nodes[0].status().await.expect("server runs").config;
+        deployment.nodes[0].status().await.expect("daemon runs").config;
     let config = serde_json::to_vec(&config).expect("JSON is valid").len();
     print_reach(size, config, &reach, &bytes, calls);
 }
@@ -114,7 +114,7 @@
     }
     println!("not settled: {last:?} bytes of tables");
     for node in nodes {
-        let status = node.status().await.expect("server runs");
+        let status = node.status().await.expect("daemon runs");
         let steward = status.steward;
         if steward.leading {
             println!(
--- a/goldcrestramp-node/tests/apply.rs
+++ b/goldcrestramp-node/tests/apply.rs
@@ -46,7 +46,7 @@
     Deliver,
     /// The store goes down or up.
     Down(bool),
-    /// The store is restored to its state so many writes ago.
+    /// The store is restored to its state before this number of writes.
     RollBack(usize),
 }
 
--- a/goldcrestramp-node/tests/edge.rs
+++ b/goldcrestramp-node/tests/edge.rs
@@ -271,7 +271,7 @@
                 let mut stream = stream.expect("connection succeeds");
                 if number % 2 == 0 {
                     let sent = stream.write_all(part.as_bytes()).await;
-                    sent.expect("request is accepted");
+                    sent.expect("bytes are sent");
                 }
                 open.push(stream);
             }
--- a/goldcrestramp-node/tests/planted.rs
+++ b/goldcrestramp-node/tests/planted.rs
@@ -2,8 +2,8 @@
 //! leaves out one safeguard, violates a guarantee that the same daemon without
 //! the fault keeps.
 //!
-//! Callers, daemon and servers use sockets. The runs with and without the fault of
-//! a test have the same requests and the same faults of the servers.
+//! Callers, daemon and servers use sockets. The runs with and without the
+//! planted fault have the same requests and the same faults of the servers.
 
 mod small_domain;
 
@@ -68,7 +68,7 @@
 
     let calls = run_load(&plan(&domain, classes), Arc::default()).await;
 
-    let calls = calls.expect("a bounded plan");
+    let calls = calls.expect("plan is bounded");
     let mut log = ServerLog::default();
     for server in &domain.servers {
         log.append(server.log());
--- a/goldcrestramp-node/tests/truth.rs
+++ b/goldcrestramp-node/tests/truth.rs
@@ -75,7 +75,7 @@
         let resend = resend.header("goldcrestramp-resend", "true");
         let response = resend.send().await.expect("request gets a response");
         assert_eq!(header(&response, "goldcrestramp-outcome"), "unknown");
-        let body = response.text().await.expect("a body");
+        let body = response.text().await.expect("body is complete");
         assert!(body.contains("resend-refused"), "{body}");
     }
 }
