--- a/goldcrestramp-decisions/src/lib.rs
+++ b/goldcrestramp-decisions/src/lib.rs
@@ -72,7 +72,7 @@
     denial::{DenialAction, OwnerDenial, denial_action},
     gateway::GatewayLimit,
     limit::{LimitVerdict, OwnerAdvice, ServerLimit, ServerSignal},
-    link::{LINK_CHUNK, LinkFlow, LinkSettings, LinkShare, LinkVolume},
+    link::{LINK_CHUNK_BYTES, LinkFlow, LinkSettings, LinkShare, LinkVolume},
     load::{LoadReport, REPORTED_SLICES, ServerLoad},
     pipeline::{PipelineEffect, PipelineGate, PipelineStart},
     placement::{
--- a/goldcrestramp-decisions/src/link/mod.rs
+++ b/goldcrestramp-decisions/src/link/mod.rs
@@ -30,7 +30,7 @@
 /// The size of a chunk in bytes. It takes 4.4 ms at 30 Mbit/s, a third of the
 /// link's own delay, which is the longest that a short response waits behind
 /// one.
-pub const LINK_CHUNK: u64 = 16 * 1_024;
+pub const LINK_CHUNK_BYTES: u64 = 16 * 1_024;
 
 /// The percentage of the link for long responses while there is short traffic.
 const LONG_PERCENT: u64 = 75;
@@ -126,7 +126,7 @@
     ) -> Result<LinkFlow, NotRunReason> {
         let sharing = self.callers.len() as u64 + 1;
         let needed = self.span(bytes.saturating_mul(sharing), LONG_PERCENT);
-        let is_late = bytes > LINK_CHUNK && now + needed > deadline;
+        let is_late = bytes > LINK_CHUNK_BYTES && now + needed > deadline;
         if self.flows.len() >= self.settings.flow_limit || is_late {
             return Err(NotRunReason::LinkFull);
         }
@@ -138,13 +138,13 @@
         Ok(self.flows.insert(flow))
     }
 
-    /// Queues the next chunk of a long response, at most [`LINK_CHUNK`].
+    /// Queues the next chunk of a long response, at most [`LINK_CHUNK_BYTES`].
     pub fn offer_chunk(&mut self, flow: LinkFlow, bytes: u64) {
         let Some(state) = self.flows.get_mut(flow) else { return };
         if state.chunk.is_some() {
             return;
         }
-        state.chunk = Some(bytes.min(LINK_CHUNK));
+        state.chunk = Some(bytes.min(LINK_CHUNK_BYTES));
         let caller = self.callers.entry(state.caller.clone()).or_default();
         caller.tag = caller.tag.max(self.clock);
         self.sequence += 1;
--- a/goldcrestramp-decisions/tests/link.rs
+++ b/goldcrestramp-decisions/tests/link.rs
@@ -1,7 +1,7 @@
 //! Long and short responses on one slow link.
 
 use goldcrestramp_decisions::{
-    LINK_CHUNK, LinkFlow, LinkSettings, LinkShare, LinkVolume,
+    LINK_CHUNK_BYTES, LinkFlow, LinkSettings, LinkShare, LinkVolume,
 };
 use goldcrestramp_types::{
     CallerName, FastMap, LocalTime, NotRunReason, ServiceName,
@@ -42,14 +42,14 @@
             link.record_short(at(millis), short);
         }
         for flow in flows {
-            link.offer_chunk(*flow, LINK_CHUNK);
+            link.offer_chunk(*flow, LINK_CHUNK_BYTES);
         }
         let next = at(millis + 1);
         while let Some(wake) = link.wake_at().filter(|wake| *wake < next)
             && let Some(flow) = link.poll(wake.max(at(millis)))
         {
-            *sent.entry(flow).or_default() += LINK_CHUNK;
-            link.offer_chunk(flow, LINK_CHUNK);
+            *sent.entry(flow).or_default() += LINK_CHUNK_BYTES;
+            link.offer_chunk(flow, LINK_CHUNK_BYTES);
         }
     }
     sent
@@ -61,7 +61,7 @@
     let flow = open(&mut link, "a");
     let sent = run_second(&mut link, &[flow], 0)[&flow];
     assert!(
-        (RATE_BYTES_PER_S * 85 / 100..=RATE_BYTES_PER_S + LINK_CHUNK)
+        (RATE_BYTES_PER_S * 85 / 100..=RATE_BYTES_PER_S + LINK_CHUNK_BYTES)
             .contains(&sent),
         "{sent}"
     );
@@ -75,10 +75,11 @@
         let flow = open(&mut link, "a");
         let sent = run_second(&mut link, &[flow], short);
         let sent = sent.get(&flow).copied().unwrap_or(0);
-        let maximum = RATE_BYTES_PER_S * percent / 100 + 2 * LINK_CHUNK;
+        let maximum = RATE_BYTES_PER_S * percent / 100 + 2 * LINK_CHUNK_BYTES;
         assert!(sent <= maximum, "{short} short bytes a ms: {sent}");
-        let minimum = maximum
-            .saturating_sub(RATE_BYTES_PER_S * 15 / 100 + 3 * LINK_CHUNK);
+        let minimum = maximum.saturating_sub(
+            RATE_BYTES_PER_S * 15 / 100 + 3 * LINK_CHUNK_BYTES,
+        );
         assert!(sent >= minimum, "{short} short bytes a ms: {sent}");
     }
 }
@@ -90,8 +91,11 @@
     let sent = run_second(&mut link, &flows, 0);
     let [first, second, other] = flows.map(|flow| sent[&flow]);
     let both = first + second;
-    assert!(both.abs_diff(other) <= 2 * LINK_CHUNK, "{both} and {other}");
-    assert!(first.abs_diff(second) <= 2 * LINK_CHUNK);
+    assert!(
+        both.abs_diff(other) <= 2 * LINK_CHUNK_BYTES,
+        "{both} and {other}"
+    );
+    assert!(first.abs_diff(second) <= 2 * LINK_CHUNK_BYTES);
 }
 
 #[test]
@@ -111,7 +115,7 @@
 fn a_closed_flow_leaves_its_part_to_the_others() {
     let mut link = link();
     let flows = ["a", "b"].map(|name| open(&mut link, name));
-    link.offer_chunk(flows[0], LINK_CHUNK);
+    link.offer_chunk(flows[0], LINK_CHUNK_BYTES);
     link.close_flow(flows[0]);
     let sent = run_second(&mut link, &flows[1..], 0);
     assert_eq!(sent.len(), 1);
--- a/goldcrestramp-node/src/keeper/link.rs
+++ b/goldcrestramp-node/src/keeper/link.rs
@@ -3,7 +3,9 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use bytes::Bytes;
-use goldcrestramp_decisions::{LINK_CHUNK, LinkFlow, LinkSettings, LinkShare};
+use goldcrestramp_decisions::{
+    LINK_CHUNK_BYTES, LinkFlow, LinkSettings, LinkShare,
+};
 use goldcrestramp_types::{
     CallerName, FastMap, LocalTime, NotRunReason, RegionName, RequestClass,
     ServiceName, TimeSpan,
@@ -155,7 +157,8 @@
     /// Takes the next piece of `data` when it may cross.
     pub(crate) async fn next(&self, data: &mut Bytes) -> Bytes {
         let piece = if let Some(flow) = self.flow {
-            let limit = usize::try_from(LINK_CHUNK).unwrap_or(usize::MAX);
+            let limit =
+                usize::try_from(LINK_CHUNK_BYTES).unwrap_or(usize::MAX);
             let piece = data.split_to(data.len().min(limit));
             self.link.wait_for_chunk(flow, piece.len() as u64).await;
             piece
