--- a/goldcrestramp-decisions/src/attempt/mod.rs
+++ b/goldcrestramp-decisions/src/attempt/mod.rs
@@ -136,8 +136,9 @@
 
     /// Imports what another keeper remembers of a request.
     ///
-    /// An entry of this keeper takes precedence over the record. A record
-    /// beyond the bound is dropped; its resend then gets *too young*.
+    /// An entry of this keeper is first-hand and takes precedence over the
+    /// record. A record beyond the bound is dropped; its resend then gets *too
+    /// young*.
     pub fn import(&mut self, now: LocalTime, record: AttemptRecord) {
         self.remove_expired(now);
         let full = self.entries.len() >= self.settings.id_limit;
--- a/goldcrestramp-decisions/src/attempt_budget.rs
+++ b/goldcrestramp-decisions/src/attempt_budget.rs
@@ -1,7 +1,7 @@
 //! Bounds the retries of a VM: the attempts beyond the first of each request.
 //!
 //! Without a bound, many servers that fail or shed load at once make every VM
-//! send again. The operators bound the retries of all VMs together in any
+//! retry. The operators bound the retries of all VMs together in any
 //! window: a ratio of the requests plus a constant. VMs that are cut off can't
 //! coordinate, so each keeps to its own part: the ratio of the requests that
 //! it received itself, and an equal share of the constant. The share depends
--- a/goldcrestramp-decisions/src/gateway.rs
+++ b/goldcrestramp-decisions/src/gateway.rs
@@ -26,13 +26,13 @@
 /// use goldcrestramp_decisions::GatewayLimit;
 /// use goldcrestramp_types::{CallerName, NotRunReason};
 ///
-/// let (hot, rare) = (CallerName::new("hot"), CallerName::new("rare"));
-/// let (hot, rare) =
-///     (hot.expect("name is valid"), rare.expect("name is valid"));
+/// let (busy, rare) = (CallerName::new("busy"), CallerName::new("rare"));
+/// let (busy, rare) =
+///     (busy.expect("name is valid"), rare.expect("name is valid"));
 /// let mut limit = GatewayLimit::new(100);
-/// let admitted = (0..100).filter(|_| limit.enter(&hot).is_ok()).count();
+/// let admitted = (0..100).filter(|_| limit.enter(&busy).is_ok()).count();
 /// assert_eq!(admitted, 81);
-/// assert_eq!(limit.enter(&hot), Err(NotRunReason::CallerOverShare));
+/// assert_eq!(limit.enter(&busy), Err(NotRunReason::CallerOverShare));
 /// assert_eq!(limit.enter(&rare), Ok(()));
 /// ```
 #[derive(Clone, Debug)]
--- a/goldcrestramp-decisions/src/limit/mod.rs
+++ b/goldcrestramp-decisions/src/limit/mod.rs
@@ -249,8 +249,8 @@
     /// When the state changes without an event.
     ///
     /// A suspension that has ended waits for a request as its probe, so its
-    /// end is not returned any more. It once was, and the keeper of a lost
-    /// server for which nothing waited looped without a pause.
+    /// end is not returned any more. Otherwise the keeper of a lost server for
+    /// which nothing waits would loop without a pause.
     #[must_use]
     pub fn wake_at(&self, now: LocalTime) -> Option<LocalTime> {
         let suspended = match self.stage {
@@ -302,10 +302,15 @@
         self.suspend_if(self.failures >= FAILURE_THRESHOLD, now, random);
     }
 
-    /// Suspends the server if a run is long enough or a probe failed.
-    fn suspend_if(&mut self, run_ends: bool, now: LocalTime, random: u64) {
+    /// Suspends the server if a threshold is reached or a probe failed.
+    fn suspend_if(
+        &mut self,
+        threshold_reached: bool,
+        now: LocalTime,
+        random: u64,
+    ) {
         let probing = matches!(self.stage, LimitStage::Probing { .. });
-        if probing || run_ends {
+        if probing || threshold_reached {
             self.suspend(now, random);
         }
     }
--- a/goldcrestramp-decisions/src/limit/pace.rs
+++ b/goldcrestramp-decisions/src/limit/pace.rs
@@ -1,4 +1,4 @@
-//! Detects servers that are slower than their own past, or silent.
+//! Detects servers that are slower than is typical for them, or silent.
 
 use goldcrestramp_types::{LocalTime, RequestClass, TimeSpan};
 
@@ -31,7 +31,9 @@
 struct ClassPace {
     /// In microseconds; 0 before the first response.
     recent: u64,
+    /// In microseconds, like `recent`.
     typical: u64,
+    /// When `typical` was last updated.
     typical_at: LocalTime,
 }
 
--- a/goldcrestramp-decisions/src/load.rs
+++ b/goldcrestramp-decisions/src/load.rs
@@ -32,7 +32,9 @@
 /// Slot time used at one server since the last report.
 #[derive(Clone, Debug, Default)]
 pub struct ServerLoad {
+    /// In microseconds.
     slices: FastMap<SliceIndex, u64>,
+    /// The total in microseconds.
     busy: u64,
     /// The slot count of a full server, and until when it counts as full.
     full: Option<(u64, LocalTime)>,
--- a/goldcrestramp-decisions/src/pipeline.rs
+++ b/goldcrestramp-decisions/src/pipeline.rs
@@ -54,8 +54,8 @@
 pub struct PipelineGate {
     arrived: u64,
     responded: u64,
-    /// No ordered request is ahead of requests with this number or a higher
-    /// one.
+    /// The number after the last ordered request. Later requests run
+    /// concurrently once all before this number have their responses.
     barrier: u64,
 }
 
--- a/goldcrestramp-decisions/src/placement/balance.rs
+++ b/goldcrestramp-decisions/src/placement/balance.rs
@@ -130,7 +130,7 @@
     ) -> Option<PlannedMove> {
         let mut sources: Vec<usize> = self
             .accepting()
-            .filter(|p| self.utilization_of(*p) > self.mean)
+            .filter(|index| self.utilization_of(*index) > self.mean)
             .collect();
         sources.sort_by(|a, b| {
             self.utilization_of(*b).total_cmp(&self.utilization_of(*a))
--- a/goldcrestramp-decisions/src/queue/entry.rs
+++ b/goldcrestramp-decisions/src/queue/entry.rs
@@ -77,8 +77,8 @@
         }
     }
 
-    /// The reason of the share that is exceeded by what already waits, if one
-    /// is.
+    /// `CallerOverShare` or `KeyOverShare`, if what already waits exceeds that
+    /// share.
     fn share_reason(&self, leaf: FlowKey) -> Option<NotRunReason> {
         let key = self.tree.flow(leaf);
         let caller_key = key.parent?;
@@ -151,8 +151,15 @@
     }
 }
 
-/// Whether `cost` is more than the part by weight of all that waits.
-const fn exceeds(cost: u64, weight: u64, all: u64, weights: u64) -> bool {
-    weights > weight
-        && cost.saturating_mul(weights) > all.saturating_mul(weight)
+/// Whether other flows wait too, and `cost` is above the share of `total_cost`
+/// that `weight` gives.
+const fn exceeds(
+    cost: u64,
+    weight: u64,
+    total_cost: u64,
+    total_weight: u64,
+) -> bool {
+    total_weight > weight
+        && cost.saturating_mul(total_weight)
+            > total_cost.saturating_mul(weight)
 }
--- a/goldcrestramp-decisions/src/queue/estimate.rs
+++ b/goldcrestramp-decisions/src/queue/estimate.rs
@@ -117,19 +117,20 @@
 /// The maximum ratio: a wait is corrected by up to 8 times.
 const MAX_RATIO: u64 = 8 * RATIO_ONE;
 
-/// How much longer waits are than what already waits explains.
+/// Corrects expected waits by the ratio of measured to expected ones.
 ///
-/// Requests of callers and keys with little load arrive later and go before
-/// those of a busy one. Their slot time is not yet in the queue when the busy
-/// one's request arrives. So its expected wait was too short, and it was given
-/// up after waiting when it should have been refused on arrival.
+/// Requests of callers and keys with little load arrive later and are served
+/// before those of a busy one. Their slot time is not yet in the queue when
+/// the busy one's request arrives. Without the correction its expected wait is
+/// too short, and it is given up after waiting when it should be refused on
+/// arrival.
 #[derive(Clone, Debug)]
 pub(crate) struct WaitEstimate {
     ratio: u64,
 }
 
 impl WaitEstimate {
-    /// Waits are as expected.
+    /// Creates an estimate that corrects nothing yet.
     pub(crate) const fn new() -> Self {
         Self { ratio: RATIO_ONE }
     }
--- a/goldcrestramp-decisions/src/queue/mod.rs
+++ b/goldcrestramp-decisions/src/queue/mod.rs
@@ -10,9 +10,9 @@
 - *Fairness*: [`tree`] gives classes, callers and keys their shares.
 - *Order*: within a key the earliest deadline is served first. A request
   that can no longer end in time is given up at that moment.
-- *Refusal*: [`admission`] refuses on arrival what would wait in vain. When the
-  queue is full, the caller with the most waiting requests for its weight loses
-  its least urgent one.
+- *Refusal*: [`admission`] refuses on arrival what could not end in time. When
+  the queue is full, the caller with the most waiting requests for its weight
+  loses its least urgent one.
 - *Slots*: [`slots`] keeps long responses from holding all of them.
 
 Every operation is a few insertions in ordered sets, logarithmic in the number
@@ -308,7 +308,7 @@
         Some(key)
     }
 
-    /// Learns from the wait of a request that starts or is given up.
+    /// Updates the wait estimate when a request starts or is given up.
     fn record_wait(&mut self, now: LocalTime, entry: &RequestEntry) {
         if let RequestPhase::Waiting { since, .. } = entry.phase {
             let service = self.estimate(entry.class).mean(now);
--- a/goldcrestramp-decisions/src/queue/tree.rs
+++ b/goldcrestramp-decisions/src/queue/tree.rs
@@ -9,7 +9,7 @@
 next request starts at its *tag*, a virtual time that rises by the used slot
 time divided by the flow's weight; the lowest tag is served first. The
 expected slot time is charged at the start, and the rest at the flow's next
-start, so a flow pays for what it used. An idle flow joins at the current
+start, so a flow is charged what it used. An idle flow joins at the current
 virtual time, which rises by the used slot time divided by the weights of all
 waiting flows. So it gets no credit for the past, and one that used idle slots
 has no debt for them.
@@ -205,9 +205,9 @@
         while let Some(key) = next {
             let flow = &mut self.flows[key];
             flow.running -= 1;
-            let paid = flow.virtual_time(expected).cast_signed();
-            let owed = flow.virtual_time(used).cast_signed();
-            flow.debt = flow.debt.saturating_add(owed - paid);
+            let charged = flow.virtual_time(expected).cast_signed();
+            let actual = flow.virtual_time(used).cast_signed();
+            flow.debt = flow.debt.saturating_add(actual - charged);
             if flow.waiting == 0 {
                 flow.apply_debt();
             }
@@ -216,8 +216,8 @@
         self.release_idle(leaf);
     }
 
-    /// The slot time used by others or by itself before a request that joins
-    /// `leaf` now has its turn, in microseconds.
+    /// The slot time in microseconds that other flows and its own use before a
+    /// request that joins `leaf` now has its turn.
     ///
     /// At each level, a flow has its turn when the lowest tag has risen to its
     /// own and its backlog has been served. Both are in virtual time, in which
@@ -385,7 +385,8 @@
         parent.clock_advance = span;
     }
 
-    /// Retains an empty flow for a while if its tag is above the clock.
+    /// Retains an empty flow for a while if its tag is above its parent's
+    /// clock, or if its own clock has advanced. Removes it otherwise.
     fn retain_idle(&mut self, key: FlowKey) {
         let flow = &self.flows[key];
         let clock = flow.parent.map_or(0, |parent| self.flows[parent].clock);
--- a/goldcrestramp-decisions/src/queueing.rs
+++ b/goldcrestramp-decisions/src/queueing.rs
@@ -6,7 +6,7 @@
 //! alone, a slow server looks as good as a fast one, though its callers wait
 //! twice as long.
 
-/// Above this utilization responses are nearly late, and added load is what is
+/// Above this utilization responses are nearly late, and any added load is
 /// lost. All servers count alike there: the marginal cost of a request grows
 /// by `OVERLOAD_GROWTH` seconds per unit of utilization.
 const HIGH_UTILIZATION: f32 = 0.8;
--- a/goldcrestramp-decisions/src/rebalancing/load.rs
+++ b/goldcrestramp-decisions/src/rebalancing/load.rs
@@ -6,7 +6,7 @@
 
 use goldcrestramp_types::{LocalTime, SliceIndex, SliceRange, TimeSpan};
 
-/// The number of keys.
+/// One key for each slice index.
 const KEYS: usize = 65_536;
 
 /// The keys by which a dense part grows at a time: between busy keys there are
--- a/goldcrestramp-decisions/src/rebalancing/mod.rs
+++ b/goldcrestramp-decisions/src/rebalancing/mod.rs
@@ -47,9 +47,8 @@
 /// nearly as much, the one with fewer keys moves.
 const KEY_COST: f32 = 0.001;
 
-/// A server that has joined is given keys while its utilization is below the
-/// first of these parts of the mean, by servers whose utilization is above the
-/// second part.
+/// A server that has joined is given keys while its utilization is below
+/// `JOINED_FRACTION` of the mean, by servers above `GIVING_FRACTION` of it.
 const JOINED_FRACTION: f32 = 0.25;
 const GIVING_FRACTION: f32 = 0.5;
 
@@ -149,7 +148,8 @@
         #[expect(clippy::cast_precision_loss, reason = "a few servers")]
         let mean = utilizations.iter().sum::<f32>() / accepting.max(1) as f32;
         let pairs = targets.iter().zip(&utilizations);
-        let marginals = pairs.map(|(p, used)| p.delay().marginal(*used));
+        let marginals =
+            pairs.map(|(target, used)| target.delay().marginal(*used));
         Self {
             marginals: marginals.collect(),
             ranges: ranges.to_vec(),
--- a/goldcrestramp-decisions/src/rebalancing/target.rs
+++ b/goldcrestramp-decisions/src/rebalancing/target.rs
@@ -96,8 +96,8 @@
     targets: &[TargetLoad],
     utilizations: &[f32],
 ) -> f32 {
-    /// More than a request costs at a server that gets three times the
-    /// requests that it can handle.
+    /// In seconds; more than a request costs at a server that gets three times
+    /// the requests that it can handle.
     const MAX_LEVEL: f32 = 32.0;
     let rates = targets.iter().zip(utilizations);
     let total_rate: f32 =
--- a/goldcrestramp-decisions/src/share.rs
+++ b/goldcrestramp-decisions/src/share.rs
@@ -3,7 +3,7 @@
 //! A hot key is requested at every VM, while its owner runs a few requests at
 //! once and queues some more. VMs can't see each other's requests in flight.
 //! If each may send two, a fleet with more VMs than the server has capacity
-//! overfills its queue twice, and a server that doesn't respond to requests
+//! fills its queue twice over, and a server that doesn't respond to requests
 //! beyond its queue leaves the rest waiting until their deadlines.
 
 /// The requests of all VMs in flight to a server, for each of its slots: one
--- a/goldcrestramp-decisions/src/times.rs
+++ b/goldcrestramp-decisions/src/times.rs
@@ -10,7 +10,7 @@
 use goldcrestramp_types::{FastMap, TimeSpan};
 
 /// The divisor of the moving average, which covers about six responses: a
-/// server that turns slow shows within a second.
+/// server that becomes slow shows within a second.
 const SMOOTHING_DIVISOR: u64 = 6;
 
 /// The response time assumed for a server that has not responded yet.
@@ -75,7 +75,7 @@
 
 /// Updates an exponential moving average with a new value.
 fn blend(typical: TimeSpan, span: TimeSpan) -> TimeSpan {
-    let remaining =
+    let retained =
         typical.as_micros() - typical.as_micros() / SMOOTHING_DIVISOR;
-    TimeSpan::from_micros(remaining + span.as_micros() / SMOOTHING_DIVISOR)
+    TimeSpan::from_micros(retained + span.as_micros() / SMOOTHING_DIVISOR)
 }
--- a/goldcrestramp-decisions/src/work.rs
+++ b/goldcrestramp-decisions/src/work.rs
@@ -17,7 +17,7 @@
 use crate::queueing::busy_slots;
 
 /// The half-life of the averages. Single responses differ too much to use
-/// fewer of them, and a server that turns slow must show within seconds.
+/// fewer of them, and a server that becomes slow must show within seconds.
 const HALF_LIFE: TimeSpan = TimeSpan::from_millis(2_500);
 
 /// The responses needed for an estimate: the times of single requests differ
@@ -45,6 +45,7 @@
 pub struct WorkEstimate {
     since: LocalTime,
     responses: f32,
+    /// The sum of their response times.
     seconds: f32,
     /// The seconds in which they were received, decayed like them.
     span: f32,
--- a/goldcrestramp-decisions/tests/denial.rs
+++ b/goldcrestramp-decisions/tests/denial.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn an_owner_is_asked_once_when_its_grant_must_have_arrived() {
+fn an_owner_is_tried_once_when_its_grant_must_have_arrived() {
     assert_eq!(attempts_in_two_seconds(5_000), 1);
 }
 
--- a/goldcrestramp-decisions/tests/overload/main.rs
+++ b/goldcrestramp-decisions/tests/overload/main.rs
@@ -129,7 +129,7 @@
 /// One caller sends ten times what the server can handle, and seven send a
 /// twentieth each: those are all served, and the first gets the rest.
 #[test]
-fn a_hot_caller_does_not_affect_the_others() {
+fn a_busy_caller_does_not_affect_the_others() {
     let mut loads =
         CALLERS.map(|caller| lookups(caller, CAPACITY_PER_S / 20.0));
     loads[0].per_second = CAPACITY_PER_S * 10.0;
--- a/goldcrestramp-decisions/tests/placement_simulation/mod.rs
+++ b/goldcrestramp-decisions/tests/placement_simulation/mod.rs
@@ -1,9 +1,9 @@
 //! A simulated deployment in which placements are compared.
 //!
 //! Each step is five seconds, the interval at which placement decides. The
-//! load of keys follows Zipf's law. Twelve keys are hot, and others are every
-//! few minutes. A slice that moves is without an owner for a while, and a
-//! slice of a lost server for longer.
+//! load of keys follows Zipf's law. Twelve keys are hot, and every few minutes
+//! different ones are. A slice that moves is without an owner for a while, and
+//! a slice of a lost server for longer.
 
 use std::collections::BTreeMap;
 
--- a/goldcrestramp-decisions/tests/queue.rs
+++ b/goldcrestramp-decisions/tests/queue.rs
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_hot_caller_gets_its_share_and_idle_slots() {
+fn a_busy_caller_gets_its_share_and_idle_slots() {
     let mut queue = queue(1, 1_000);
     let mut owner = FastMap::default();
     let mut served: FastMap<&str, u32> = FastMap::default();
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn within_a_key_the_earliest_deadline_goes_first() {
+fn within_a_key_the_earliest_deadline_is_served_first() {
     let mut queue = queue(1, 1_000);
     let running = admit(&mut queue, at(0), lookup("a", at(500)));
     poll_all(&mut queue, at(0));
--- a/goldcrestramp-decisions/tests/queue_properties.rs
+++ b/goldcrestramp-decisions/tests/queue_properties.rs
@@ -169,7 +169,7 @@
     #![proptest_config(fixed_seed())]
 
     /// Each request ends once; no slot idles while something may start; the
-    /// bounds hold; what cannot be met does not stay.
+    /// bounds hold; a request that can no longer end in time is given up.
     #[test]
     fn invariants_hold_after_any_steps(steps in steps()) {
         let mut model = Model::new();
