--- a/goldcrestramp-entry/src/control/actor.rs
+++ b/goldcrestramp-entry/src/control/actor.rs
@@ -38,8 +38,8 @@
 /// key without its owner.
 ///
 /// Renewing what the table grants is safe, because a later planner takes keys
-/// back with a higher token. That planner waits this time out only for a
-/// server that it cannot reach.
+/// back with a higher token. That planner waits for this time to pass only
+/// for a server that it cannot reach.
 pub(crate) const MAX_PROOF_AGE: TimeSpan = TimeSpan::from_millis(12_000);
 
 /// How long a VM waits for each VM of a better rank before it claims to be the
@@ -275,8 +275,8 @@
         }
         let since = *self.vacant_since.get_or_insert(now);
         let rank = u64::try_from(self.rank()).unwrap_or(u64::MAX);
-        let pause = RANK_DELAY.percent(rank.saturating_mul(100));
-        if !own && now.since(since) < pause {
+        let delay = RANK_DELAY.percent(rank.saturating_mul(100));
+        if !own && now.since(since) < delay {
             return;
         }
         // A planner's record must expire soon after its VM fails.
--- a/goldcrestramp-entry/src/control/follow.rs
+++ b/goldcrestramp-entry/src/control/follow.rs
@@ -113,14 +113,14 @@
 impl StoreFollower {
     /// Follows the store until the actor stops.
     pub(crate) async fn run(mut self) {
-        let mut pause = INITIAL_RETRY_DELAY;
+        let mut delay = INITIAL_RETRY_DELAY;
         while let Ok(step) = self.control.send(NextSource).await {
             match self.follow(step).await {
-                Ok(true) => pause = INITIAL_RETRY_DELAY,
+                Ok(true) => delay = INITIAL_RETRY_DELAY,
                 Ok(false) => {
                     let jitter = rand::random_range(0.5..1.0);
-                    sleep(pause.mul_f64(jitter)).await;
-                    pause = (pause * 2).min(MAX_RETRY_DELAY);
+                    sleep(delay.mul_f64(jitter)).await;
+                    delay = (delay * 2).min(MAX_RETRY_DELAY);
                 }
                 Err(ActorStopped) => return,
             }
--- a/goldcrestramp-entry/src/control/load.rs
+++ b/goldcrestramp-entry/src/control/load.rs
@@ -39,7 +39,7 @@
         *load.keys.entry(slice.get()).or_default() += 1;
     }
 
-    /// Counts a response of a server that took `span`.
+    /// Counts a response of a server and adds its response time, `span`.
     pub fn record_response(
         &self,
         service: &Arc<str>,
--- a/goldcrestramp-entry/src/control/ranking.rs
+++ b/goldcrestramp-entry/src/control/ranking.rs
@@ -97,9 +97,9 @@
 fn domain_leaders(vms: Vec<&VmInstance>) -> Vec<&VmInstance> {
     let mut leaders: FastMap<&str, &VmInstance> = FastMap::default();
     for vm in vms {
-        let head = leaders.entry(&vm.domain).or_insert(vm);
-        if vm.duty_rank() > head.duty_rank() {
-            *head = vm;
+        let leader = leaders.entry(&vm.domain).or_insert(vm);
+        if vm.duty_rank() > leader.duty_rank() {
+            *leader = vm;
         }
     }
     leaders.into_values().collect()
--- a/goldcrestramp-entry/src/control/service.rs
+++ b/goldcrestramp-entry/src/control/service.rs
@@ -48,6 +48,7 @@
     load: RangeLoad,
     speeds: SpeedEstimates,
     rebalance_at: LocalTime,
+    /// The ranges that moved, each with the end of its cooldown.
     cooling_down: Vec<(SliceRange, LocalTime)>,
 }
 
@@ -179,7 +180,7 @@
     clippy::cast_precision_loss,
     reason = "small counts"
 )]
-fn work_within(per_s: Option<f64>, slots: u32) -> f32 {
+fn work_at_rate(per_s: Option<f64>, slots: u32) -> f32 {
     per_s.map_or(0.0, |per_s| slots as f32 / per_s as f32)
 }
 
@@ -206,7 +207,7 @@
                 slots: entry.slots,
                 work_s: speeds
                     .work_s(entry, typical)
-                    .max(work_within(rates.limit_of(instance), entry.slots)),
+                    .max(work_at_rate(rates.limit_of(instance), entry.slots)),
                 accepts_keys: true,
             })
             .collect();
--- a/goldcrestramp-entry/src/control/sync.rs
+++ b/goldcrestramp-entry/src/control/sync.rs
@@ -21,8 +21,8 @@
 const RECOVERY_GRACE: TimeSpan = TimeSpan::from_millis(2_300);
 
 /// Bounds how far in the past a change is dated. An update that is older than
-/// this has waited out an outage, in which the store acknowledged nothing to
-/// any client.
+/// this was delayed by an outage, during which the store acknowledged nothing
+/// to any client.
 const MAX_LAG: TimeSpan = TimeSpan::from_millis(1_500);
 
 /// How long a VM that could not be followed is not queried again.
@@ -133,7 +133,7 @@
     read_state: ReadState,
     /// The VMs that could not be followed, with the time of the failure.
     failed_peers: FastMap<SocketAddr, LocalTime>,
-    /// The followed VM whose updates are not fresh, with the time since when.
+    /// The followed VM whose updates are not fresh, and since when.
     stale_peer: Option<(SocketAddr, LocalTime)>,
     last_query_at: LocalTime,
 }
--- a/goldcrestramp-entry/src/control/tables.rs
+++ b/goldcrestramp-entry/src/control/tables.rs
@@ -127,28 +127,28 @@
         now: LocalTime,
         update: Vec<TableUpdate>,
     ) -> bool {
-        let mut all = true;
-        let mut any = false;
+        let mut all_known = true;
+        let mut any_new = false;
         for table_update in update {
             let TableRevision { key, revision } = table_update.version.clone();
             match self.history.resolve(table_update) {
                 Ok(Some(table)) => {
                     let value = table.encode().into();
                     self.mirror.write(StoreItem { key, value, revision });
-                    any = true;
+                    any_new = true;
                 }
                 Ok(None) => {}
                 Err(error) => {
                     log::debug!(
                         "[control] Skipped an update of {key}: {error}."
                     );
-                    all = false;
+                    all_known = false;
                 }
             }
         }
-        if any {
+        if any_new {
             self.refresh(now);
         }
-        all
+        all_known
     }
 }
--- a/goldcrestramp-entry/src/control/term.rs
+++ b/goldcrestramp-entry/src/control/term.rs
@@ -409,14 +409,15 @@
     service: Arc<str>,
     control: Address<ControlActor>,
 ) {
-    /// The delay after a failure.
-    const PAUSE: std::time::Duration = std::time::Duration::from_millis(300);
+    /// The delay after a failed read.
+    const RETRY_DELAY: std::time::Duration =
+        std::time::Duration::from_millis(300);
     while control.is_connected() {
         if let Ok(page) = store.read_all(TABLE_PREFIX).await {
             // Sending fails only when the process stops.
             let _gone = control.send(ReadBack { service, page }).await;
             return;
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
--- a/goldcrestramp-entry/src/history.rs
+++ b/goldcrestramp-entry/src/history.rs
@@ -98,7 +98,7 @@
     /// The updates for a VM that has the `known` versions.
     #[must_use]
     pub fn update_for(&self, known: &[TableRevision]) -> Vec<TableUpdate> {
-        let mut update = Vec::new();
+        let mut updates = Vec::new();
         for (key, versions) in &self.versions {
             let Some(last) = versions.back() else { continue };
             let base = known.iter().find(|version| version.key == *key);
@@ -116,9 +116,9 @@
             };
             let key = Arc::clone(key);
             let version = TableRevision { key, revision: last.revision };
-            update.push(TableUpdate { version, payload });
+            updates.push(TableUpdate { version, payload });
         }
-        update
+        updates
     }
 
     /// The table that results from an update of the known version; `None` if
--- a/goldcrestramp-entry/src/metrics.rs
+++ b/goldcrestramp-entry/src/metrics.rs
@@ -60,7 +60,7 @@
     attempts: Family<ReasonLabel, Counter>,
     times: Family<StageLabel, Histogram, TimeBuckets>,
     news: Family<ReasonLabel, Counter>,
-    /// The age of this VM's knowledge of the store, in milliseconds.
+    /// The age of this VM's copy of the store, in milliseconds.
     pub news_age: Gauge,
     /// The version of the configuration in force.
     pub configuration: Gauge,
@@ -75,7 +75,7 @@
     /// The number of key ranges that servers released.
     pub moves: Counter,
     /// The number of pipelined requests that were forwarded before the
-    /// requests ahead of them were answered.
+    /// requests ahead of them had responses.
     pub pipelined: Counter,
 }
 
--- a/goldcrestramp-entry/src/records.rs
+++ b/goldcrestramp-entry/src/records.rs
@@ -32,7 +32,7 @@
     format!("{VM_PREFIX}{vm}").into()
 }
 
-/// One run of the process on one VM.
+/// One instance of the process on a VM, from its start to its end.
 #[derive(Clone, Debug, Eq, Hash, PartialEq, Serialize, Deserialize)]
 pub struct VmInstance {
     /// The VM's name.
--- a/goldcrestramp-entry/src/run.rs
+++ b/goldcrestramp-entry/src/run.rs
@@ -122,8 +122,8 @@
     })
 }
 
-/// Shuts the parts down in order. Requests that were read are still
-/// answered, within the grace period.
+/// Shuts the parts down in order. Requests that were read still get a
+/// response, within the grace period.
 async fn shut_down(
     settings: &NodeSettings,
     control: &ControlHandle,
--- a/goldcrestramp-entry/src/shared.rs
+++ b/goldcrestramp-entry/src/shared.rs
@@ -17,6 +17,6 @@
     pub permits: PermitMailbox,
     /// The metrics of this VM.
     pub metrics: Arc<EntryMetrics>,
-    /// The time as of which the store's changes are known.
+    /// The time up to which the store's changes are known.
     pub clock: FreshnessClock,
 }
--- a/goldcrestramp-entry/src/traffic/attempt.rs
+++ b/goldcrestramp-entry/src/traffic/attempt.rs
@@ -27,12 +27,12 @@
     },
 };
 
-/// How long past the deadline the head of a response is waited for: the server
-/// finishes by the deadline that it was given, so its response is still in
+/// How long past the deadline to wait for the head of a response: the server
+/// finishes by the deadline that it was given, so its response may still be in
 /// flight.
 const LATE_RESPONSE_GRACE: TimeSpan = TimeSpan::from_millis(120);
 
-/// How long past the deadline the rest of a response is waited for whose head
+/// How long past the deadline to wait for the rest of a response whose head
 /// has arrived.
 const LATE_BODY_GRACE: TimeSpan = TimeSpan::from_millis(200);
 
--- a/goldcrestramp-entry/src/traffic/connection.rs
+++ b/goldcrestramp-entry/src/traffic/connection.rs
@@ -193,8 +193,9 @@
         let start = self.state.borrow_mut().gate.arrived(effect);
         // A draining VM asks callers to connect elsewhere with its next
         // response, so no other response may follow it.
-        let now = start == PipelineStart::Now && self.traffic.is_serving();
-        let head = request.head.filter(|_head| now);
+        let starts_now =
+            start == PipelineStart::Now && self.traffic.is_serving();
+        let head = request.head.filter(|_head| starts_now);
         let task = head.map(|head| self.serve_ahead(head));
         self.state.borrow_mut().pending.push_back(task);
     }
@@ -213,9 +214,9 @@
         });
         // The responses of downloads would fill the memory while the responses
         // ahead of them are read.
-        let lookup =
+        let is_idempotent =
             |route: Arc<RequestRoute>| route.effect == RouteEffect::Idempotent;
-        if route.is_some_and(lookup) {
+        if route.is_some_and(is_idempotent) {
             PipelineEffect::Independent
         } else {
             PipelineEffect::Ordered
--- a/goldcrestramp-entry/src/traffic/permit.rs
+++ b/goldcrestramp-entry/src/traffic/permit.rs
@@ -28,20 +28,20 @@
 /// How often a waiting request checks for permits.
 const PERMIT_POLL_INTERVAL: TimeSpan = TimeSpan::from_millis(25);
 
-/// Counts a request that waits for a permit until dropped.
-struct PermitReservation<'a>(&'a ServerState);
+/// Counts a request as waiting for a permit until it is dropped.
+struct PermitWaiter<'a>(&'a ServerState);
 
-impl<'a> PermitReservation<'a> {
+impl<'a> PermitWaiter<'a> {
     fn enter(server: &'a ServerState) -> Self {
         server.permit_waiters.set(server.permit_waiters.get() + 1);
         Self(server)
     }
 }
 
-impl Drop for PermitReservation<'_> {
+impl Drop for PermitWaiter<'_> {
     fn drop(&mut self) {
-        let waits = &self.0.permit_waiters;
-        waits.set(waits.get().saturating_sub(1));
+        let waiters = &self.0.permit_waiters;
+        waiters.set(waiters.get().saturating_sub(1));
     }
 }
 
@@ -150,7 +150,7 @@
     if remaining == TimeSpan::ZERO || is_full && began_at == now {
         return Err(EndReason::RateLimited.into());
     }
-    let _reservation = PermitReservation::enter(server);
+    let _waiter = PermitWaiter::enter(server);
     state.request_permits(now, server, server.permit_waiters.get());
     tokio::time::sleep(shorter(remaining, PERMIT_POLL_INTERVAL).to_std())
         .await;
--- a/goldcrestramp-entry/src/traffic/serve.rs
+++ b/goldcrestramp-entry/src/traffic/serve.rs
@@ -31,11 +31,11 @@
 
 /// The maximum number of attempts of one request, including those that no
 /// server has run or will run. More of them mean that a fault lasts longer
-/// than the caller waits.
-const MAX_NOT_RUN_ATTEMPTS: u32 = 6;
+/// than the caller waits. A route's `max_attempts` bounds the servers that are
+/// tried.
+const MAX_TOTAL_ATTEMPTS: u32 = 6;
 
-/// The maximum delay that a caller is given: no caller waits longer before it
-/// retries.
+/// The maximum delay after which a caller is asked to retry.
 const MAX_RETRY_AFTER: TimeSpan = TimeSpan::from_millis(2_000);
 
 /// The progress of a request.
@@ -228,7 +228,7 @@
     if !was_tried && progress.history.tried.len() >= max_attempts {
         return Err(EndReason::AttemptsUsed.into());
     }
-    if progress.attempts >= MAX_NOT_RUN_ATTEMPTS {
+    if progress.attempts >= MAX_TOTAL_ATTEMPTS {
         return Err(EndReason::AttemptsUsed.into());
     }
     if !progress.history.tried.is_empty() && !state.take_retry(request) {
@@ -258,7 +258,7 @@
     let servers_used = progress.history.tried.len() + usize::from(!was_tried);
     let follows_owner = request.may_repeat()
         && servers_used < max_attempts
-        && progress.attempts < MAX_NOT_RUN_ATTEMPTS;
+        && progress.attempts < MAX_TOTAL_ATTEMPTS;
     let plan = AttemptPlan { proximity, response_timeout, follows_owner };
     let outcome = send(state, request, slot, plan).await;
     record_attempt(state, request, &server, now, &outcome);
@@ -357,7 +357,7 @@
 }
 
 impl TrafficState {
-    /// The reason with which a request ends that no route matches.
+    /// The reason for ending a request that no route matches.
     ///
     /// To its caller, "no such route" is final. If this VM's updates are older
     /// than the time within which a configuration must be in force, a newer
--- a/goldcrestramp-entry/src/traffic/wait.rs
+++ b/goldcrestramp-entry/src/traffic/wait.rs
@@ -23,9 +23,10 @@
 /// known.
 pub(crate) const DEFAULT_RETRY_AFTER: TimeSpan = TimeSpan::from_millis(250);
 
-/// The longest delay after which a caller whose key has no owner is asked to
-/// retry. The typical time of a move has passed by then: the grants of a
-/// server that can't be reached have to expire, which takes seconds.
+/// The longest delay after which a caller is asked to retry if its key has no
+/// owner, or an owner at its rate limit. When a request is refused for lack of
+/// an owner, the typical time of a move has passed: the grants of a server
+/// that can't be reached have to expire, which takes seconds.
 const MAX_NO_OWNER_RETRY_AFTER: TimeSpan = TimeSpan::from_millis(2_000);
 
 /// Why a request ends with a response of this VM's own.
--- a/goldcrestramp-entry/tests/knowledge.rs
+++ b/goldcrestramp-entry/tests/knowledge.rs
@@ -205,11 +205,11 @@
 
 #[test]
 fn heartbeats_make_no_new_view() {
-    let entry = |server_entry: u64| {
+    let entry = |seq: u64| {
         json!({
             "address": "10.0.0.9:80", "born": 1,
             "info": {"service": "s", "zone": "a", "slots": 2},
-            "status": {"state": "ready", "seq": server_entry}
+            "status": {"state": "ready", "seq": seq}
         })
     };
     let mut builder = ViewBuilder::default();
@@ -264,8 +264,8 @@
 
     assert_eq!(sync.changed_since(at(1_000)), at(100));
     assert_eq!(sync.age(at(1_000)), TimeSpan::from_millis(900));
-    let long = sync.changed_since(at(9_000));
-    assert_eq!(long, at(7_500), "the store itself was away");
+    let after_outage = sync.changed_since(at(9_000));
+    assert_eq!(after_outage, at(7_500), "the store was unavailable");
 }
 
 /// Guards against entries that count as removed during an outage. They expired
@@ -438,8 +438,8 @@
 }
 
 /// Guards against servers that count as ended because of an outage. Entries
-/// expire while the store is away and are back two seconds after its return,
-/// so until then a missing entry is inconclusive.
+/// expire while the store is unavailable and are written again within two
+/// seconds after its recovery, so until then a missing entry is inconclusive.
 #[test]
 fn a_missing_entry_is_inconclusive_while_the_store_recovers() {
     let mut sync = SyncState::default();
