--- a/goldcrestramp-assignment/src/grant_expiries.rs
+++ b/goldcrestramp-assignment/src/grant_expiries.rs
@@ -12,10 +12,10 @@
 const SLOW_CLOCK_PERCENT: u64 = 103;
 
 /// How long a grant may still be in flight after its connection has closed:
-/// one way between regions, with room for a long queue.
+/// the one-way latency between regions, with room for a long queue.
 const MAX_TRANSIT: TimeSpan = TimeSpan::from_millis(300);
 
-/// How long after its timeout a server may still accept a grant.
+/// How long after a grant has timed out its server may still accept it.
 ///
 /// A server overloaded by new connections accepted them up to 1.3 s late,
 /// and the grant's duration counts from the acceptance.
--- a/goldcrestramp-ownership/src/holder.rs
+++ b/goldcrestramp-ownership/src/holder.rs
@@ -22,7 +22,7 @@
 
 impl GrantHolder {
     /// Creates the state of a server that has just started. `run` is the
-    /// random number of this run.
+    /// random number of this instance.
     #[must_use]
     pub fn new(run: u64, checks_fence: bool) -> Self {
         Self::with_safeguards(run, checks_fence, Safeguards::default())
@@ -114,9 +114,9 @@
         order: &GrantOrder,
     ) -> Option<GrantRefusal> {
         let enabled = |safeguard| self.safeguards.has(safeguard);
-        // The deadlines of another run belong to a clock that has restarted
-        // since. They could be far in the future, and the grant would outlive
-        // its permit.
+        // The deadlines of another instance belong to a clock that has
+        // restarted since. They could be far in the future, and the grant
+        // would outlive its permit.
         if order.run != self.run && enabled(Safeguard::RunNumber) {
             return Some(GrantRefusal::OtherRun);
         }
--- a/goldcrestramp-ownership/src/keeper/mod.rs
+++ b/goldcrestramp-ownership/src/keeper/mod.rs
@@ -153,7 +153,7 @@
         }
         // A steward that counts a majority of a larger roster may give a
         // shorter permit than before, while earlier grants are still valid.
-        // If the permit ended before them, this keeper would forget them and
+        // If the permit ended before them, this keeper would lose them and
         // report that the server holds nothing. The steward allows for the
         // longest permit that it gave.
         let longest = self.timing.safeguards.has(Safeguard::LongestPermit);
--- a/goldcrestramp-ownership/src/keeper/pass.rs
+++ b/goldcrestramp-ownership/src/keeper/pass.rs
@@ -12,7 +12,8 @@
 pub struct SendPass {
     /// The fencing token to send.
     pub token: FenceToken,
-    /// The run of the server to whose clock the times belong.
+    /// The random number of the server's instance by whose clock the times
+    /// are given.
     pub run: u64,
     /// When the grant ends: the request must start earlier, by the server's
     /// clock.
--- a/goldcrestramp-ownership/src/keeper/server.rs
+++ b/goldcrestramp-ownership/src/keeper/server.rs
@@ -38,7 +38,7 @@
 }
 
 /// An order that the server may still receive: one in flight, one without a
-/// reply, or a copy of one that was answered.
+/// reply, or a duplicate of one that was acknowledged.
 #[derive(Clone, Debug)]
 struct SentOrder {
     sent_at: LocalTime,
@@ -58,7 +58,7 @@
     initial_token: FenceToken,
     reading: Option<ClockReading>,
     run: u64,
-    /// When the server's run was first seen.
+    /// When the server's instance was first seen.
     run_seen_at: LocalTime,
     /// Whether a report sent since then was answered with a permit.
     run_permitted: bool,
@@ -73,8 +73,8 @@
     /// Whether `held` and `last` belong to `token`.
     sets_known: bool,
     in_flight: Option<SentOrder>,
-    /// Orders without a reply and copies of answered grants that may still
-    /// arrive.
+    /// Orders without a reply and duplicates of acknowledged grants that may
+    /// still arrive.
     outstanding: Vec<SentOrder>,
     /// Until when an extension that was sent may prolong what is held.
     extended_until: LocalTime,
@@ -146,8 +146,8 @@
     /// Schedules a renewal of the grant right after a permit arrived, when
     /// most of the permit remains.
     ///
-    /// A grant renewed just before the permit would end a whole renewal
-    /// interval earlier.
+    /// A grant renewed just before the permit arrives would end a whole
+    /// renewal interval earlier.
     pub(super) fn record_permit(
         &mut self,
         now: LocalTime,
@@ -242,7 +242,7 @@
             run: self.run,
             ..GrantOrder::default()
         };
-        // A server that restarts forgets its fence, so it would accept the
+        // A server that restarts loses its fence, so it would accept the
         // grant of a previous keeper whose permit is still valid, although
         // the slices may have moved. So a grant needs a permit for a report
         // that was sent after the restart: a previous keeper learns from the
@@ -313,7 +313,7 @@
         self.reachable = true;
         let reading = ClockReading { clock: reply.clock, received: now };
         if reply.run != self.run || self.reading.is_none() {
-            // The new run refuses orders for the previous one.
+            // The new instance refuses orders for the previous one.
             self.outstanding.clear();
             self.orders_expire_at = now;
             self.run = reply.run;
--- a/goldcrestramp-ownership/src/keeper/server/late_grants.rs
+++ b/goldcrestramp-ownership/src/keeper/server/late_grants.rs
@@ -17,14 +17,14 @@
 }
 
 impl KeptServer {
-    /// Records an answered grant for as long as a copy of it is valid.
+    /// Records an acknowledged grant for as long as a duplicate is valid.
     ///
     /// The network may deliver a message twice. At a server without fences a
-    /// second copy undoes every later order: the server would own again what
+    /// duplicate undoes every later order: the server would own again what
     /// it has released, and the slices would have two owners. The server
-    /// refuses a copy from the grant's deadline on; until then the grant's
-    /// slices count as held. An earlier order that holds no more than this
-    /// one and expires no later is dropped, since it adds nothing.
+    /// refuses a duplicate from the grant's deadline on; until then the
+    /// grant's slices count as held. An earlier order that holds no more
+    /// than this one and expires no later is dropped, since it adds nothing.
     pub(super) fn record_grant(
         &mut self,
         order: SentOrder,
@@ -73,7 +73,7 @@
         exceeds
     }
 
-    /// Whether to defer a release until copies of grants have expired.
+    /// Whether to defer a release until duplicates of grants have expired.
     ///
     /// If the slices were released at once, nobody could own them until then:
     /// a second move within a lease left them unserved for 900 ms instead of
@@ -91,9 +91,10 @@
         else {
             return false;
         };
-        let mut copies =
-            self.outstanding.iter().filter(|c| now < c.expires_at);
-        let held_on = copies.any(|copy| copy.exceeds(&order.slices));
+        let mut duplicates =
+            self.outstanding.iter().filter(|sent| now < sent.expires_at);
+        let held_on =
+            duplicates.any(|duplicate| duplicate.exceeds(&order.slices));
         let newer = order.token != self.order.token;
         let granting =
             self.in_flight.as_ref().is_some_and(|o| o.slices.is_some());
--- a/goldcrestramp-ownership/src/planner/policy.rs
+++ b/goldcrestramp-ownership/src/planner/policy.rs
@@ -66,7 +66,7 @@
         }
     }
 
-    /// The last ticket that touched `domain`; the lowest mark if none is
+    /// The last ticket that touched `domain`; the lowest revision if none is
     /// known.
     #[must_use]
     pub fn ticket_of(&self, domain: &DomainName) -> EntityRevision {
--- a/goldcrestramp-ownership/src/planner/record.rs
+++ b/goldcrestramp-ownership/src/planner/record.rs
@@ -12,7 +12,7 @@
 pub struct SliceHolding {
     /// The failure domain that holds the slice.
     pub domain: u16,
-    /// The domain that becomes the holder once the present holder has released
+    /// The domain that becomes the holder once the current holder has released
     /// the slice.
     pub target: Option<u16>,
 }
--- a/goldcrestramp-ownership/src/roster.rs
+++ b/goldcrestramp-ownership/src/roster.rs
@@ -51,10 +51,10 @@
     }
 
     /// The next version of the roster, without one voter that is not
-    /// `present`, if the voters present are a majority of it and are no
-    /// majority now.
+    /// `present`. `None` unless the voters that are present lack a majority
+    /// of this roster and have one of the next.
     ///
-    /// This helps an even number of voters: when 1 of 2 or 2 of 4 is
+    /// This helps an even number of voters: when 1 of 2 or 2 of 4 are
     /// present.
     pub(crate) fn without_silent(
         &self,
--- a/goldcrestramp-ownership/src/steward/claim.rs
+++ b/goldcrestramp-ownership/src/steward/claim.rs
@@ -99,7 +99,8 @@
             .collect()
     }
 
-    /// The request to the own voter, once only its confirmation is missing.
+    /// The request to this VM's own voter, once only its confirmation is
+    /// missing.
     ///
     /// A candidate that cannot win must not bind its own voter to a higher
     /// term. After a partition that voter would refuse the current steward
--- a/goldcrestramp-ownership/src/steward/domain_server.rs
+++ b/goldcrestramp-ownership/src/steward/domain_server.rs
@@ -267,7 +267,7 @@
 
     /// Discards its known state, because its keeper does not know it, or no
     /// longer does.
-    pub(super) fn forget_known(&mut self) {
+    pub(super) fn discard_known(&mut self) {
         self.known = None;
         self.lapsed_at = None;
     }
--- a/goldcrestramp-ownership/src/steward/election.rs
+++ b/goldcrestramp-ownership/src/steward/election.rs
@@ -109,8 +109,8 @@
     /// again. The store decides which of the two continues, because it
     /// accepts only one change of a version.
     ///
-    /// Only an adopted roster is reduced, which is one by which a steward
-    /// has counted. Each of its majorities overlaps each majority of the
+    /// Only an adopted roster is reduced: one whose majority has confirmed
+    /// a steward. Each of its majorities overlaps each majority of the
     /// reduced roster, and a majority of it refuses older rosters. If
     /// nobody has adopted a roster, the one before it may still be in use.
     /// Majorities of rosters two changes apart need not overlap, and each
--- a/goldcrestramp-ownership/src/steward/knowledge.rs
+++ b/goldcrestramp-ownership/src/steward/knowledge.rs
@@ -27,7 +27,8 @@
     /// Whether the record has been read from the store.
     pub(super) record_read: bool,
     pub(super) vms: Vec<RosterVoter>,
-    /// The newest roster by which a steward is known to have counted.
+    /// The version of the newest roster whose majority is known to have
+    /// confirmed a steward.
     pub(super) adopted: u64,
     /// Whether a release was removed from the record since its last
     /// decision.
--- a/goldcrestramp-ownership/src/steward/leader/permit.rs
+++ b/goldcrestramp-ownership/src/steward/leader/permit.rs
@@ -104,7 +104,7 @@
                 server.clear_keeper(until);
                 self.table.mark_dirty(true);
             }
-            server.forget_known();
+            server.discard_known();
         }
     }
 
--- a/goldcrestramp-ownership/src/timing.rs
+++ b/goldcrestramp-ownership/src/timing.rs
@@ -29,8 +29,8 @@
     pub renew_interval: TimeSpan,
     /// The silence after which a steward, keeper or server counts as lost.
     ///
-    /// A voter that has not been asked for this time may confirm another
-    /// steward.
+    /// A voter that has received no request for this long may confirm
+    /// another steward.
     pub missed_after: TimeSpan,
     /// The interval at which a keeper reports while slices of its servers
     /// are moving.
--- a/goldcrestramp-ownership/src/voter.rs
+++ b/goldcrestramp-ownership/src/voter.rs
@@ -35,7 +35,7 @@
 
     /// Sets the roster version that the store has, after a start.
     ///
-    /// A voter that forgot a newer roster could complete the majority of a
+    /// A voter that lost a newer roster could complete the majority of a
     /// candidate with an old roster. That majority need not overlap the
     /// current one, so there could be two stewards. Until a voter knows a
     /// version, it confirms only a steward that a majority already
--- a/goldcrestramp-platform/src/resolve.rs
+++ b/goldcrestramp-platform/src/resolve.rs
@@ -27,7 +27,8 @@
 /// Determines the outcome of a write from the value found in the key.
 ///
 /// Values must identify their writers (by a token, a revision of a single
-/// writer or a ticket's text), because equal bytes count as the own write.
+/// writer or a ticket's text), because a value with equal bytes counts as
+/// the caller's own write.
 #[must_use]
 pub fn classify_write(
     condition: PutCondition,
--- a/goldcrestramp-platform/tests/resolve.rs
+++ b/goldcrestramp-platform/tests/resolve.rs
@@ -116,7 +116,7 @@
 /// The first attempt takes effect but its response is lost, so the second
 /// attempt gets a conflict. The conflict is with the caller's own write.
 #[tokio::test]
-async fn a_conflict_with_the_own_write_is_reported_as_written() {
+async fn a_conflict_with_the_callers_own_write_is_reported_as_written() {
     let store = store(NextWrite::LostAfterEffect, true);
     assert_eq!(write(&store, 4).await, Ok(WriteOutcome::Written(5)));
 
--- a/goldcrestramp-types/src/outcome.rs
+++ b/goldcrestramp-types/src/outcome.rs
@@ -90,11 +90,11 @@
         DeadlinePassed => "deadline-passed",
         /// The response belonged to another request, or was malformed.
         CrossedAnswer => "crossed-answer",
-        /// A retry reached a keeper that started too recently to know of the
-/// first attempt.
+        /// A retry reached a keeper that started too recently to know of
+        /// the first attempt.
         KeeperTooYoung => "keeper-too-young",
-        /// A retry was refused by a process that can't know of the first
-/// attempt.
+        /// A retry was refused by a process that can't know of the
+        /// first attempt.
         ResendRefused => "resend-refused",
         /// The same request is still in flight.
         StillRunning => "still-running",
